--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// Costs of choosing an endpoint, in milliseconds until the caller hears.
+// Terms of an endpoint's cost, as an equivalent delay in milliseconds.
 const (
-	// zoneCost stands for another availability zone: its delay, and the
-	// price of the bytes.
+	// zoneCost is added in another availability zone, for latency and for the
+	// price of traffic between zones.
 	zoneCost = 80.0
-	// failureCost is that of an endpoint whose attempts all fail.
+	// failureCost is added for a failure rate of 1.
 	failureCost = 800.0
-	// loadCost is that of one more request beside this one.
+	// loadCost is added per request in progress at a model engine.
 	loadCost = 8.0
-	// plainCost is the same at an endpoint that is no engine.
-	plainCost = 20.0
-	// noise keeps gateways that know the same from choosing the same.
-	noise = 15.0
+	// plainLoadCost is added per request in progress at a plain endpoint.
+	plainLoadCost = 20.0
+	// jitterCost bounds a random term, so that gateways with the same view of
+	// the endpoints don't all choose the same one.
+	jitterCost = 15.0
 )
 
 // Query describes the attempt that an endpoint is chosen for.
@@ -28,255 +29,265 @@
 	Service string
 	// Model is empty for plain services.
 	Model string
-	// MinVersion is the lowest version that may answer.
+	// MinVersion is the lowest version of the model that may serve the attempt.
 	MinVersion int
-	// PromisedVersion is the same, and lower near a deadline, for engines that
-	// promise to be brought to a newer version in time; one below MinVersion
-	// gets only what it can begin at once.
+	// MinVersionBeforeUpdate is the lowest version that an engine with a
+	// scheduled update may serve; it is lower than MinVersion near a version's
+	// deadline. An engine below MinVersion is only chosen if it can begin the
+	// request at once.
 	PromisedVersion int
-	// SoonVersion is the lowest version that may answer a little later; an
-	// engine below it gets only what it can begin at once.
+	// NextMinVersion is the value that MinVersion will have shortly. An engine
+	// below it is only chosen if it can begin the request at once.
 	SoonVersion int
-	// Limit is the load up to which an endpoint takes more, or 0 for none.
+	// MaxLoad is the load at which an endpoint takes no more; 0 is no bound.
 	Limit float64
-	// Work is how long an engine reads the request, and UsualWork a usual
-	// one, in milliseconds; both are 0 for plain services.
+	// PrefillMS is the time an engine needs to read the prompt, and
+	// MeanPrefillMS that of a mean request, in milliseconds; both are 0 for plain
+	// services.
 	Work, UsualWork float64
-	// Slots is how many requests an engine works on at once, and SlotEvery
-	// how often a full engine has a slot free, in milliseconds.
+	// Slots is how many requests an engine runs concurrently, and SlotIntervalMS
+	// how often a full engine frees a slot, in milliseconds.
 	Slots, SlotEvery float64
-	// Within is the time in which the first bytes should come, in
-	// milliseconds; an engine that cannot keep it gets nothing. 0 is no
-	// bound.
+	// MaxFirstByteMS bounds the estimated time to the first bytes, in
+	// milliseconds; 0 is no bound.
 	Within float64
-	// Backlog is how long the engine may have to read what it has before this
-	// request, in milliseconds; 0 is no bound.
+	// MaxBacklogMS bounds the prefill time of requests that are ahead of this
+	// one at the engine, in milliseconds; 0 is no bound.
 	Backlog float64
-	// Connections bounds this gateway's attempts in progress at an endpoint,
-	// each of which has a connection; 0 is no bound.
+	// MaxConnections bounds this gateway's attempts in progress at an endpoint,
+	// each of which uses a connection; 0 is no bound.
 	Connections int
-	// Exclude are the ids of endpoints that have been tried.
+	// Exclude holds the ids of endpoints that have been tried.
 	Exclude map[string]bool
-	// Alone asks for an endpoint that has no other attempt of this gateway that
-	// was chosen so: under one crash, only one of those can be to blame.
+	// Isolated excludes endpoints that already have an isolated attempt of this
+	// gateway in progress, so that a crash can be attributed to one of them.
 	Alone bool
 }
 
-// usable reports whether the endpoint may get the attempt at all.
+// usable reports whether the endpoint may get the attempt, whatever its load.
 func (e *Endpoint) usable(q *Query, now time.Time) bool {
 	return !e.Signals.Draining() && e.fits(q, now)
 }
 
-// fits is usable, whether the endpoint leaves or not.
+// fits is like usable, but also accepts draining endpoints.
 func (e *Endpoint) fits(q *Query, now time.Time) bool {
-	if e.misdirected || q.Exclude[e.ID] || q.Alone && e.alone {
+	if e.misdirected || q.Exclude[e.ID] || q.Alone && e.isolated {
 		return false
 	}
 	if q.Model == "" {
 		return true
 	}
-	holds := e.Holds(q.Model, now)
-	if holds < q.SoonVersion && !e.atOnce(q, now) {
+	version := e.Holds(q.Model, now)
+	if version < q.SoonVersion && !e.startsAtOnce(q, now) {
 		return false
 	}
-	return holds > 0 && e.MayServe(holds, q.MinVersion, q.PromisedVersion, now) && !(e.fresh(now) && e.report.Busy)
+	return version > 0 && e.MayServe(version, q.MinVersion, q.PromisedVersion, now) && !(e.fresh(now) && e.report.Busy)
 }
 
-// MayServe reports whether the endpoint, which holds a version, may begin
-// requests on it; lowest and promised are as MinVersion and PromisedVersion of a
-// Query. A promise counts for justNow: a sidecar that has gone may not keep it.
-func (e *Endpoint) MayServe(holds, lowest, promised int, now time.Time) bool {
-	if holds >= lowest {
+// MayServe reports whether the endpoint, which holds version, may begin
+// requests on it. minVersion and beforeUpdate are the MinVersion and
+// MinVersionBeforeUpdate of a Query. A scheduled update counts only while the
+// report of it is younger than recentReport: a sidecar that has stopped may not
+// carry it out.
+func (e *Endpoint) MayServe(version, minVersion, beforeUpdate int, now time.Time) bool {
+	if version >= minVersion {
 		return true
 	}
-	return holds >= promised && e.report.Promised && !e.report.Busy && now.Sub(e.reportAt) < justNow
+	return version >= beforeUpdate && e.report.Promised && !e.report.Busy && now.Sub(e.reportAt) < recentReport
 }
 
-// atOnce reports whether an engine begins a new request without a wait to
-// speak of.
-func (e *Endpoint) atOnce(q *Query, now time.Time) bool {
+// startsAtOnce reports whether an engine is expected to begin a new request
+// without queuing it.
+func (e *Endpoint) startsAtOnce(q *Query, now time.Time) bool {
 	switch {
-	case !e.fresh(now), now.Sub(e.reportAt) >= justNow, e.strikes > 0:
+	case !e.fresh(now), now.Sub(e.reportAt) >= recentReport, e.brokenInRow > 0:
 		return false
-	case e.Delay(now) >= delayHigh, e.lag >= delayHigh:
+	case e.Delay(now) >= delayHigh, e.firstByteLag >= delayHigh:
 		return false
 	default:
-		return e.report.Queued == 0 && e.unreadCount == 0 && e.Load(now) < q.Slots-atOnceSlots
+		return e.report.Queued == 0 && e.unanswered == 0 && e.Load(now) < q.Slots-reservedSlots
 	}
 }
 
-// atOnceSlots stay free at an engine that begins a request at once, for
-// requests that other gateways send meanwhile.
-const atOnceSlots = 2
+// reservedSlots is how many slots startsAtOnce leaves free for requests that
+// other gateways may be sending at the same time.
+const reservedSlots = 2
 
-// open reports whether the endpoint is being left alone.
-func (e *Endpoint) open(now time.Time) bool { return e.Signals.Closed(now) || e.struck(now) }
+// unavailable reports whether the endpoint is skipped for now, because of its
+// own backoff signal or because it is ejected.
+func (e *Endpoint) unavailable(now time.Time) bool { return e.Signals.Closed(now) || e.ejected(now) }
 
-// struck reports whether that is because it failed.
-func (e *Endpoint) struck(now time.Time) bool {
-	return e.strikes > 0 && (now.Before(e.openTill) || e.probing)
+// ejected reports whether the endpoint is skipped after connection failures:
+// until ejectedUntil, and then while a probe request is in progress.
+func (e *Endpoint) ejected(now time.Time) bool {
+	return e.brokenInRow > 0 && (now.Before(e.ejectedUntil) || e.probing)
 }
 
 // Choose returns the endpoint for an attempt and counts the attempt there,
-// or nil if none has room. End must follow.
+// or returns nil if none has room. The caller must call End.
 func (f *Fleet) Choose(q Query, now time.Time) *Endpoint {
 	return f.ChooseAmong(f.Free(q, now), q, now)
 }
 
-// Free returns the endpoints that have room for the attempt that q describes,
-// for ChooseAmong; it counts nothing.
+// Free returns the endpoints that have room for the attempt described by q, for
+// ChooseAmong. It falls back to endpoints that are not watched if no watched
+// one is usable. It counts nothing.
 func (f *Fleet) Free(q Query, now time.Time) []*Endpoint {
 	all := f.byService[q.Service]
 	candidates := all
 	if q.Model != "" {
 		candidates = f.watched(q.Service)
 	}
-	free, able := f.free(candidates, &q, now)
-	if !able && len(candidates) < len(all) {
+	free, usable := f.free(candidates, &q, now)
+	if !usable && len(candidates) < len(all) {
 		free, _ = f.free(all, &q, now)
 	}
 	return free
 }
 
-// ChooseAmong is Choose for endpoints that Free has found for an attempt that
-// asks no more.
+// ChooseAmong is Choose restricted to endpoints that Free returned for a query
+// with the same or weaker requirements.
 func (f *Fleet) ChooseAmong(free []*Endpoint, q Query, now time.Time) *Endpoint {
 	best := f.cheapest(free, &q, now)
-	best.count(&q, now)
+	best.addAttempt(&q, now)
 	return best
 }
 
-// count notes that an attempt is sent to the endpoint, if there is one.
-func (e *Endpoint) count(q *Query, now time.Time) {
+// addAttempt counts an attempt that is sent to the endpoint; e may be nil.
+func (e *Endpoint) addAttempt(q *Query, now time.Time) {
 	if e == nil {
 		return
 	}
 	e.Signals.Take(now)
-	e.own++
-	e.unread += q.Work
-	e.unreadCount++
-	e.sentCount++
-	e.sentAt = append(e.sentAt, now)
-	if e.strikes > 0 {
+	e.inFlight++
+	e.unansweredMS += q.Work
+	e.unanswered++
+	e.sentSinceReport++
+	e.recentSends = append(e.recentSends, now)
+	if e.brokenInRow > 0 {
 		e.probing = true
 	}
-	e.alone = e.alone || q.Alone
+	e.isolated = e.isolated || q.Alone
 }
 
-// free returns the candidates with room; able says that there is one that could
-// take the attempt, whatever its load.
-func (f *Fleet) free(candidates []*Endpoint, q *Query, now time.Time) (free []*Endpoint, able bool) {
+// free returns the candidates with room. usable reports whether any candidate
+// could take the attempt apart from its load.
+func (f *Fleet) free(candidates []*Endpoint, q *Query, now time.Time) (free []*Endpoint, usable bool) {
 	for _, e := range candidates {
-		if !e.usable(q, now) || e.open(now) {
+		if !e.usable(q, now) || e.unavailable(now) {
 			continue
 		}
-		able = true
-		if _, room := f.room(e, q, now); room {
+		usable = true
+		if _, ok := f.room(e, q, now); ok {
 			free = append(free, e)
 		}
 	}
-	return free, able
+	return free, usable
 }
 
-// cheapest returns the one that costs least of the endpoints that have room, or
-// nil. It notes where a permit is missing that would have cost less.
+// cheapest returns the endpoint with the least cost of those that have room, or
+// nil. If an endpoint for which the gateway has no permit would cost less, it
+// records that a permit is wanted there.
 func (f *Fleet) cheapest(endpoints []*Endpoint, q *Query, now time.Time) (best *Endpoint) {
 	free, _ := f.free(endpoints, q, now)
-	bestCost, missingCost := math.Inf(1), math.Inf(1)
-	var missing *Endpoint
+	bestCost, unpermittedCost := math.Inf(1), math.Inf(1)
+	var unpermitted *Endpoint
 	for _, e := range free {
 		cost := f.cost(e, q, e.Load(now), now)
-		open := !e.Signals.From(now).After(now)
+		permitted := !e.Signals.From(now).After(now)
 		switch {
-		case open && cost < bestCost:
+		case permitted && cost < bestCost:
 			best, bestCost = e, cost
-		case !open && cost < missingCost:
-			missing, missingCost = e, cost
+		case !permitted && cost < unpermittedCost:
+			unpermitted, unpermittedCost = e, cost
 		}
 	}
-	if missing != nil && missingCost < bestCost {
-		missing.Signals.Want()
+	if unpermitted != nil && unpermittedCost < bestCost {
+		unpermitted.Signals.Want()
 	}
 	return best
 }
 
-// room returns an endpoint's load, and whether it may take the attempt on
-// top.
+// room returns an endpoint's load, and whether it has room for the attempt. The
+// load is 0 if the bound on connections is reached.
 func (f *Fleet) room(e *Endpoint, q *Query, now time.Time) (load float64, ok bool) {
-	if q.Connections > 0 && e.own >= q.Connections {
+	if q.Connections > 0 && e.inFlight >= q.Connections {
 		return 0, false
 	}
 	load = e.Load(now)
 	switch {
-	case q.Limit > 0 && load >= f.limit(e, q.Limit, now):
+	case q.Limit > 0 && load >= f.maxLoad(e, q.Limit, now):
 		return load, false
 	case q.Backlog > 0 && e.Backlog(q.UsualWork, now) > q.Backlog:
 		return load, false
 	default:
-		return load, q.Within <= 0 || e.firstBytes(q, load, now) <= q.Within
+		return load, q.Within <= 0 || e.firstByteMS(q, load, now) <= q.Within
 	}
 }
 
-// limit lowers a slow endpoint's limit by its pace.
-func (f *Fleet) limit(e *Endpoint, limit float64, now time.Time) float64 {
-	return math.Max(1, limit/e.pace(now))
+// maxLoad divides limit by the endpoint's slowdown; it is at least 1.
+func (f *Fleet) maxLoad(e *Endpoint, limit float64, now time.Time) float64 {
+	return math.Max(1, limit/e.slowdown(now))
 }
 
+// cost returns the cost of sending the attempt to the endpoint, as an
+// equivalent delay in milliseconds.
 func (f *Fleet) cost(e *Endpoint, q *Query, load float64, now time.Time) float64 {
-	cost := failureCost*e.failures + noise*rand.Float64()
+	cost := failureCost*e.failureRate + jitterCost*rand.Float64()
 	if e.Zone != f.place.Zone {
 		cost += zoneCost
 	}
 	if q.Model == "" {
-		return cost + plainCost*load
+		return cost + plainLoadCost*load
 	}
-	if delay := e.Delay(now); delay > delayOften {
+	if delay := e.Delay(now); delay > delayNormal {
 		cost += float64(delay.Milliseconds())
 	}
-	if silent := e.silence(now); silent > 0 {
-		cost += float64(silent.Milliseconds())
+	if overdue := e.overdueCost(now); overdue > 0 {
+		cost += float64(overdue.Milliseconds())
 	}
-	if e.lag > lagOften {
-		cost += float64(min(e.lag, delayMax).Milliseconds())
+	if e.firstByteLag > lagNormal {
+		cost += float64(min(e.firstByteLag, delayMax).Milliseconds())
 	}
-	return cost + e.firstBytes(q, load, now)
+	return cost + e.firstByteMS(q, load, now)
 }
 
-// halfPass is what a new request waits for the pass under way, in
-// milliseconds.
-const halfPass = 60.0
+// halfPassMS is the mean wait of a new request for the engine's current pass to
+// end, in milliseconds.
+const halfPassMS = 60.0
 
-// firstBytes estimates the time until the first bytes of a new request, in
-// milliseconds.
-func (e *Endpoint) firstBytes(q *Query, load float64, now time.Time) float64 {
-	busy := halfPass + loadCost*load + e.Backlog(q.UsualWork, now) + q.Work
+// firstByteMS estimates the time until the first bytes of a new request's
+// response, in milliseconds.
+func (e *Endpoint) firstByteMS(q *Query, load float64, now time.Time) float64 {
+	estimate := halfPassMS + loadCost*load + e.Backlog(q.UsualWork, now) + q.Work
 	if load >= q.Slots {
-		busy += q.SlotEvery * (load - q.Slots + 1)
+		estimate += q.SlotEvery * (load - q.Slots + 1)
 	}
-	return busy * e.pace(now)
+	return estimate * e.slowdown(now)
 }
 
-// AtBest is the time until the first bytes at an engine that has nothing else
-// to do, in milliseconds.
-func (q *Query) AtBest() float64 { return halfPass + q.Work }
+// MinFirstByteMS returns the time until the first bytes at an idle engine, in
+// milliseconds.
+func (q *Query) AtBest() float64 { return halfPassMS + q.Work }
 
-// Backlog estimates how long the engine reads what it has been sent and has
-// not begun to answer, in milliseconds.
-func (e *Endpoint) Backlog(usual float64, now time.Time) float64 {
-	others := e.othersUnread * usual
+// Backlog estimates the prefill time of the requests that the engine has been
+// sent and has not begun to answer, in milliseconds. meanPrefillMS is the
+// prefill time assumed for each request of other gateways.
+func (e *Endpoint) Backlog(meanPrefillMS float64, now time.Time) float64 {
+	others := e.othersUnanswered * meanPrefillMS
 	if e.fresh(now) {
 		others -= float64(now.Sub(e.reportAt).Milliseconds())
-		others = math.Max(0, others) + e.ahead(now)*usual
+		others = math.Max(0, others) + e.othersSinceReport(now)*meanPrefillMS
 	}
-	return e.unread + math.Max(0, others)
+	return e.unansweredMS + math.Max(0, others)
 }
 
-// Usable counts the endpoints that could take a request, whatever their
-// load; one that rests counts if it does so no longer than a time.
+// Usable returns the number of endpoints that could take a request whatever
+// their load. An endpoint in backoff counts if its backoff ends before by.
 func (f *Fleet) Usable(q Query, by, now time.Time) int {
 	count := 0
 	for _, e := range f.byService[q.Service] {
-		if e.usable(&q, now) && !e.struck(now) && !e.Signals.Closed(by) {
+		if e.usable(&q, now) && !e.ejected(now) && !e.Signals.Closed(by) {
 			count++
 		}
 	}
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -9,48 +9,56 @@
 	"github.com/mintlift/mintlift/backpressure"
 )
 
-// Endpoint is one endpoint and what is believed of it.
+// Endpoint is one incarnation of an endpoint with the gateway's estimate of its
+// state.
 type Endpoint struct {
 	Record
-	// Signals is what this life of the endpoint said of itself in answers.
+	// Signals holds the backpressure signals of this incarnation.
 	Signals *backpressure.State
-	// own are the attempts of this gateway in progress there.
-	own int
-	// others estimates what everybody else has there.
-	others float64
-	// unread is the work, in milliseconds of the engine, of own attempts
-	// that have brought nothing yet, and unreadCount their number.
-	unread      float64
-	unreadCount int
-	// othersUnread is the same number for everybody else.
-	othersUnread float64
-	// sentCount are own attempts since the last report.
-	sentCount int
-	// sentAt are the times of own attempts of the last unsettled.
-	sentAt   []time.Time
-	report   Report
-	reportAt time.Time
-	// roundTrip is the last that was measured, to the sidecar and back.
-	roundTrip time.Duration
-	roundAt   time.Time
-	heardAt   time.Time
-	// lag is how much later than expected first bytes came, smoothed.
-	lag      time.Duration
-	failures float64 // share of attempts that failed, smoothed
-	strikes  int     // broken connections in a row
-	openTill time.Time
-	// misdirected says that the endpoint denied being this one, or holding
-	// the weights; it gets nothing until the list tells something new of it.
+	// inFlight counts this gateway's attempts in progress.
+	inFlight int
+	// othersInFlight estimates the requests of all other senders there.
+	othersInFlight float64
+	// unansweredMS is the prefill time, in milliseconds, of this gateway's
+	// attempts without a response byte yet, and unanswered their number.
+	unansweredMS float64
+	unanswered   int
+	// othersUnanswered estimates the number of unanswered requests of all other
+	// senders.
+	othersUnanswered float64
+	// sentSinceReport counts this gateway's attempts since the last report.
+	sentSinceReport int
+	// recentSends are the times of this gateway's attempts that a report may not
+	// include yet.
+	recentSends []time.Time
+	report      Report
+	reportAt    time.Time
+	// roundTrip is the last round-trip time measured to the sidecar, and
+	// roundTripAt when that was.
+	roundTrip   time.Duration
+	roundTripAt time.Time
+	// receivedAt is when anything last arrived from the endpoint or its sidecar.
+	receivedAt time.Time
+	// firstByteLag is the moving average of how much later than estimated first
+	// bytes arrived.
+	firstByteLag time.Duration
+	// failureRate is the moving average of failed attempts, from 0 to 1.
+	failureRate float64
+	// brokenInRow counts consecutive attempts without a working connection.
+	brokenInRow  int
+	ejectedUntil time.Time
+	// misdirected is set if the endpoint answered that it is another one or does
+	// not hold the weights. It gets no attempts until its record changes.
 	misdirected bool
-	// probing says that one request tries an endpoint that was left alone.
+	// probing is set while one request probes an endpoint that was ejected.
 	probing bool
-	// alone says that an attempt chosen with Query.Alone is in progress.
-	alone bool
+	// isolated is set while an attempt with Query.Isolated is in progress.
+	isolated bool
 }
 
-// Holds returns the version of model that the endpoint holds whole, or 0. One
-// that its sidecar doubted when it was last heard holds none, however long ago
-// that was and whatever the list says: the engine cannot know.
+// Holds returns the version of model that the endpoint holds completely, or 0.
+// It is 0 if the last report called the version unverified, however old that
+// report is and whatever the record lists, since the engine itself cannot tell.
 func (e *Endpoint) Holds(model string, now time.Time) int {
 	if e.report.Doubted {
 		return 0
@@ -61,11 +69,12 @@
 	return e.Models[model]
 }
 
+// fresh reports whether there is a report younger than reportTTL.
 func (e *Endpoint) fresh(now time.Time) bool {
-	return !e.reportAt.IsZero() && now.Sub(e.reportAt) < reportLife
+	return !e.reportAt.IsZero() && now.Sub(e.reportAt) < reportTTL
 }
 
-// ReportAge is the age of the newest report, or -1 ms if there is none.
+// ReportAge returns the age of the newest report, or -1 ms if there is none.
 func (e *Endpoint) ReportAge(now time.Time) time.Duration {
 	if e.reportAt.IsZero() {
 		return -time.Millisecond
@@ -73,108 +82,115 @@
 	return now.Sub(e.reportAt)
 }
 
-// SilentFor is how long nothing at all came from the endpoint's box.
-func (e *Endpoint) SilentFor(now time.Time) time.Duration { return now.Sub(e.heardAt) }
+// ReceiveAge returns the time since anything last arrived from the endpoint or
+// its sidecar.
+func (e *Endpoint) SilentFor(now time.Time) time.Duration { return now.Sub(e.receivedAt) }
 
-// silence is for how long the reports of an engine that used to report are
-// overdue while nothing else comes from its box either, at most silenceMax:
-// a box that stands still shows in nothing else at first.
-func (e *Endpoint) silence(now time.Time) time.Duration {
+// overdueCost returns the cost of an engine that has reported before, but from
+// whose box neither reports nor anything else has arrived for reportOverdue.
+// This is the first sign of a box that is suspended.
+func (e *Endpoint) overdueCost(now time.Time) time.Duration {
 	if e.reportAt.IsZero() {
 		return 0
 	}
-	return min(max(e.SilentFor(now)-reportOverdue, 0)*silenceWeight, silenceMax)
+	return min(max(e.SilentFor(now)-reportOverdue, 0)*overdueWeight, overdueCostMax)
 }
 
-// Bounds of what silence costs.
+// Parameters of overdueCost.
 const (
-	// reportOverdue is longer than the time between two reports, also when
-	// nothing changes and one of them is lost.
+	// reportOverdue exceeds the interval between two reports, even if nothing
+	// changes and one of them is lost.
 	reportOverdue = 350 * time.Millisecond
-	// silenceWeight is the cost of each millisecond beyond that: silenceMax,
-	// which is more than any queue costs, is reached 550 ms after the last
-	// word.
-	silenceWeight = 4
-	silenceMax    = 800 * time.Millisecond
+	// overdueWeight is the cost of each millisecond beyond reportOverdue.
+	overdueWeight = 4
+	// overdueCostMax exceeds the cost of any queue.
+	overdueCostMax = 800 * time.Millisecond
 )
 
-// Bounds of what a slow link to an endpoint costs.
+// Parameters of the costs of a slow link and of late first bytes.
 const (
-	roundEvery = 700 * time.Millisecond
-	delayMax   = 400 * time.Millisecond
-	// delayOften is a delay that a working link may show.
-	delayOften = 25 * time.Millisecond
-	// delayHigh is one that a request must not meet near a deadline.
+	// roundTripInterval is the interval after which another round-trip
+	// measurement is expected.
+	roundTripInterval = 700 * time.Millisecond
+	delayMax          = 400 * time.Millisecond
+	// delayNormal is the highest delay that costs nothing.
+	delayNormal = 25 * time.Millisecond
+	// delayHigh is too high for a request that must begin at once.
 	delayHigh = 100 * time.Millisecond
-	// lagWeight is the share of the newest attempt in lag, and lagOften what
-	// a working engine may show.
+	// lagWeight is the weight of the newest attempt in firstByteLag.
 	lagWeight = 0.3
-	lagOften  = 150 * time.Millisecond
+	// lagNormal is the highest firstByteLag that costs nothing.
+	lagNormal = 150 * time.Millisecond
 )
 
-// Delay is what is known of the delay to the endpoint and back, at most
-// delayMax: a link whose answers stay away counts as slow.
+// Delay returns the estimated round-trip time to the endpoint's sidecar, at most
+// delayMax. An overdue measurement counts as a slow link. It is 0 before the
+// first measurement.
 func (e *Endpoint) Delay(now time.Time) time.Duration {
-	if e.roundAt.IsZero() {
+	if e.roundTripAt.IsZero() {
 		return 0
 	}
-	missing := now.Sub(e.roundAt) - roundEvery
-	return min(max(e.roundTrip, missing, 0), delayMax)
+	overdue := now.Sub(e.roundTripAt) - roundTripInterval
+	return min(max(e.roundTrip, overdue, 0), delayMax)
 }
 
-// Own is the number of attempts of this gateway in progress.
-func (e *Endpoint) Own() int { return e.own }
+// InFlight returns the number of this gateway's attempts in progress.
+func (e *Endpoint) InFlight() int { return e.inFlight }
 
-// unsettled is how long an own attempt may be missing in a report that comes
-// in: it was on its way, or the report was.
-const unsettled = 40 * time.Millisecond
+// reportLag is how long, beyond the link's delay, an attempt may be missing from
+// arriving reports, because the attempt or the report was in transit.
+const reportLag = 40 * time.Millisecond
 
-// unseen counts own attempts that a report which comes in now does not count
-// yet.
-func (e *Endpoint) unseen(now time.Time) int {
-	since := now.Add(-unsettled - e.Delay(now))
-	e.sentAt = slices.DeleteFunc(e.sentAt, func(at time.Time) bool { return at.Before(since) })
-	return min(len(e.sentAt), e.own)
+// unreported returns the number of this gateway's attempts that a report
+// arriving now does not include yet.
+func (e *Endpoint) unreported(now time.Time) int {
+	since := now.Add(-reportLag - e.Delay(now))
+	e.recentSends = slices.DeleteFunc(e.recentSends, func(at time.Time) bool { return at.Before(since) })
+	return min(len(e.recentSends), e.inFlight)
 }
 
-// Load estimates the requests that the endpoint has, running and queued.
+// Load estimates the number of requests that the endpoint has, running and
+// queued.
 func (e *Endpoint) Load(now time.Time) float64 {
 	if !e.fresh(now) {
-		return float64(e.own) + e.others*0.5
+		return float64(e.inFlight) + e.othersInFlight*0.5
 	}
-	return float64(e.own) + e.others + e.ahead(now)
+	return float64(e.inFlight) + e.othersInFlight + e.othersSinceReport(now)
 }
 
-// What other gateways are taken to send after a report that all of them got.
+// Parameters of the estimate of what other gateways send after a report that
+// all of them received.
 const (
-	// takenShare is the part of them that has a request waiting.
-	takenShare = 0.85
-	// taken is how long a report may be unchanged before it shows that they
-	// have sent nothing: a change is reported at once.
-	takenFor = 100 * time.Millisecond
+	// waitingShare is the share of gateways with a request waiting.
+	waitingShare = 0.85
+	// sentVisibleAfter is the age of a report at which it shows that other
+	// gateways have sent nothing, since changes are reported at once.
+	sentVisibleAfter = 100 * time.Millisecond
 )
 
-// ahead estimates the attempts that other gateways have sent since the last
-// report, ahead of the next one of this gateway.
-func (e *Endpoint) ahead(now time.Time) float64 {
+// othersSinceReport estimates how many attempts other gateways have sent since
+// the last report, ahead of this gateway's next one.
+func (e *Endpoint) othersSinceReport(now time.Time) float64 {
 	age := now.Sub(e.reportAt)
-	if age >= takenFor {
+	if age >= sentVisibleAfter {
 		return 0
 	}
-	taken := e.report.Turn + float64(e.sentCount)*e.report.others()
-	return takenShare * taken * (1 - float64(age)/float64(takenFor))
+	sent := e.report.Turn + float64(e.sentSinceReport)*e.report.othersPerRequest()
+	return waitingShare * sent * (1 - float64(age)/float64(sentVisibleAfter))
 }
 
-// others is how many requests all other gateways send for each of this one.
-func (r *Report) others() float64 {
+// othersPerRequest returns how many requests all other gateways together send
+// for each request of this one.
+func (r *Report) othersPerRequest() float64 {
 	if r.Share <= 0 {
 		return float64(max(0, r.Gateways-1))
 	}
 	return (1 - r.Share) / r.Share
 }
 
-// pace is how many times slower than usual the endpoint works.
-func (e *Endpoint) pace(now time.Time) float64 {
+// slowdown returns how many times slower than normal the endpoint works, at
+// least 1.
+func (e *Endpoint) slowdown(now time.Time) float64 {
 	if !e.fresh(now) || e.report.Pace < 1 {
 		return 1
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet is what a gateway believes of the endpoints: the list of
-// them, what they said of their load, and what their answers showed. It
-// chooses the endpoint of an attempt.
+// Package fleet holds a gateway's view of the endpoints and chooses the
+// endpoint for each attempt. The view combines the platform's list, the load
+// reports of the sidecars, and the results of the gateway's own attempts.
 //
-// A Fleet does no I/O, takes time as a value, and is not safe for
-// concurrent use; package ingress holds it under one lock.
+// A Fleet does no I/O, takes the current time as an argument, and is not safe
+// for concurrent use; package ingress guards it with one lock.
 package fleet
 
 import (
@@ -17,104 +17,110 @@
 	"github.com/mintlift/mintlift/backpressure"
 )
 
-// Record is an endpoint as the platform's list tells it.
+// Record is an endpoint's entry in the platform's list.
 type Record struct {
 	ID      string
 	Service string
 	Address string // IP:PORT
 	Zone    string
-	Slots   int
-	// Draining is what the list says; Endpoint.Signals knows more.
+	// Slots is how many requests the endpoint runs concurrently.
+	Slots int
+	// Draining is the drain flag of the list. Endpoint.Signals also includes
+	// drains that the endpoint signalled itself.
 	Draining bool
-	// Born is when the endpoint's process started, in Unix milliseconds, or 0 if
-	// it does not tell. With the ID it names one life of the endpoint.
+	// StartedMS is the start time of the endpoint's process, in Unix
+	// milliseconds, or 0 if unknown. Together with the ID it identifies one
+	// incarnation of the endpoint.
 	Born int64
-	// Models are the versions of the models that the endpoint holds whole;
-	// nil for endpoints that hold none, or are no engines.
+	// Models maps the models that the endpoint holds completely to their
+	// versions; it is nil for endpoints that hold none or are not engines.
 	Models map[string]int
 }
 
-// Report is an engine's load as the sidecar beside it read it.
+// Report is an engine's load report, sent by its sidecar.
 type Report struct {
 	Address string `json:"a"`
-	// Model and Version are what the engine holds whole; Version is 0 while
-	// it holds nothing whole.
+	// Model and Version name the weights that the engine holds completely;
+	// Version is 0 if there are none.
 	Model   string `json:"m"`
 	Version int    `json:"v"`
-	// Born is that of a Record, as the engine itself tells it.
+	// StartedMS is Record.StartedMS as reported by the engine.
 	Born int64 `json:"n,omitempty"`
-	// Busy says that an order is under way and that nothing new is taken.
+	// Busy is set while the engine takes no new requests, because an operation
+	// on it is in progress or it is about to be drained.
 	Busy bool `json:"b,omitempty"`
-	// Promised says that the engine will be drained, and brought to a newer
-	// version, in time for that version's deadline.
+	// UpdateScheduled is set if the engine will be drained and updated to a newer
+	// version before that version's deadline.
 	Promised bool `json:"c,omitempty"`
-	// Doubted says that the engine tells a version of which it is not known
-	// whether its weights are of it.
+	// Unverified is set if it is unknown whether the engine's weights are really
+	// of the version that it reports.
 	Doubted bool `json:"d,omitempty"`
-	// Draining and Limited are what the engine's answer said to the sidecar, as to
-	// any other that asks it something; Limit is in requests a second.
+	// Draining and Limited are the backpressure signals in the engine's response
+	// to the sidecar; Limit is in requests a second.
 	Draining bool    `json:"draining,omitempty"`
 	Limited  bool    `json:"limited,omitempty"`
 	Limit    float64 `json:"limit,omitempty"`
 
-	Running int     `json:"r"`
-	Queued  int     `json:"q"`
-	Pace    float64 `json:"p,omitempty"`
-	// Weights is the checksum of what the sidecar knows of how weights come,
-	// or 0.
+	Running int `json:"r"`
+	Queued  int `json:"q"`
+	// Pace is how many times slower than normal the engine works; values below 1
+	// count as 1.
+	Pace float64 `json:"p,omitempty"`
+	// WeightsChecksum is the routing.WeightsConfig checksum of the configuration
+	// that the sidecar has, or 0 if it has none.
 	Weights uint32 `json:"w,omitempty"`
-	// Gateways is how many gateways hear these reports. All see the same room;
-	// Turn is how much of their demand may take it ahead of the gateway that
-	// gets this report, in average gateways, drawn for each report, and Share
-	// the gateway's own part of the demand.
+	// Gateways is how many gateways receive these reports and so see the same
+	// free slots. DemandAhead is the demand, in average gateways, that may use
+	// them before the gateway that receives this report; it is drawn at random for
+	// each report. DemandShare is that gateway's share of the total demand.
 	Gateways int     `json:"g,omitempty"`
 	Turn     float64 `json:"u,omitempty"`
 	Share    float64 `json:"s,omitempty"`
 }
 
-// Timing of what a Fleet believes.
+// Parameters of report expiry and ejection.
 const (
-	// reportLife is how long a report counts.
-	reportLife = 900 * time.Millisecond
-	// justNow is how old the report may be of an engine that must begin a
-	// request at once: one that stands still sends none.
-	justNow = 150 * time.Millisecond
-	// openMin and openMax bound how long an endpoint that failed is left
-	// alone; the time doubles with each failure in a row.
-	openMin = 400 * time.Millisecond
-	openMax = 4 * time.Second
-	// failureWeight is the share of the newest attempt in failures.
+	// reportTTL is how long a report is used.
+	reportTTL = 900 * time.Millisecond
+	// recentReport is the maximum age of the report of an engine that must begin
+	// a request at once; a suspended engine sends no reports.
+	recentReport = 150 * time.Millisecond
+	// ejectMin and ejectMax bound how long an endpoint is ejected after a broken
+	// connection; the time doubles with each consecutive one.
+	ejectMin = 400 * time.Millisecond
+	ejectMax = 4 * time.Second
+	// failureWeight is the weight of the newest attempt in failureRate.
 	failureWeight = 0.12
 )
 
-// Fleet is the set of endpoints.
+// Fleet is the set of endpoints of all services, as seen by one gateway.
 type Fleet struct {
 	place     Place
 	byID      map[string]*Endpoint
 	byAddress map[string]*Endpoint
 	byService map[string][]*Endpoint
-	// watching is what is watched of each large service, until its list
-	// changes.
-	watching map[string][]*Endpoint
-	// signals is what endpoints said in answers, also of those that have left the
-	// list.
+	// watchedByService caches the watched endpoints of large services; an entry
+	// is removed when the service's endpoints change.
+	watchedByService map[string][]*Endpoint
+	// signals holds the backpressure signals of endpoints, including those that
+	// are no longer on the list.
 	signals *backpressure.Table
 }
 
-// New returns an empty fleet, seen from a gateway at place.
+// New returns an empty fleet for a gateway at place.
 func New(place Place) *Fleet {
 	return &Fleet{
-		place:     place,
-		watching:  make(map[string][]*Endpoint),
-		signals:   backpressure.NewTable(),
-		byID:      make(map[string]*Endpoint),
-		byAddress: make(map[string]*Endpoint),
-		byService: make(map[string][]*Endpoint),
+		place:            place,
+		watchedByService: make(map[string][]*Endpoint),
+		signals:          backpressure.NewTable(),
+		byID:             make(map[string]*Endpoint),
+		byAddress:        make(map[string]*Endpoint),
+		byService:        make(map[string][]*Endpoint),
 	}
 }
 
-// Put adds or changes an endpoint. It reports whether anything but the
-// heartbeat changed.
+// Put adds or updates an endpoint and reports whether it was added or changed. A
+// record of an earlier incarnation is ignored.
 func (f *Fleet) Put(r Record) bool {
 	changed := f.put(r)
 	if e := f.byID[r.ID]; e != nil && e.Draining {
@@ -123,12 +129,13 @@
 	return changed
 }
 
+// put is Put without the drain signal.
 func (f *Fleet) put(r Record) bool {
 	e := f.byID[r.ID]
 	switch {
 	case e == nil || e.Born == 0 || r.Born == 0:
 	case r.Born < e.Born:
-		return false // of the life before
+		return false // earlier incarnation
 	case r.Born > e.Born:
 		f.Remove(r.ID)
 		e = nil
@@ -141,7 +148,7 @@
 		f.byID[r.ID] = e
 		f.byAddress[r.Address] = e
 		f.byService[r.Service] = append(f.byService[r.Service], e)
-		f.changedService(r.Service)
+		f.invalidateWatched(r.Service)
 		return true
 	}
 	r.Born = max(r.Born, e.Born)
@@ -155,12 +162,12 @@
 	return changed
 }
 
-// startAgain takes the word of an endpoint that its process began anew at born:
-// it holds nothing, and nothing that was believed of it holds. The list is yet
-// to tell.
-func (f *Fleet) startAgain(e *Endpoint, born int64) *Endpoint {
+// replaceIncarnation replaces e by a new incarnation, started at startedMS, that
+// reported itself before the list did. The new endpoint holds no models and
+// inherits no state but the rest of the record.
+func (f *Fleet) replaceIncarnation(e *Endpoint, startedMS int64) *Endpoint {
 	r := e.Record
-	r.Born, r.Models = born, nil
+	r.Born, r.Models = startedMS, nil
 	f.Remove(r.ID)
 	f.Put(r)
 	return f.byID[r.ID]
@@ -178,14 +185,14 @@
 	return true
 }
 
-// Remove forgets an endpoint.
+// Remove removes an endpoint and reports whether it was on the list.
 func (f *Fleet) Remove(id string) bool {
 	e := f.byID[id]
 	if e == nil {
 		return false
 	}
 	delete(f.byID, id)
-	f.changedService(e.Service)
+	f.invalidateWatched(e.Service)
 	if f.byAddress[e.Address] == e {
 		delete(f.byAddress, e.Address)
 	}
@@ -199,32 +206,32 @@
 	return true
 }
 
-// Replace sets the whole list, and returns what was on the one before alone.
-func (f *Fleet) Replace(records []Record) (left []Record) {
+// Replace replaces the whole list and returns the records that were removed.
+func (f *Fleet) Replace(records []Record) (removed []Record) {
 	keep := make(map[string]bool, len(records))
 	for _, r := range records {
 		keep[r.ID] = true
 	}
 	for id, e := range f.byID {
 		if !keep[id] {
-			left = append(left, e.Record)
+			removed = append(removed, e.Record)
 			f.Remove(id)
 		}
 	}
 	for _, r := range records {
 		f.Put(r)
 	}
-	return left
+	return removed
 }
 
 // Has reports whether an endpoint is on the list.
 func (f *Fleet) Has(id string) bool { return f.byID[id] != nil }
 
-// ByID returns an endpoint of the list, or nil.
+// ByID returns the endpoint with the given id, or nil.
 func (f *Fleet) ByID(id string) *Endpoint { return f.byID[id] }
 
-// Life returns when the process of the endpoint at an address started, in Unix
-// milliseconds, or 0 if that is not known.
+// StartedMSAt returns the start time of the process of the endpoint at an
+// address, in Unix milliseconds, or 0 if it is unknown.
 func (f *Fleet) Life(address string) int64 {
 	if e := f.byAddress[address]; e != nil {
 		return e.Born
@@ -235,29 +242,29 @@
 // Endpoints returns the endpoints of a service.
 func (f *Fleet) Endpoints(service string) []*Endpoint { return f.byService[service] }
 
-// All returns the endpoints of all services, in no order.
+// All returns the endpoints of all services in unspecified order.
 func (f *Fleet) All() []*Endpoint { return slices.Collect(maps.Values(f.byID)) }
 
 // Len returns the number of endpoints.
 func (f *Fleet) Len() int { return len(f.byID) }
 
-// Addresses returns the addresses of the endpoints that are watched of a
-// service, apart those whose sidecars said lately that they know weights with
-// the checksum sum.
-func (f *Fleet) Addresses(service string, sum uint32, now time.Time) (knowing, others []string) {
+// Addresses returns the addresses of a service's watched endpoints. current are
+// those whose fresh report has the weights checksum sum; others are the rest.
+func (f *Fleet) Addresses(service string, sum uint32, now time.Time) (current, others []string) {
 	for _, e := range f.watched(service) {
 		if e.fresh(now) && e.report.Weights == sum {
-			knowing = append(knowing, e.Address)
+			current = append(current, e.Address)
 			continue
 		}
 		others = append(others, e.Address)
 	}
-	return knowing, others
+	return current, others
 }
 
-// Heard takes a report and returns its endpoint, or nil if the endpoint is
-// not on the list. roundTrip is negative if none was measured. changed says
-// that version, readiness or what the engine says of itself changed.
+// ApplyReport applies a report and returns its endpoint. It returns nil if the
+// endpoint is not on the list or the report is of an earlier incarnation.
+// roundTrip is negative if none was measured. changed reports whether the
+// version, the readiness, the verification or the backpressure signals changed.
 func (f *Fleet) Heard(r Report, roundTrip time.Duration, now time.Time) (e *Endpoint, changed bool) {
 	e = f.byAddress[r.Address]
 	switch {
@@ -265,94 +272,95 @@
 		return nil, false
 	case r.Born == 0 || r.Born == e.Born:
 	case r.Born < e.Born:
-		return nil, false // late, of the life before
+		return nil, false // delayed, of an earlier incarnation
 	case e.Born == 0:
 		e.Born = r.Born
 		e.Signals.Learn(r.Born)
 	default:
-		e = f.startAgain(e, r.Born)
+		e = f.replaceIncarnation(e, r.Born)
 	}
 	changed = e.reportAt.IsZero() || e.report.Version != r.Version || e.report.Busy != r.Busy || e.report.Doubted != r.Doubted ||
 		e.report.Draining != r.Draining || e.report.Limited != r.Limited || e.report.Limit != r.Limit
 	e.report = r
 	e.reportAt = now
 	e.Signals.ObserveReport(backpressure.Signal{Draining: r.Draining, Limit: backpressure.Limit{Named: r.Limited, Rate: r.Limit}}, now)
-	e.heardAt = now
+	e.receivedAt = now
 	if roundTrip >= 0 {
-		e.roundTrip, e.roundAt = roundTrip, now
+		e.roundTrip, e.roundTripAt = roundTrip, now
 	}
-	unseen := e.unseen(now)
-	e.others = math.Max(0, float64(r.Running+r.Queued-(e.own-unseen)))
-	e.othersUnread = math.Max(0, float64(r.Queued-max(0, e.unreadCount-unseen)))
-	e.sentCount = 0
+	unreported := e.unreported(now)
+	e.othersInFlight = math.Max(0, float64(r.Running+r.Queued-(e.inFlight-unreported)))
+	e.othersUnanswered = math.Max(0, float64(r.Queued-max(0, e.unanswered-unreported)))
+	e.sentSinceReport = 0
 	return e, changed
 }
 
-// Begun notes that an attempt of so much work has brought its first bytes,
-// or that it ended without; late is by how much they came later than
-// expected, or negative if that is not known.
-func (f *Fleet) Begun(e *Endpoint, work float64, late time.Duration, now time.Time) {
-	e.unreadCount--
-	e.unread = math.Max(0, e.unread-work)
-	if e.unreadCount == 0 {
-		e.unread = 0
+// RecordFirstByte records that an attempt received its first bytes, or that it
+// ended without any. prefillMS is the Query.PrefillMS of the attempt. lag is by
+// how much the bytes arrived later than estimated; it is negative if unknown.
+func (f *Fleet) Begun(e *Endpoint, prefillMS float64, lag time.Duration, now time.Time) {
+	e.unanswered--
+	e.unansweredMS = math.Max(0, e.unansweredMS-prefillMS)
+	if e.unanswered == 0 {
+		e.unansweredMS = 0
 	}
-	if late < 0 {
+	if lag < 0 {
 		return
 	}
-	e.heardAt = now
-	e.lag += time.Duration(lagWeight * float64(late-e.lag))
+	e.receivedAt = now
+	e.firstByteLag += time.Duration(lagWeight * float64(lag-e.firstByteLag))
 }
 
-// Result is how an attempt ended, for what it says of the endpoint.
+// Result is the outcome of an attempt, as far as it concerns the endpoint.
 type Result int
 
 // The results of an attempt.
 const (
-	// Answered: the endpoint answered as it should.
+	// Answered means that the endpoint gave a valid response.
 	Answered Result = iota
-	// Failed: the endpoint answered with an error, or spoilt its answer.
+	// Failed means an error response or an invalid one.
 	Failed
-	// Broken: no connection, or one that broke.
+	// Broken means that no connection was made or that it was lost.
 	Broken
-	// Rejected: the endpoint turned the request away.
+	// Rejected means that the endpoint refused the request.
 	Rejected
-	// Misdirected: another endpoint has the address, or it holds other
-	// weights than the list says.
+	// Misdirected means that another endpoint has the address, or that the
+	// endpoint holds other weights than listed.
 	Misdirected
-	// Abandoned: the caller left, or time ran out; it says nothing.
+	// Abandoned means that the caller left or the request timed out, which says
+	// nothing about the endpoint.
 	Abandoned
 )
 
-// End takes the result of an attempt that Choose counted; Begun must have
-// been called for it.
+// End records the result of an attempt that Choose counted. RecordFirstByte must
+// have been called for it.
 func (f *Fleet) End(e *Endpoint, result Result, now time.Time) {
-	e.own--
+	e.inFlight--
 	e.probing = false
 	switch result {
 	case Answered:
-		e.strikes = 0
-		e.failures -= failureWeight * e.failures
-		e.heardAt = now
+		e.brokenInRow = 0
+		e.failureRate -= failureWeight * e.failureRate
+		e.receivedAt = now
 	case Failed:
-		e.strikes = 0
-		e.failures += failureWeight * (1 - e.failures)
-		e.heardAt = now
+		e.brokenInRow = 0
+		e.failureRate += failureWeight * (1 - e.failureRate)
+		e.receivedAt = now
 	case Broken:
-		e.failures += failureWeight * (1 - e.failures)
-		e.strikes++
-		pause := openMin << min(e.strikes-1, 4)
-		e.openTill = now.Add(min(pause, openMax))
+		e.failureRate += failureWeight * (1 - e.failureRate)
+		e.brokenInRow++
+		pause := ejectMin << min(e.brokenInRow-1, 4)
+		e.ejectedUntil = now.Add(min(pause, ejectMax))
 	case Misdirected:
 		e.misdirected = true
 	case Rejected:
-		e.others++
-		e.heardAt = now
+		e.othersInFlight++
+		e.receivedAt = now
 	}
 }
 
-// EndAlone notes that the attempt chosen with Query.Alone has ended.
-func (f *Fleet) EndAlone(e *Endpoint) { e.alone = false }
+// EndIsolated records that the attempt chosen with Query.Isolated has ended.
+func (f *Fleet) EndAlone(e *Endpoint) { e.isolated = false }
 
-// Alive notes that bytes came from the endpoint.
-func (f *Fleet) Alive(e *Endpoint, now time.Time) { e.heardAt = now }
+// RecordReceived records that bytes arrived from the endpoint.
+func (f *Fleet) RecordReceived(e *Endpoint, now time.Time) { e.receivedAt = now }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,6 +15,8 @@
 
 const model = "m"
 
+// engines returns a fleet of n engines of service s with ids from "a", which hold
+// version 1 of the model.
 func engines(n int) *Fleet {
 	f := New(Place{Zone: "z"})
 	for i := range n {
@@ -32,6 +34,7 @@
 	return Report{Address: id + ":1", Model: model, Version: version, Running: running, Queued: queued}
 }
 
+// chosen returns the id of the endpoint that Choose returns, or "" if there is none.
 func chosen(f *Fleet, q Query, now time.Time) string {
 	e := f.Choose(q, now)
 	if e == nil {
@@ -40,7 +43,7 @@
 	return e.ID
 }
 
-func TestChooseSpreadsUnreadPrompts(t *testing.T) {
+func TestChooseSpreadsUnansweredPrompts(t *testing.T) {
 	f := engines(3)
 	seen := map[string]int{}
 	for range 6 {
@@ -49,7 +52,7 @@
 	assert.DeepEqual(t, seen, map[string]int{"a": 2, "b": 2, "c": 2})
 }
 
-func TestChooseHeedsOthersBacklog(t *testing.T) {
+func TestChooseCountsOthersBacklog(t *testing.T) {
 	f := engines(2)
 	f.Heard(report("a", 1, 0, 3), 0, start)
 	f.Heard(report("b", 1, 2, 0), 0, start)
@@ -62,22 +65,22 @@
 	assert.Equal(t, chosen(f, query(), start), "")
 	f.Heard(report("a", 1, 4, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "a")
-	assert.Equal(t, chosen(f, query(), start), "", "own attempts count at once")
+	assert.Equal(t, chosen(f, query(), start), "", "own attempts must count at once")
 }
 
-func TestDrainingAndGoneGetNothing(t *testing.T) {
+func TestDrainingAndRemovedGetNothing(t *testing.T) {
 	f := engines(2)
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1", Draining: true, Models: map[string]int{model: 1}})
 	f.Remove("b")
 	assert.Equal(t, chosen(f, query(), start), "")
 }
 
-// What an endpoint said in an answer outlasts its entry, and what a list says of it
-// that is older; a new life has said nothing.
-func TestWordsOutlastTheList(t *testing.T) {
+// An endpoint's drain signal must outlive its record and not be revoked by an older
+// record; a new incarnation starts without signals.
+func TestSignalsOutliveTheRecord(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	r := Record{ID: "a", Service: "s", Address: "a:1", Born: 5, Models: map[string]int{model: 1}}
-	for _, lose := range []func(){
+	for _, removeRecord := range []func(){
 		func() {},
 		func() { f.Remove("a") },
 		func() { f.Replace(nil) },
@@ -86,7 +89,7 @@
 	} {
 		f.Put(r)
 		f.ByID("a").Signals.Observe(backpressure.Signal{Draining: true}, start, start)
-		lose()
+		removeRecord()
 		f.Put(r)
 		assert.Equal(t, chosen(f, query(), start), "")
 	}
@@ -95,8 +98,8 @@
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
 
-// An engine says to its sidecar what it says to others.
-func TestWordsInReports(t *testing.T) {
+// Backpressure signals in reports count like those in responses.
+func TestSignalsInReports(t *testing.T) {
 	f := engines(2)
 	r := report("a", 1, 0, 0)
 	r.Draining = true
@@ -106,7 +109,7 @@
 	r = report("b", 1, 0, 0)
 	r.Limited, r.Limit = true, 1
 	f.Heard(r, 0, start)
-	assert.Equal(t, chosen(f, query(), start), "", "it has no permit")
+	assert.Equal(t, chosen(f, query(), start), "", "a limited endpoint gets nothing without a permit")
 	f.Heard(report("b", 1, 0, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "b", "the limit has ended")
 }
@@ -119,7 +122,7 @@
 	assert.Equal(t, chosen(f, query(), start), "")
 }
 
-func TestEmptyEngineGetsNothing(t *testing.T) {
+func TestEngineWithoutModelGetsNothing(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1"})
 	assert.Equal(t, chosen(f, query(), start), "")
@@ -127,7 +130,7 @@
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
 
-func TestVersionThatIsDue(t *testing.T) {
+func TestMinVersion(t *testing.T) {
 	f := engines(2)
 	f.Heard(report("b", 2, 4, 0), 0, start)
 	q := query()
@@ -136,8 +139,8 @@
 	assert.Equal(t, chosen(f, q, start), "", "b is full, and a holds version 1")
 }
 
-// Near a deadline an older engine gets only what it can begin at once.
-func TestVersionThatIsDueSoon(t *testing.T) {
+// An engine below NextMinVersion gets only requests that it can begin at once.
+func TestNextMinVersion(t *testing.T) {
 	q := query()
 	q.SoonVersion = 2
 	for _, test := range []struct {
@@ -159,28 +162,28 @@
 	}
 	f := engines(1)
 	f.Heard(report("a", 1, 0, 0), time.Millisecond, start)
-	large := q
-	large.Slots, large.Limit = 16, 16
-	assert.Equal(t, chosen(f, large, start), "a")
-	assert.Equal(t, chosen(f, large, start), "", "a prompt is to be read there")
+	manySlots := q
+	manySlots.Slots, manySlots.Limit = 16, 16
+	assert.Equal(t, chosen(f, manySlots, start), "a")
+	assert.Equal(t, chosen(f, manySlots, start), "", "an unanswered prompt is queued there")
 
 	f = engines(1)
-	assert.Equal(t, chosen(f, q, start), "", "an engine that was never heard")
+	assert.Equal(t, chosen(f, q, start), "", "an engine without a report")
 	f.Heard(report("a", 1, 0, 0), time.Millisecond, start)
-	assert.Equal(t, chosen(f, q, start.Add(justNow)), "", "an engine that was not heard just now")
+	assert.Equal(t, chosen(f, q, start.Add(recentReport)), "", "an engine without a recent report")
 	f.Heard(report("a", 1, 0, 0), time.Millisecond, start)
 	e := f.Choose(q, start)
 	f.Begun(e, q.Work, time.Second, start)
 	f.End(e, Answered, start)
-	assert.Equal(t, chosen(f, q, start), "", "its last first bytes came late")
+	assert.Equal(t, chosen(f, q, start), "", "its last first bytes were late")
 }
 
-// Past the time of its version an engine gets only what it begins at once, and
-// only while its sidecar says that it will change in time.
-func TestPromiseExtendsAnOlderVersion(t *testing.T) {
+// An engine below MinVersion gets only requests that it can begin at once, and only
+// while its sidecar reports a scheduled update.
+func TestScheduledUpdateExtendsOlderVersion(t *testing.T) {
 	q := query()
 	q.SoonVersion, q.MinVersion, q.PromisedVersion = 2, 2, 1
-	promised := func(running, queued int, busy bool) Report {
+	scheduled := func(running, queued int, busy bool) Report {
 		r := report("a", 1, running, queued)
 		r.Promised, r.Busy = true, busy
 		return r
@@ -191,11 +194,11 @@
 		after  time.Duration
 		want   string
 	}{
-		{"promised", promised(0, 0, false), 0, "a"},
-		{"not promised", report("a", 1, 0, 0), 0, ""},
-		{"the drain has begun", promised(0, 0, true), 0, ""},
-		{"a queue there", promised(0, 1, false), 0, ""},
-		{"not heard just now", promised(0, 0, false), justNow, ""},
+		{"scheduled", scheduled(0, 0, false), 0, "a"},
+		{"not scheduled", report("a", 1, 0, 0), 0, ""},
+		{"drain begun", scheduled(0, 0, true), 0, ""},
+		{"queue", scheduled(0, 1, false), 0, ""},
+		{"no recent report", scheduled(0, 0, false), recentReport, ""},
 	} {
 		f := engines(1)
 		f.Heard(test.report, time.Millisecond, start)
@@ -203,20 +206,20 @@
 	}
 	q.PromisedVersion = 2
 	f := engines(1)
-	f.Heard(promised(0, 0, false), time.Millisecond, start)
-	assert.Equal(t, chosen(f, q, start), "", "the gateway's own bound")
+	f.Heard(scheduled(0, 0, false), time.Millisecond, start)
+	assert.Equal(t, chosen(f, q, start), "", "below MinVersionBeforeUpdate")
 }
 
-func TestBrokenEndpointIsLeftAloneThenTried(t *testing.T) {
+func TestBrokenEndpointIsEjectedThenProbed(t *testing.T) {
 	f := engines(1)
 	e := f.Choose(query(), start)
 	f.Begun(e, 50, -1, start)
 	f.End(e, Broken, start)
-	assert.Equal(t, chosen(f, query(), start.Add(openMin/2)), "")
-	later := start.Add(openMin + time.Millisecond)
+	assert.Equal(t, chosen(f, query(), start.Add(ejectMin/2)), "")
+	later := start.Add(ejectMin + time.Millisecond)
 	e = f.Choose(query(), later)
-	assert.Assert(t, e != nil, "one request tries it")
-	assert.Equal(t, chosen(f, query(), later), "", "and only one")
+	assert.Assert(t, e != nil, "one request must probe it")
+	assert.Equal(t, chosen(f, query(), later), "", "only one request must probe it")
 	f.Begun(e, 50, 0, later)
 	f.End(e, Answered, later)
 	assert.Equal(t, chosen(f, query(), later), "a")
@@ -226,7 +229,7 @@
 	f := engines(2)
 	for range 10 {
 		e := f.byID["a"]
-		e.own++
+		e.inFlight++
 		f.End(e, Failed, start)
 	}
 	for range 3 {
@@ -234,8 +237,7 @@
 	}
 }
 
-// An endpoint that says it is another gets nothing more, until the list
-// tells something new of it.
+// A misdirected endpoint gets nothing until its record changes.
 func TestMisdirected(t *testing.T) {
 	f := engines(1)
 	e := f.Choose(query(), start)
@@ -243,7 +245,7 @@
 	f.End(e, Misdirected, start)
 	assert.Equal(t, chosen(f, query(), start.Add(time.Minute)), "")
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{model: 1}})
-	assert.Equal(t, chosen(f, query(), start), "", "a heartbeat is nothing new")
+	assert.Equal(t, chosen(f, query(), start), "", "an unchanged record must not count as a change")
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{model: 2}})
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
@@ -253,7 +255,7 @@
 	f.Put(Record{ID: "new", Service: "other", Address: "a:1"})
 	assert.Equal(t, chosen(f, query(), start), "")
 	assert.Equal(t, len(f.Endpoints("s")), 0)
-	f.Remove("a") // the old one's removal comes late
+	f.Remove("a") // delayed removal of the earlier record
 	e, _ := f.Heard(report("a", 1, 0, 0), 0, start)
 	assert.Equal(t, e.ID, "new")
 }
@@ -263,7 +265,7 @@
 	f.Heard(report("a", 1, 0, 0), 300*time.Millisecond, start)
 	f.Heard(report("b", 1, 2, 0), time.Millisecond, start)
 	assert.Equal(t, chosen(f, query(), start), "b")
-	assert.Assert(t, f.byID["b"].Delay(start.Add(2*time.Second)) >= 400*time.Millisecond, "answers that stay away")
+	assert.Assert(t, f.byID["b"].Delay(start.Add(2*time.Second)) >= 400*time.Millisecond, "an overdue measurement must count as delay")
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
@@ -281,21 +283,21 @@
 	e := f.Choose(Query{Service: "s", Model: model, Exclude: map[string]bool{"b": true}}, start)
 	f.Replace([]Record{{ID: "a", Service: "s", Address: "a:1", Models: map[string]int{model: 1}}, {ID: "c", Service: "s", Address: "c:1"}})
 	assert.Equal(t, f.Len(), 2)
-	assert.Equal(t, f.byID["a"].Own(), 1, "what is known of an endpoint stays")
+	assert.Equal(t, f.byID["a"].InFlight(), 1, "state of a listed endpoint must be kept")
 	f.Remove("a")
-	f.End(e, Answered, start) // an attempt may end after its endpoint is gone
+	f.End(e, Answered, start) // an attempt may end after its endpoint was removed
 }
 
-// Gateways that see the same room take it in the order of their turns: many
-// that each send one request at once fill an engine's queue.
-func TestGatewaysTakeTurns(t *testing.T) {
+// Gateways that see the same free slots must not all use them at once, which would
+// fill the engine's queue: DemandAhead limits who may.
+func TestDemandAheadLimitsUseOfFreeSlots(t *testing.T) {
 	const gateways, slots = 20, 12
 	now := time.Now()
 	sends := 0
-	for turn := range gateways {
+	for ahead := range gateways {
 		f := New(Place{Zone: "z"})
 		f.Put(Record{ID: "e", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{"m": 1}})
-		f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: slots - 2, Gateways: gateways, Turn: float64(turn)}, -1, now)
+		f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: slots - 2, Gateways: gateways, Turn: float64(ahead)}, -1, now)
 		q := Query{Service: "s", Model: "m", MinVersion: 1, Slots: slots, Limit: slots}
 		if f.Choose(q, now.Add(time.Millisecond)) != nil {
 			sends++
@@ -303,30 +305,31 @@
 		if f.Choose(q, now.Add(time.Millisecond)) != nil {
 			sends++
 		}
-		if turn == gateways-1 {
-			assert.Assert(t, f.Choose(q, now.Add(takenFor)) != nil, "an unchanged report shows that nobody took the room")
+		if ahead == gateways-1 {
+			assert.Assert(t, f.Choose(q, now.Add(sentVisibleAfter)) != nil, "an unchanged report shows that the slots are still free")
 		}
 	}
-	assert.Assert(t, sends >= 2 && sends <= 5, "%d requests for 2 places", sends)
+	assert.Assert(t, sends >= 2 && sends <= 5, "%d requests for 2 free slots", sends)
 }
 
-// A report does not count what was sent while it was on its way.
-func TestReportMissesWhatIsOnItsWay(t *testing.T) {
+// Attempts sent shortly before a report arrives are not included in it and must be
+// added to its load.
+func TestAttemptsInTransitAreAddedToReport(t *testing.T) {
 	now := time.Now()
 	f := New(Place{Zone: "z"})
 	f.Put(Record{ID: "e", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{"m": 1}})
 	f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: 5}, -1, now)
 	e := f.Choose(Query{Service: "s", Model: "m", MinVersion: 1}, now)
 	assert.Assert(t, e != nil)
-	later := now.Add(unsettled / 2)
+	later := now.Add(reportLag / 2)
 	f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: 5}, -1, later)
 	assert.Equal(t, e.Load(later), 6.0)
-	later = now.Add(2 * unsettled)
+	later = now.Add(2 * reportLag)
 	f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: 6}, -1, later)
 	assert.Equal(t, e.Load(later), 6.0)
 }
 
-// A request with a bound on what the engine has to read waits for less.
+// MaxBacklogMS excludes engines with more prefill work queued.
 func TestBacklogIsBounded(t *testing.T) {
 	f := engines(1)
 	f.Heard(report("a", 1, 0, 2), 0, start)
@@ -337,9 +340,9 @@
 	assert.Equal(t, chosen(f, q, start), "a")
 }
 
-// An engine whose reports stay away is the last choice, since its box may
-// stand still, but it is one: its sidecar alone may be gone.
-func TestSilentBoxIsTheLastChoice(t *testing.T) {
+// An engine with overdue reports is the last choice, since its box may be suspended,
+// but is still usable, since only its sidecar may have failed.
+func TestEngineWithOverdueReportsIsTheLastChoice(t *testing.T) {
 	f := engines(2)
 	f.Heard(report("a", 1, 0, 0), 0, start)
 	f.Heard(report("b", 1, 3, 0), 0, start)
--- a/fleet/free_test.go
+++ b/fleet/free_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whether an attempt finds room does not depend on whether the endpoints
-// without room for anybody were sorted out first.
-func TestFreeLeavesOutOnlyWhatHasNoRoom(t *testing.T) {
+// Filtering the endpoints by a weaker query first must not change whether a
+// stricter query finds an endpoint.
+func TestFreeKeepsEndpointsWithRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := engines(6)
 		now := start
@@ -22,26 +22,26 @@
 				r.Busy = rapid.Bool().Draw(t, "busy")
 				f.Heard(r, -1, now)
 			}
-			if rapid.IntRange(0, 5).Draw(t, "leaving") == 0 {
+			if rapid.IntRange(0, 5).Draw(t, "draining") == 0 {
 				e.Signals.ListedDraining()
 			}
 		}
 		now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "later")) * time.Millisecond)
-		narrow := query()
-		narrow.MinVersion = rapid.IntRange(0, 2).Draw(t, "least")
-		wide := narrow
-		narrow.Within = rapid.SampledFrom([]float64{0, 100, 250, 400}).Draw(t, "within")
-		narrow.Backlog = rapid.SampledFrom([]float64{0, 50}).Draw(t, "backlog")
-		narrow.Limit = float64(rapid.IntRange(1, 5).Draw(t, "limit"))
+		strict := query()
+		strict.MinVersion = rapid.IntRange(0, 2).Draw(t, "minVersion")
+		weak := strict
+		strict.Within = rapid.SampledFrom([]float64{0, 100, 250, 400}).Draw(t, "within")
+		strict.Backlog = rapid.SampledFrom([]float64{0, 50}).Draw(t, "backlog")
+		strict.Limit = float64(rapid.IntRange(1, 5).Draw(t, "limit"))
 		if rapid.Bool().Draw(t, "tried") {
-			narrow.Exclude = map[string]bool{"a": true}
+			strict.Exclude = map[string]bool{"a": true}
 		}
-		free := f.Free(wide, now)
-		direct := f.cheapest(f.Endpoints("s"), &narrow, now)
-		among := f.ChooseAmong(free, narrow, now)
+		free := f.Free(weak, now)
+		direct := f.cheapest(f.Endpoints("s"), &strict, now)
+		among := f.ChooseAmong(free, strict, now)
 		assert.Equal(t, among != nil, direct != nil)
 		if among != nil {
-			assert.Equal(t, among.Own(), 1)
+			assert.Equal(t, among.InFlight(), 1)
 		}
 	})
 }
--- /dev/null
+++ b/fleet/incarnation_test.go
@@ -0,0 +1,81 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// incarnation returns the record of endpoint a's incarnation started at startedMS.
+func incarnation(startedMS int64) Record {
+	return Record{ID: "a", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{model: 1}, Born: startedMS}
+}
+
+// A restarted endpoint must not inherit the state of its earlier incarnation, nor
+// be charged with the results of attempts sent to that.
+func TestNewIncarnationStartsWithoutState(t *testing.T) {
+	f := New(Place{Zone: "z"})
+	f.Put(incarnation(1000))
+	e := f.Choose(query(), start)
+	f.Begun(e, 50, -1, start)
+	f.End(e, Broken, start)
+	assert.Equal(t, chosen(f, query(), start), "", "the endpoint must be ejected")
+	inFlight := f.byID["a"]
+	inFlight.inFlight = 3
+
+	assert.Assert(t, f.Put(incarnation(2000)), "a new incarnation is a change")
+	assert.Equal(t, f.Len(), 1)
+	assert.Equal(t, f.byID["a"].InFlight(), 0)
+	assert.Equal(t, chosen(f, query(), start), "a")
+	f.End(inFlight, Broken, start)
+	assert.Equal(t, f.byID["a"].InFlight(), 1, "a late result belongs to the earlier incarnation")
+	assert.Equal(t, f.byID["a"].brokenInRow, 0)
+}
+
+// A delayed record of an earlier incarnation must not replace the current one.
+func TestEarlierIncarnationIsIgnored(t *testing.T) {
+	f := New(Place{Zone: "z"})
+	f.Put(incarnation(2000))
+	old := incarnation(1000)
+	old.Draining = true
+	assert.Assert(t, !f.Put(old))
+	assert.Assert(t, !f.byID["a"].Draining)
+	assert.Equal(t, f.byID["a"].Born, int64(2000))
+}
+
+// A start time that becomes known must not count as a restart.
+func TestStartTimeIsAdopted(t *testing.T) {
+	f := New(Place{Zone: "z"})
+	f.Put(incarnation(0))
+	e := f.Choose(query(), start)
+	f.Put(incarnation(1000))
+	assert.Equal(t, f.byID["a"], e)
+	assert.Equal(t, e.Born, int64(1000))
+	f.Put(incarnation(0))
+	assert.Equal(t, e.Born, int64(1000))
+}
+
+// A report of a restart takes effect before the list shows it; delayed reports of
+// the earlier incarnation are ignored.
+func TestReportOfNewIncarnation(t *testing.T) {
+	f := New(Place{Zone: "z"})
+	f.Put(incarnation(1000))
+	old := report("a", 1, 2, 0)
+	old.Born = 1000
+	f.Heard(old, -1, start)
+	fresh := Report{Address: "a:1", Born: 2000}
+	e, changed := f.Heard(fresh, -1, start.Add(time.Millisecond))
+	assert.Assert(t, e != nil && changed)
+	assert.Equal(t, e.Holds(model, start.Add(2*time.Millisecond)), 0)
+	assert.Equal(t, e.Holds(model, start.Add(time.Minute)), 0, "the list still has the earlier incarnation after the report has expired")
+	late, _ := f.Heard(old, -1, start.Add(2*time.Millisecond))
+	assert.Assert(t, late == nil)
+	assert.Equal(t, chosen(f, query(), start.Add(3*time.Millisecond)), "")
+	f.Put(incarnation(1000))
+	assert.Equal(t, e.Holds(model, start.Add(time.Minute)), 0)
+	f.Put(incarnation(2000))
+	assert.Equal(t, f.byID["a"].Holds(model, start.Add(time.Minute)), 1, "the list has the new incarnation")
+}
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -8,54 +8,58 @@
 	"github.com/mintlift/mintlift/backpressure"
 )
 
-// Share says how many gateways share what endpoints allow together.
+// SetGateways sets the number of gateways that share the rate limits of
+// endpoints.
 func (f *Fleet) Share(gateways int) { f.signals.Share(gateways) }
 
-// Opens returns when the next endpoint of a service may get a request that may get
-// none now, or zero if none does by itself.
+// NextOpening returns the earliest time at which an endpoint of a service that may
+// not be sent requests now may be sent one. It is zero if there is no such time;
+// draining endpoints don't count.
 func (f *Fleet) Opens(service string, now time.Time) time.Time {
-	var first time.Time
+	var earliest time.Time
 	if f.signals.Quiet() {
-		return first
+		return earliest
 	}
 	for _, e := range f.byService[service] {
 		if e.Signals.Draining() {
 			continue
 		}
-		if at := e.Signals.From(now); at.After(now) && (first.IsZero() || at.Before(first)) {
-			first = at
+		if at := e.Signals.From(now); at.After(now) && (earliest.IsZero() || at.Before(earliest)) {
+			earliest = at
 		}
 	}
-	return first
+	return earliest
 }
 
-// Closure is why no endpoint of a service takes an attempt, by their own signals.
+// Closure describes why no endpoint of a service accepts an attempt, by their own
+// backpressure signals.
 type Closure struct {
 	Reason Reason
-	// Until is when one may take it at the earliest; zero if that is not known.
+	// Until is the earliest time at which one may accept it; zero if unknown.
 	Until time.Time
-	// Endpoint is the one that opens first, or one of them if that is not known.
+	// Endpoint is the id of the endpoint that opens first, or of any of them if
+	// that is unknown.
 	Endpoint string
 }
 
-// Reason is what endpoints have said that closes them.
+// Reason is the kind of backpressure signal that closes endpoints.
 type Reason int
 
-// The reasons, from what passes soonest.
+// The reasons.
 const (
-	Open Reason = iota // at least one is not closed by its own signal
-	Limited
-	BackingOff
-	Draining
+	Open       Reason = iota // at least one endpoint is open
+	Limited                  // the rate limit is used up
+	BackingOff               // a backoff is in force
+	Draining                 // the endpoint takes no new requests
 )
 
 func (r Reason) String() string {
 	return [...]string{"are open", "are at their limits", "want backoff", "are draining"}[r]
 }
 
-// Closed tells whether all endpoints that could take an attempt have said that they
-// will not before a time. With several reasons it is that of the one that opens
-// first.
+// Closure reports whether all endpoints that could serve an attempt are closed by
+// their own signals until after by. Its Reason is that of the endpoint that opens
+// first, or Open if one is open by then or none could serve the attempt.
 func (f *Fleet) Closed(q Query, by, now time.Time) Closure {
 	c := Closure{Reason: Open}
 	if f.signals.Quiet() {
@@ -65,57 +69,59 @@
 		if !e.fits(&q, now) {
 			continue
 		}
-		reason, from := e.closure(now)
-		if reason == Open || !from.IsZero() && !from.After(by) {
+		reason, opens := e.closure(now)
+		if reason == Open || !opens.IsZero() && !opens.After(by) {
 			return Closure{Reason: Open}
 		}
-		if c.Reason == Open || c.Until.IsZero() || !from.IsZero() && from.Before(c.Until) {
-			c = Closure{reason, from, e.ID}
+		if c.Reason == Open || c.Until.IsZero() || !opens.IsZero() && opens.Before(c.Until) {
+			c = Closure{reason, opens, e.ID}
 		}
 	}
 	return c
 }
 
-// closure returns why the endpoint takes nothing now by its own signal, and until when.
+// closure returns which signal of the endpoint closes it now, and when it opens: zero
+// if that is unknown, now if it is open.
 func (e *Endpoint) closure(now time.Time) (Reason, time.Time) {
-	from := e.Signals.From(now)
+	opens := e.Signals.From(now)
 	switch {
 	case e.Signals.Draining():
 		return Draining, time.Time{}
 	case e.Signals.Closed(now):
-		return BackingOff, from
-	case from.After(now):
-		return Limited, from
+		return BackingOff, opens
+	case opens.After(now):
+		return Limited, opens
 	default:
 		return Open, now
 	}
 }
 
-// Signals counts the endpoints by what they have said that is in force.
+// Signals counts the endpoints by the signals that are in force.
 type Signals struct {
 	Draining, BackingOff, Limited int
-	// Allowed is the sum of the limits, in requests a second.
+	// Allowed is the sum of the rate limits, in requests a second.
 	Allowed float64
 }
 
-// Signals returns what the endpoints of the list have said.
-func (f *Fleet) Signals(now time.Time) (w Signals) {
+// Signals counts the endpoints of the list by their signals.
+func (f *Fleet) Signals(now time.Time) (counts Signals) {
 	for _, e := range f.byID {
 		if e.Signals.Draining() {
-			w.Draining++
+			counts.Draining++
 		}
 		if e.Signals.Closed(now) {
-			w.BackingOff++
+			counts.BackingOff++
 		}
 		if e.Signals.Limited() {
-			w.Limited++
-			w.Allowed += e.Signals.Rate()
+			counts.Limited++
+			counts.Allowed += e.Signals.Rate()
 		}
 	}
-	return w
+	return counts
 }
 
-// Asks calls ask with what is to be asked, or told, of the endpoints of a service.
+// EachAsk calls ask with each pending message to a permit issuer about an endpoint
+// of a service: a request for permits, or just the endpoint's signals.
 func (f *Fleet) Asks(service string, now time.Time, ask func(e *Endpoint, a backpressure.Ask)) {
 	if f.signals.Quiet() {
 		return
@@ -127,17 +133,18 @@
 	}
 }
 
-// Granted takes permits; it returns what has changed of what the endpoint said.
+// ApplyGrant applies a permit issuer's answer, with permits and the endpoint's
+// signals; it returns the changes of the signals.
 func (f *Fleet) Granted(g backpressure.Grant, now time.Time) []backpressure.Change {
 	return f.signals.Granted(g, now)
 }
 
-// HeardOf takes what another process tells of an endpoint; it returns what has
-// changed.
+// MergeSignals merges an endpoint's signals as known to another process; it returns
+// the changes.
 func (f *Fleet) HeardOf(r backpressure.Record, now time.Time) []backpressure.Change {
 	return f.signals.Merge(r, now)
 }
 
-// Forget drops what endpoints said that have left the list and that cannot matter
-// any more.
+// PruneSignals deletes signals of endpoints that are no longer on the list, once they
+// have expired or become too many.
 func (f *Fleet) Forget(now time.Time) { f.signals.Forget(f.Has, now) }
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -10,38 +10,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A gateway watches a part of a large service's engines: it subscribes to
-// their reports and chooses among them. Every gateway watching every engine
-// costs reports by the product of both, four fifths of them across regions
-// where there are five, and leaves each pair a connection that is used every
-// few seconds and closed between. A gateway watches all of its own region, so
-// that no engine is without a watcher; the engines elsewhere, which take what
-// a region has too much, are divided by rendezvous, so that each has about as
-// many watchers as any other.
+// A gateway watches a part of a large service's engines: it subscribes to their
+// reports and chooses among them. Otherwise the number of reports, most of them
+// across regions, and of mostly idle connections would grow with the product of
+// gateways and engines. A gateway watches all engines of its own region, so that
+// each engine has a watcher, and some of other regions for overflow, chosen by
+// rendezvous hashing so that each has about as many watchers.
 const (
-	// watchedEngines is up to how many a gateway watches engines of other
-	// regions; a service of fewer is watched whole.
-	watchedEngines = 48
-	// watchedFar engines outside the own region are watched in any case, for
-	// the day on which that has none left.
-	watchedFar = 12
-	// census is how many engines all gateways watch, the same ones: their
-	// sidecars know how many gateways there are, which share the retry budget,
-	// and pass on what gateways tell each other. So many that hardly ever all of
-	// them are gone when many boxes go at once.
-	census = 5
+	// watchTarget is how many engines a gateway watches if its own region has
+	// fewer; all engines of a service of up to this size are watched.
+	watchTarget = 48
+	// watchRemoteMin is how many engines of other regions are watched at least,
+	// in case the own region has none left.
+	watchRemoteMin = 12
+	// commonEndpoints is how many engines are watched by all gateways. Their
+	// sidecars count the gateways, which share the retry budget, and relay
+	// messages between gateways. There are enough of them that a loss of many
+	// boxes rarely includes all.
+	commonEndpoints = 5
 )
 
-// Place is where a gateway is.
+// Place is the location of a gateway.
 type Place struct {
-	// Box is its own name, by which engines are divided among gateways.
+	// Box is the name of the gateway's box, which seeds its rendezvous hashes.
 	Box  string
 	Zone string
-	// Regions are the regions of the availability zones; a zone that it does
-	// not name is a region of its own.
+	// Regions maps availability zones to regions; a zone that is missing is a
+	// region of its own.
 	Regions map[string]string
 }
 
+// region returns the region of an availability zone.
 func (p *Place) region(zone string) string {
 	if r, ok := p.Regions[zone]; ok {
 		return r
@@ -52,31 +51,31 @@
 // watched returns the endpoints of a service that the gateway watches.
 func (f *Fleet) watched(service string) []*Endpoint {
 	all := f.byService[service]
-	if len(all) <= watchedEngines {
+	if len(all) <= watchTarget {
 		return all
 	}
-	if list, ok := f.watching[service]; ok {
+	if list, ok := f.watchedByService[service]; ok {
 		return list
 	}
-	list := f.choosePart(all)
-	f.watching[service] = list
+	list := f.selectWatched(all)
+	f.watchedByService[service] = list
 	return list
 }
 
-// choosePart chooses what to watch of a large service.
-func (f *Fleet) choosePart(all []*Endpoint) []*Endpoint {
-	var near, far []*Endpoint
+// selectWatched selects the endpoints of a large service to watch.
+func (f *Fleet) selectWatched(all []*Endpoint) []*Endpoint {
+	var local, remote []*Endpoint
 	for _, e := range all {
 		if f.place.region(e.Zone) == f.place.region(f.place.Zone) {
-			near = append(near, e)
+			local = append(local, e)
 			continue
 		}
-		far = append(far, e)
+		remote = append(remote, e)
 	}
-	own := func(e *Endpoint) uint64 { return xxhash.Sum64String(f.place.Box + "/" + e.ID) }
-	far = first(far, max(watchedFar, watchedEngines-len(near)), own)
-	out := append(near, far...)
-	for _, e := range byAddress(all, census) {
+	weight := func(e *Endpoint) uint64 { return xxhash.Sum64String(f.place.Box + "/" + e.ID) }
+	remote = lowestWeight(remote, max(watchRemoteMin, watchTarget-len(local)), weight)
+	out := append(local, remote...)
+	for _, e := range rankByAddress(all, commonEndpoints) {
 		if !slices.Contains(out, e) {
 			out = append(out, e)
 		}
@@ -84,36 +83,36 @@
 	return out
 }
 
-// byAddress returns the first n endpoints in an order that all gateways compute
-// alike. It goes by address, which an endpoint that starts again keeps, and its
-// sidecar with it.
-func byAddress(all []*Endpoint, n int) []*Endpoint {
-	return first(slices.Clone(all), n, func(e *Endpoint) uint64 { return xxhash.Sum64String(e.Address) })
+// rankByAddress returns the first n endpoints in a rendezvous order that is the same
+// on all gateways. It hashes the address, which an endpoint and its sidecar keep
+// across a restart.
+func rankByAddress(all []*Endpoint, n int) []*Endpoint {
+	return lowestWeight(slices.Clone(all), n, func(e *Endpoint) uint64 { return xxhash.Sum64String(e.Address) })
 }
 
-// Relays returns the addresses of up to census endpoints of a service that all
-// gateways watch: the first whose sidecars are heard, or the first if none is.
+// Relays returns the addresses of up to commonEndpoints endpoints of a service
+// that all gateways watch: those with a fresh report, or all of them if none has.
 func (f *Fleet) Relays(service string, now time.Time) []string {
 	all := f.byService[service]
-	watched := census
-	if len(all) <= watchedEngines {
+	watched := commonEndpoints
+	if len(all) <= watchTarget {
 		watched = len(all)
 	}
-	common := byAddress(all, watched)
-	heard := slices.DeleteFunc(slices.Clone(common), func(e *Endpoint) bool { return !e.fresh(now) })
-	if len(heard) == 0 {
-		heard = common
+	common := rankByAddress(all, watched)
+	reporting := slices.DeleteFunc(slices.Clone(common), func(e *Endpoint) bool { return !e.fresh(now) })
+	if len(reporting) == 0 {
+		reporting = common
 	}
 	var out []string
-	for _, e := range heard[:min(census, len(heard))] {
+	for _, e := range reporting[:min(commonEndpoints, len(reporting))] {
 		out = append(out, e.Address)
 	}
 	return out
 }
 
-// Dealer returns the address of the endpoint, of those whose sidecars all gateways
-// watch, whose sidecar deals out the limit of another that has none beside it; all
-// gateways choose alike. It is empty if there is none.
+// PermitIssuer returns the address of the relay whose sidecar issues permits for the
+// rate limit of the endpoint with the given id, which has no sidecar of its own.
+// Gateways with the same relays get the same result. It is empty without relays.
 func Dealer(relays []string, id string) string {
 	weight := func(address string) uint64 { return xxhash.Sum64String(id + "/" + address) }
 	best := ""
@@ -125,12 +124,12 @@
 	return best
 }
 
-// first returns the n endpoints of the least weight; it reorders list.
-func first(list []*Endpoint, n int, weight func(*Endpoint) uint64) []*Endpoint {
+// lowestWeight returns the n endpoints with the lowest weights, in order; it
+// reorders list.
+func lowestWeight(list []*Endpoint, n int, weight func(*Endpoint) uint64) []*Endpoint {
 	slices.SortFunc(list, func(a, b *Endpoint) int { return cmp.Compare(weight(a), weight(b)) })
 	return list[:min(n, len(list))]
 }
 
-// changedService forgets what is watched of a service whose endpoints have
-// changed.
-func (f *Fleet) changedService(service string) { delete(f.watching, service) }
+// invalidateWatched discards the cached watched endpoints of a service.
+func (f *Fleet) invalidateWatched(service string) { delete(f.watchedByService, service) }
--- a/fleet/watch_test.go
+++ b/fleet/watch_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// large is a service of n engines in five regions, seen from a gateway.
-func large(gateway string, region, n int) *Fleet {
+// largeFleet returns the fleet of a gateway, for a service of n engines in five
+// regions.
+func largeFleet(gateway string, region, n int) *Fleet {
 	regions := make(map[string]string)
 	for r := range 5 {
 		regions[fmt.Sprint("z", r)] = fmt.Sprint("r", r)
@@ -25,28 +26,28 @@
 	return f
 }
 
-// Reports must not grow with the product of gateways and engines; still every
-// engine has watchers, nearly all of them in several regions, and all gateways
-// share some.
+// The number of watched engines per gateway must be bounded. Still each engine must
+// have watchers, nearly all of them in several regions, and some engines must be
+// watched by all gateways.
 func TestEachEngineHasEnoughWatchers(t *testing.T) {
 	const gateways = 53
 	for _, n := range []int{20, 48, 120, 204, 610} {
 		watchers := make(map[string]int)
-		foreign := make(map[string]map[int]bool)
+		regions := make(map[string]map[int]bool)
 		for g := range gateways {
-			f := large(fmt.Sprint("g", g), g%5, n)
+			f := largeFleet(fmt.Sprint("g", g), g%5, n)
 			list := f.watched("s")
-			assert.Assert(t, len(list) <= max(watchedEngines, n/5+1+watchedFar)+census, "%d of %d", len(list), n)
+			assert.Assert(t, len(list) <= max(watchTarget, n/5+1+watchRemoteMin)+commonEndpoints, "%d of %d", len(list), n)
 			for _, e := range list {
 				watchers[e.ID]++
-				if foreign[e.ID] == nil {
-					foreign[e.ID] = make(map[int]bool)
+				if regions[e.ID] == nil {
+					regions[e.ID] = make(map[int]bool)
 				}
-				foreign[e.ID][g%5] = true
+				regions[e.ID][g%5] = true
 			}
 		}
-		assert.Equal(t, len(watchers), n, "each engine is watched")
-		common, shared := 0, 0
+		assert.Equal(t, len(watchers), n, "each engine must be watched")
+		common, multiRegion := 0, 0
 		for id, count := range watchers {
 			if count == gateways {
 				common++
@@ -54,22 +55,22 @@
 			if n <= 204 {
 				assert.Assert(t, count >= 6, "%s of %d has %d watchers", id, n, count)
 			}
-			if len(foreign[id]) >= 2 {
-				shared++
+			if len(regions[id]) >= 2 {
+				multiRegion++
 			}
 		}
 		if n <= 204 {
-			assert.Assert(t, shared >= n*9/10, "%d of %d engines serve another region, too", shared, n)
+			assert.Assert(t, multiRegion >= n*9/10, "%d of %d engines are watched from several regions", multiRegion, n)
 		}
-		assert.Assert(t, common >= census, "%d engines of %d tell how many gateways there are", common, n)
+		assert.Assert(t, common >= commonEndpoints, "%d of %d engines are watched by all gateways", common, n)
 	}
 }
 
-// Requests go to engines that are watched; when none of these could take any,
-// the others do.
-func TestOthersAreTheLastResort(t *testing.T) {
+// Requests go to watched engines, and to others only if no watched one is usable;
+// full ones are usable.
+func TestUnwatchedEnginesAreTheLastResort(t *testing.T) {
 	const n = 120
-	f := large("g0", 0, n)
+	f := largeFleet("g0", 0, n)
 	watched := make(map[string]bool)
 	for _, e := range f.watched("s") {
 		watched[e.ID] = true
@@ -81,23 +82,23 @@
 		}
 		assert.Assert(t, watched[e.ID], e.ID)
 	}
-	assert.Assert(t, f.Choose(query(), start) == nil, "those that are watched are full, not gone")
+	assert.Assert(t, f.Choose(query(), start) == nil, "full watched engines must not cause a fallback")
 	for id := range watched {
-		leaving := f.byID[id].Record
-		leaving.Draining = true
-		f.Put(leaving)
+		draining := f.byID[id].Record
+		draining.Draining = true
+		f.Put(draining)
 	}
 	e := f.Choose(query(), start)
 	assert.Assert(t, e != nil && !watched[e.ID])
 }
 
-// An engine that joins, leaves or drains is taken into account at once.
-func TestWatchingFollowsTheList(t *testing.T) {
-	f := large("g0", 0, 120)
-	gone := f.watched("s")[0]
-	f.Remove(gone.ID)
+// Engines that are added or removed must change the watched endpoints at once.
+func TestWatchedFollowsTheList(t *testing.T) {
+	f := largeFleet("g0", 0, 120)
+	removed := f.watched("s")[0]
+	f.Remove(removed.ID)
 	for _, e := range f.watched("s") {
-		assert.Assert(t, e != gone)
+		assert.Assert(t, e != removed)
 	}
 	added := Record{ID: "new", Service: "s", Address: "new:1", Zone: "z0", Models: map[string]int{model: 1}}
 	f.Put(added)
@@ -105,15 +106,15 @@
 	for _, e := range f.watched("s") {
 		found = found || e.ID == "new"
 	}
-	assert.Assert(t, found, "an engine of the own region")
+	assert.Assert(t, found, "an engine of the own region must be watched")
 }
 
-// BenchmarkChoose shows that a choice does not cost more the more engines
-// there are.
+// BenchmarkChoose measures how the cost of a choice depends on the number of
+// engines.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{20, 120, 610} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := large("g0", 0, n)
+			f := largeFleet("g0", 0, n)
 			now := time.Unix(2000, 0)
 			for i := range n {
 				f.Heard(Report{Address: fmt.Sprintf("e%d:1", i), Model: model, Version: 1, Running: i % 4, Gateways: 53, Share: 0.02}, time.Millisecond, now)
@@ -128,9 +129,9 @@
 	}
 }
 
-// Gateways tell each other by sidecars that are heard; who is dead or stands
-// still passes nothing on. All choose alike from what all watch.
-func TestRelaysAreHeard(t *testing.T) {
+// Relays must exclude sidecars that stopped reporting, and all gateways must choose
+// from the same ones.
+func TestRelaysAreReporting(t *testing.T) {
 	for _, n := range []int{1, 3, 12, 120} {
 		f := New(Place{Box: "g", Zone: "z"})
 		for i := range n {
@@ -138,27 +139,27 @@
 			f.Put(Record{ID: id, Service: "s", Address: id + ":1", Zone: fmt.Sprint("z", i%5)})
 		}
 		all := f.Relays("s", start)
-		assert.Equal(t, len(all), min(n, census), "nobody is heard yet")
+		assert.Equal(t, len(all), min(n, commonEndpoints), "no sidecar has reported yet")
 		for i := range n {
 			f.Heard(Report{Address: fmt.Sprint("e", i, ":1")}, -1, start)
 		}
 		assert.DeepEqual(t, f.Relays("s", start), all)
-		if n <= census {
+		if n <= commonEndpoints {
 			continue
 		}
-		later := start.Add(2 * reportLife)
+		later := start.Add(2 * reportTTL)
 		for i := range n {
 			if address := fmt.Sprint("e", i, ":1"); address != all[0] && address != all[1] {
 				f.Heard(Report{Address: address}, -1, later)
 			}
 		}
-		heard := f.Relays("s", later)
-		assert.Assert(t, !slices.Contains(heard, all[0]) && !slices.Contains(heard, all[1]))
-		assert.Equal(t, heard[0], all[2])
-		want := census
-		if n > watchedEngines {
-			want -= 2 // not all gateways watch another one
+		relays := f.Relays("s", later)
+		assert.Assert(t, !slices.Contains(relays, all[0]) && !slices.Contains(relays, all[1]))
+		assert.Equal(t, relays[0], all[2])
+		want := commonEndpoints
+		if n > watchTarget {
+			want -= 2 // no further engine is watched by all gateways
 		}
-		assert.Equal(t, len(heard), want)
+		assert.Equal(t, len(relays), want)
 	}
 }
