--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -138,8 +138,8 @@
 	if q.Model != "" {
 		candidates = f.watched(q.Service)
 	}
-	free, usable := f.free(candidates, &q, now)
-	if !usable && len(candidates) < len(all) {
+	free, anyUsable := f.free(candidates, &q, now)
+	if !anyUsable && len(candidates) < len(all) {
 		free, _ = f.free(all, &q, now)
 	}
 	return free
@@ -170,19 +170,19 @@
 	e.isolated = e.isolated || q.Alone
 }
 
-// free returns the candidates with room. usable reports whether any candidate
-// could take the attempt apart from its load.
-func (f *Fleet) free(candidates []*Endpoint, q *Query, now time.Time) (free []*Endpoint, usable bool) {
+// free returns the candidates with room. anyUsable reports whether any candidate
+// could take the attempt, whatever its load.
+func (f *Fleet) free(candidates []*Endpoint, q *Query, now time.Time) (free []*Endpoint, anyUsable bool) {
 	for _, e := range candidates {
 		if !e.usable(q, now) || e.unavailable(now) {
 			continue
 		}
-		usable = true
-		if _, ok := f.room(e, q, now); ok {
+		anyUsable = true
+		if _, room := f.room(e, q, now); room {
 			free = append(free, e)
 		}
 	}
-	return free, usable
+	return free, anyUsable
 }
 
 // cheapest returns the endpoint with the least cost of those that have room, or
@@ -225,9 +225,10 @@
 	}
 }
 
-// maxLoad divides limit by the endpoint's slowdown; it is at least 1.
-func (f *Fleet) maxLoad(e *Endpoint, limit float64, now time.Time) float64 {
-	return math.Max(1, limit/e.slowdown(now))
+// maxLoad returns the endpoint's bound on the load: maxLoad divided by the
+// endpoint's slowdown, but at least 1.
+func (f *Fleet) maxLoad(e *Endpoint, maxLoad float64, now time.Time) float64 {
+	return math.Max(1, maxLoad/e.slowdown(now))
 }
 
 // cost returns the cost of sending the attempt to the endpoint, as an
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -23,14 +23,14 @@
 	f.Begun(e, 50, -1, start)
 	f.End(e, Broken, start)
 	assert.Equal(t, chosen(f, query(), start), "", "the endpoint must be ejected")
-	inFlight := f.byID["a"]
-	inFlight.inFlight = 3
+	earlier := f.byID["a"]
+	earlier.inFlight = 3
 
 	assert.Assert(t, f.Put(incarnation(2000)), "a new incarnation is a change")
 	assert.Equal(t, f.Len(), 1)
 	assert.Equal(t, f.byID["a"].InFlight(), 0)
 	assert.Equal(t, chosen(f, query(), start), "a")
-	f.End(inFlight, Broken, start)
+	f.End(earlier, Broken, start)
 	assert.Equal(t, f.byID["a"].InFlight(), 1, "a late result belongs to the earlier incarnation")
 	assert.Equal(t, f.byID["a"].brokenInRow, 0)
 }
--- a/route/limit.go
+++ b/route/limit.go
@@ -4,35 +4,37 @@
 
 import "sync"
 
-// Limits bounds each workspace's requests in progress at one gateway, so
-// that one workspace's flood or slow answers never take the room of
-// another. The zero value is ready for use; its lock is a leaf.
+// Limits bounds each workspace's requests in progress at one gateway, so that a
+// burst or slow responses of one workspace cannot starve others. The zero value is
+// ready for use. It is safe for concurrent use; no other lock is taken while its
+// lock is held.
 type Limits struct {
-	mu   sync.Mutex
-	used map[string]int
+	mu sync.Mutex
+	// inProgress counts requests by workspace; entries are positive.
+	inProgress map[string]int
 }
 
-// Enter counts a request of the workspace unless it has max in progress
-// already; max 0 does not bound.
+// Acquire counts a request of the workspace, or returns false if the workspace
+// already has max in progress. A max of 0 is no bound.
 func (l *Limits) Enter(workspace string, max int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if max > 0 && l.used[workspace] >= max {
+	if max > 0 && l.inProgress[workspace] >= max {
 		return false
 	}
-	if l.used == nil {
-		l.used = make(map[string]int)
+	if l.inProgress == nil {
+		l.inProgress = make(map[string]int)
 	}
-	l.used[workspace]++
+	l.inProgress[workspace]++
 	return true
 }
 
-// Leave ends what Enter counted.
+// Release ends a request that Acquire counted.
 func (l *Limits) Leave(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used[workspace]--
-	if l.used[workspace] <= 0 {
-		delete(l.used, workspace)
+	l.inProgress[workspace]--
+	if l.inProgress[workspace] <= 0 {
+		delete(l.inProgress, workspace)
 	}
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,18 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package route chooses the endpoint for a request and bounds what is
-// retried.
+// Package route chooses the endpoint for a request and limits retries.
 //
-// A Table holds what a gateway knows of each endpoint: what it serves, the
-// load that it reported (which lags), and what this gateway itself has in
-// flight there (which does not). Choose takes the better of two random
-// endpoints by that count, prefers the endpoint that an equal prompt prefix
-// went to while it is not much busier than the rest, and leaves out
-// endpoints that drain or have been ejected. A Budget lets retries be a
-// bounded share of requests, so that a failure does not become a storm.
+// A Table holds a gateway's view of each endpoint: what it serves, the load that
+// it reported last, and this gateway's own requests in flight there, which are
+// exact. Choose takes the less loaded of two random endpoints. Requests with a
+// prompt prefix go to the same endpoint while that is not much busier than the
+// rest. Draining endpoints are never chosen, ejected ones only if there is no
+// other. A Budget limits retries to a share of the requests, against retry storms.
 //
-// The package does no I/O and takes time as a value. A Table's lock is a
-// leaf.
+// The package does no I/O and takes the current time as an argument. No other lock
+// is taken while a Table's lock is held.
 package route
 
 import (
@@ -27,19 +25,20 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Bounds of choosing.
+// Parameters of Choose and of ejection.
 const (
-	// affinitySlack is how many requests more than the mean a preferred
-	// endpoint may have before the preference stops paying.
+	// affinitySlack is how many requests in flight more than the mean the
+	// endpoint of a prefix may have and still be preferred.
 	affinitySlack = 4
-	// ejectAfter failures in a row an endpoint is left out, for ejectMin at
-	// first, doubling to ejectMax.
+	// ejectAfter is how many consecutive failures eject an endpoint.
 	ejectAfter = 3
-	ejectMin   = time.Second
-	ejectMax   = 30 * time.Second
+	// ejectMin is the length of the first ejection; it doubles up to ejectMax
+	// until a request succeeds.
+	ejectMin = time.Second
+	ejectMax = 30 * time.Second
 )
 
-// Endpoint is what a gateway knows of one endpoint.
+// Endpoint is a gateway's view of one endpoint.
 type Endpoint struct {
 	Box         string
 	Zone        string
@@ -47,77 +46,86 @@
 	Incarnation string
 	Service     string
 	Serving     []weights.Ref
-	// Usable says that new work may be sent there.
+	// Usable is set if the endpoint takes new requests.
 	Usable bool
-	// Load is the reported number of requests, Slots how many run at once.
+	// Load is the reported number of requests, and Slots how many the endpoint runs
+	// concurrently; an endpoint with 0 slots never counts as full.
 	Load  int
 	Slots int
 }
 
+// endpoint is an Endpoint with the gateway's own state.
 type endpoint struct {
 	Endpoint
 	inFlight int
-	failures int
-	ejected  time.Time
-	eject    time.Duration
-	// closed is until when the endpoint takes nothing, by its own word.
-	closed time.Time
+	// failures counts consecutive failures since the last success or ejection.
+	failures     int
+	ejectedUntil time.Time
+	// ejection is the length of the last ejection, or 0 after a success.
+	ejection time.Duration
+	// closedUntil is the end of the time in which the endpoint, by its own signal,
+	// takes no requests.
+	closedUntil time.Time
 }
 
-// Table is a gateway's view of the endpoints. The zero value is empty.
+// Table is a gateway's view of the endpoints. The zero value is empty. It is safe
+// for concurrent use.
 type Table struct {
-	mu  sync.Mutex
-	all map[string]*endpoint
+	mu    sync.Mutex
+	byBox map[string]*endpoint
 }
 
-// Update replaces what is known of the endpoints and keeps the gateway's
-// own counts.
+// Update replaces the endpoints. The gateway's own state of an endpoint is kept
+// while its incarnation is the same.
 func (t *Table) Update(eps []Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := make(map[string]*endpoint, len(eps))
 	for _, e := range eps {
-		old := t.all[e.Box]
+		old := t.byBox[e.Box]
 		if old == nil || old.Incarnation != e.Incarnation {
 			old = &endpoint{}
 		}
 		old.Endpoint = e
 		next[e.Box] = old
 	}
-	t.all = next
+	t.byBox = next
 }
 
-// Want says what a request needs.
+// Criteria are the requirements of a request on its endpoint.
 type Want struct {
-	// Version is served by model engines; Service names a plain service.
+	// Service is the name of a plain service; empty for model engines, which must
+	// serve Version.
 	Version weights.Ref
 	Service string
-	// Zone is the gateway's own, preferred on equal load.
+	// Zone is the gateway's availability zone, preferred on equal load.
 	Zone string
 	// Prefix is the start of the prompt, or empty for no preference.
 	Prefix string
-	// Not are boxes that have been tried already.
+	// Exclude holds the boxes that have been tried already.
 	Not []string
 }
 
-// Choose returns an endpoint and counts the request there until Done.
-func (t *Table) Choose(w Want, now time.Time) (Endpoint, bool) {
+// Choose returns an endpoint for a request and counts the request there until Done.
+// It returns false if no endpoint matches.
+func (t *Table) Choose(c Want, now time.Time) (Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fit := t.fitting(w, now)
-	if len(fit) == 0 {
+	candidates := t.eligible(c, now)
+	if len(candidates) == 0 {
 		return Endpoint{}, false
 	}
-	e := pick(fit, w)
+	e := pick(candidates, c)
 	e.inFlight++
 	return e.Endpoint, true
 }
 
-// Take counts a request at a given box, which must fit.
+// Take counts a request at the endpoint of a given box until Done, without checking
+// that it matches. It returns false if there is no such endpoint.
 func (t *Table) Take(box string, now time.Time) (Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, ok := t.all[box]
+	e, ok := t.byBox[box]
 	if !ok {
 		return Endpoint{}, false
 	}
@@ -125,67 +133,71 @@
 	return e.Endpoint, true
 }
 
-// Available returns the number of endpoints that fit.
-func (t *Table) Available(w Want, now time.Time) int {
+// Available returns the number of endpoints that match c.
+func (t *Table) Available(c Want, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.fitting(w, now))
+	return len(t.eligible(c, now))
 }
 
-// fitting returns the endpoints that can take the request. Ejected ones are
-// left out while any other fits: a doubtful endpoint is better than none.
-func (t *Table) fitting(w Want, now time.Time) []*endpoint {
-	var fit, ejected []*endpoint
-	for _, e := range t.all {
+// eligible returns the endpoints that match c and are not closed, ordered by box.
+// Ejected ones are only returned if there are no others. The caller holds t.mu.
+func (t *Table) eligible(c Want, now time.Time) []*endpoint {
+	var candidates, lastResort []*endpoint
+	for _, e := range t.byBox {
 		switch {
-		case !e.fits(w), now.Before(e.closed):
-		case now.Before(e.ejected):
-			ejected = append(ejected, e)
+		case !e.matches(c), now.Before(e.closedUntil):
+		case now.Before(e.ejectedUntil):
+			lastResort = append(lastResort, e)
 		default:
-			fit = append(fit, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(fit) == 0 {
-		fit = ejected
+	if len(candidates) == 0 {
+		candidates = lastResort
 	}
-	slices.SortFunc(fit, func(a, b *endpoint) int { return cmp.Compare(a.Box, b.Box) })
-	return fit
+	slices.SortFunc(candidates, func(a, b *endpoint) int { return cmp.Compare(a.Box, b.Box) })
+	return candidates
 }
 
-func (e *endpoint) fits(w Want) bool {
-	if !e.Usable || e.Service != w.Service || slices.Contains(w.Not, e.Box) {
+// matches reports whether the endpoint is usable and meets c.
+func (e *endpoint) matches(c Want) bool {
+	if !e.Usable || e.Service != c.Service || slices.Contains(c.Not, e.Box) {
 		return false
 	}
-	return w.Service != "" || slices.Contains(e.Serving, w.Version)
+	return c.Service != "" || slices.Contains(e.Serving, c.Version)
 }
 
-func pick(fit []*endpoint, w Want) *endpoint {
-	if w.Prefix != "" {
-		if e := preferred(fit, w.Prefix); e.inFlight <= meanInFlight(fit)+affinitySlack && !e.full() {
+// pick returns the endpoint that the prefix maps to, unless that is overloaded, or
+// else the less loaded of two random candidates.
+func pick(candidates []*endpoint, c Want) *endpoint {
+	if c.Prefix != "" {
+		if e := preferred(candidates, c.Prefix); e.inFlight <= meanInFlight(candidates)+affinitySlack && !e.full() {
 			return e
 		}
 	}
-	a := fit[rand.IntN(len(fit))]
-	b := fit[rand.IntN(len(fit))]
+	a := candidates[rand.IntN(len(candidates))]
+	b := candidates[rand.IntN(len(candidates))]
 	switch {
-	case b.busy() < a.busy():
+	case b.load() < a.load():
 		return b
-	case b.busy() == a.busy() && b.Zone == w.Zone:
+	case b.load() == a.load() && b.Zone == c.Zone:
 		return b
 	default:
 		return a
 	}
 }
 
-// busy is the larger of what was reported and what is known for sure.
-func (e *endpoint) busy() int { return max(e.inFlight, e.Load) }
+// load is the larger of the reported load and the gateway's own requests in flight.
+func (e *endpoint) load() int { return max(e.inFlight, e.Load) }
 
-func (e *endpoint) full() bool { return e.Slots > 0 && e.busy() >= e.Slots }
+// full reports whether all slots are in use.
+func (e *endpoint) full() bool { return e.Slots > 0 && e.load() >= e.Slots }
 
-// preferred is the first of the fitting endpoints in the prefix's order.
-func preferred(fit []*endpoint, prefix string) *endpoint {
-	best, bestWeight := fit[0], uint64(0)
-	for _, e := range fit {
+// preferred returns the candidate that the prefix maps to by rendezvous hashing.
+func preferred(candidates []*endpoint, prefix string) *endpoint {
+	best, bestWeight := candidates[0], uint64(0)
+	for _, e := range candidates {
 		if w := xxhash.Sum64String(prefix + "\x00" + e.Box); w >= bestWeight {
 			best, bestWeight = e, w
 		}
@@ -193,59 +205,61 @@
 	return best
 }
 
-func meanInFlight(fit []*endpoint) int {
+// meanInFlight returns the mean of the candidates' requests in flight, rounded down.
+func meanInFlight(candidates []*endpoint) int {
 	sum := 0
-	for _, e := range fit {
+	for _, e := range candidates {
 		sum += e.inFlight
 	}
-	return sum / len(fit)
+	return sum / len(candidates)
 }
 
-// Done ends what Choose or Take counted. ok is false when the endpoint
+// Done ends a request that Choose or Take counted. ok is false if the endpoint
 // failed, which may eject it.
 func (t *Table) Done(box string, ok bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, known := t.all[box]
+	e, known := t.byBox[box]
 	if !known {
 		return
 	}
 	e.inFlight = max(e.inFlight-1, 0)
 	if ok {
-		e.failures, e.eject = 0, 0
+		e.failures, e.ejection = 0, 0
 		return
 	}
 	e.failures++
 	if e.failures >= ejectAfter {
-		e.eject = min(max(2*e.eject, ejectMin), ejectMax)
-		e.ejected = now.Add(e.eject)
+		e.ejection = min(max(2*e.ejection, ejectMin), ejectMax)
+		e.ejectedUntil = now.Add(e.ejection)
 		e.failures = 0
 	}
 }
 
-// Draining notes at once that an endpoint takes no new work.
+// MarkDraining marks an endpoint as taking no new requests, until the next Update.
 func (t *Table) Draining(box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e, ok := t.all[box]; ok {
+	if e, ok := t.byBox[box]; ok {
 		e.Usable = false
 	}
 }
 
-// Close notes that an endpoint takes nothing until a time, by its own word.
+// CloseUntil excludes an endpoint until a time, as signalled by the endpoint. It
+// never shortens an earlier exclusion.
 func (t *Table) Close(box string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e, ok := t.all[box]; ok && until.After(e.closed) {
-		e.closed = until
+	if e, ok := t.byBox[box]; ok && until.After(e.closedUntil) {
+		e.closedUntil = until
 	}
 }
 
-// Serving notes at once which versions an endpoint serves.
+// SetServing sets the versions that an endpoint serves, until the next Update.
 func (t *Table) Serving(box string, refs []weights.Ref) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e, ok := t.all[box]; ok {
+	if e, ok := t.byBox[box]; ok {
 		e.Serving = refs
 	}
 }
@@ -255,36 +269,38 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Endpoint
-	for _, e := range t.all {
+	for _, e := range t.byBox {
 		out = append(out, e.Endpoint)
 	}
 	slices.SortFunc(out, func(a, b Endpoint) int { return cmp.Compare(a.Box, b.Box) })
 	return out
 }
 
-// Budget bounds retries to a share of the requests. The zero value allows
-// BudgetBurst retries before the first request.
+// Budget is a retry budget, which limits retries to a share of the requests. The
+// zero value is full: it allows BudgetBurst retries before the first request. It is
+// safe for concurrent use.
 type Budget struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// spent is the number of retries missing from a full budget.
 	spent float64
 }
 
-// Bounds of a Budget.
+// Parameters of a Budget.
 const (
-	// BudgetShare is the retries that each request adds to the budget.
+	// BudgetShare is the number of retries that each request adds.
 	BudgetShare = 0.1
-	// BudgetBurst is the most that the budget holds.
+	// BudgetBurst is the capacity, in retries.
 	BudgetBurst = 20
 )
 
-// Request adds a request's share.
+// AddRequest adds the share of one request to the budget.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(b.spent-BudgetShare, 0)
 }
 
-// Retry takes one retry from the budget, or returns false.
+// TakeRetry takes one retry from the budget, or returns false if none is left.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -19,6 +19,7 @@
 	v2    = weights.Ref{Model: "m", Version: "v2"}
 )
 
+// table returns a table of n usable endpoints on boxes b0, b1 and so on.
 func table(n int, serving ...weights.Ref) *Table {
 	t := new(Table)
 	var eps []Endpoint
@@ -29,10 +30,10 @@
 	return t
 }
 
-func TestChooseFitsOnly(t *testing.T) {
+func TestChooseMatchesOnly(t *testing.T) {
 	tb := table(3, v1)
 	_, ok := tb.Choose(Want{Version: v2}, epoch)
-	assert.Assert(t, !ok, "a box that serves another version was chosen")
+	assert.Assert(t, !ok, "an endpoint of another version was chosen")
 	tb.Draining("b0")
 	seen := map[string]bool{}
 	for range 100 {
@@ -43,7 +44,7 @@
 	assert.DeepEqual(t, seen, map[string]bool{"b2": true})
 }
 
-func TestEjectionAndReturn(t *testing.T) {
+func TestEjection(t *testing.T) {
 	tb := table(2, v1)
 	for range ejectAfter {
 		_, _ = tb.Take("b0", epoch)
@@ -60,14 +61,13 @@
 		seen[e.Box] = true
 		tb.Done(e.Box, true, epoch)
 	}
-	assert.Equal(t, len(seen), 2, "an ejected endpoint never came back")
+	assert.Equal(t, len(seen), 2, "an endpoint must be used again after its ejection")
 	e, ok := tb.Choose(Want{Version: v1, Not: []string{"b1"}}, epoch)
-	assert.Assert(t, ok && e.Box == "b0", "a doubtful endpoint is better than none")
+	assert.Assert(t, ok && e.Box == "b0", "an ejected endpoint must be used if there is no other")
 }
 
-// TestPrefixPaysOnlyWhileIdle sends one prefix until its endpoint is much
-// busier than the rest.
-func TestPrefixPaysOnlyWhileIdle(t *testing.T) {
+// A common prefix must prefer one endpoint, but not overload it.
+func TestPrefixAffinityIsBounded(t *testing.T) {
 	tb := table(8, v1)
 	count := map[string]int{}
 	for range 80 {
@@ -75,8 +75,8 @@
 		count[e.Box]++
 	}
 	most := slices.Max([]int{count["b0"], count["b1"], count["b2"], count["b3"], count["b4"], count["b5"], count["b6"], count["b7"]})
-	assert.Assert(t, most >= 80/8, "the prefix has no favourite")
-	assert.Assert(t, most <= 80/8+affinitySlack+8, "the prefix piled %d of 80 on one endpoint", most)
+	assert.Assert(t, most >= 80/8, "the prefix has no preferred endpoint")
+	assert.Assert(t, most <= 80/8+affinitySlack+8, "one endpoint got %d of 80 requests with the same prefix", most)
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
@@ -99,14 +99,14 @@
 	assert.Assert(t, l.Enter("a", 2))
 	assert.Assert(t, l.Enter("a", 2))
 	assert.Assert(t, !l.Enter("a", 2))
-	assert.Assert(t, l.Enter("b", 2), "one workspace's flood took another's room")
+	assert.Assert(t, l.Enter("b", 2), "another workspace must not be limited")
 	l.Leave("a")
 	assert.Assert(t, l.Enter("a", 2))
 }
 
-// TestSubsets covers every endpoint of a large group by several gateways,
-// and gives each gateway a bounded share.
-func TestSubsets(t *testing.T) {
+// Each endpoint of a large group must be used by several gateways, and each gateway
+// must use a bounded share.
+func TestSubset(t *testing.T) {
 	var endpoints, gateways []string
 	for i := range 410 {
 		endpoints = append(endpoints, fmt.Sprintf("box-%03d", i))
@@ -114,16 +114,16 @@
 	for i := range 10 {
 		gateways = append(gateways, fmt.Sprintf("gw-%d", i))
 	}
-	cover := map[string]int{}
+	users := map[string]int{}
 	for _, g := range gateways {
 		s := Subset(g, endpoints, gateways)
-		assert.Assert(t, len(s) >= SubsetMin && len(s) < 410/2, "%s works on %d of 410", g, len(s))
+		assert.Assert(t, len(s) >= SubsetMin && len(s) < 410/2, "%s uses %d of 410", g, len(s))
 		for _, e := range s {
-			cover[e]++
+			users[e]++
 		}
 	}
 	for _, e := range endpoints {
-		assert.Assert(t, cover[e] >= subsetCover, "%s is worked on by %d gateways", e, cover[e])
+		assert.Assert(t, users[e] >= subsetCover, "%s is used by %d gateways", e, users[e])
 	}
 	assert.DeepEqual(t, Subset("g", endpoints[:6], gateways), endpoints[:6])
 	assert.Assert(t, len(Subset("gw-3", endpoints[:12], gateways)) >= SubsetMin)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package routing is the operator's configuration of the request path:
-// which service answers which host and path, how long an answer may take,
-// who may ask, and the limits of connections.
+// Package routing holds the operator's configuration of the request path: the
+// routes from hosts and paths to services, their timeouts and latency targets, the
+// workspaces' keys, and limits on connections.
 //
-// A Configuration never changes once it is built, so that a request sees
-// one version from its admission to its end. Table keeps the newest one and
-// never goes back to an older version. The package does no I/O.
+// A Configuration is immutable, so that a request uses a single version from
+// admission to completion. A Table holds the newest version and rejects older ones.
+// The package does no I/O.
 package routing
 
 import (
@@ -17,27 +17,27 @@
 	"time"
 )
 
-// Kind says what may be done again with a route's requests.
+// Kind is the kind of a route's requests; it determines whether they may be retried.
 type Kind string
 
 // The kinds of a route.
 const (
 	// Safe requests may run more than once.
 	Safe Kind = "safe"
-	// Unsafe requests run at most once.
+	// Unsafe requests must run at most once.
 	Unsafe Kind = "unsafe"
-	// Streaming requests are answered by server-sent events.
+	// Streaming requests are answered with server-sent events.
 	Streaming Kind = "streaming"
 )
 
-// Share is one service of a split route.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service string
-	// Weight is relative to the other shares.
+	// Weight is relative to the other shares; a negative one counts as 0.
 	Weight int
 }
 
-// Route is one rule of the configuration.
+// Route maps a host and a path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
@@ -45,18 +45,19 @@
 	Kind       Kind
 	// Timeout bounds how long a request may be held; zero is no bound.
 	Timeout time.Duration
-	// TargetLatency earns full credit: to the end of an answer, or to the
+	// TargetLatency is the target for the time to the end of a response, or to the
 	// first event of a stream.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between events that is still in time.
+	// TargetGap is the target for the longest time between events of a stream.
 	TargetGap time.Duration
 	// Priority is 0 for the most urgent.
 	Priority int
 	Shares   []Share
-	// MaxAttempts bounds the endpoints that one request may be sent to.
+	// MaxAttempts bounds how many endpoints one request may be sent to.
 	MaxAttempts int
-	Public      bool
-	// Resumable streams may go on at another endpoint.
+	// Public routes need no key.
+	Public bool
+	// Resumable streams may be continued by another endpoint.
 	Resumable bool
 }
 
@@ -65,16 +66,18 @@
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Service returns the service for a request; draw is uniform in [0, 1).
+// Service returns the service for a request, chosen by weight; draw must be uniform
+// in [0, 1). It returns the first service if all weights are 0, and "" without
+// shares.
 func (r *Route) Service(draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += max(s.Weight, 0)
 	}
-	at := int(draw * float64(total))
+	remaining := int(draw * float64(total))
 	for _, s := range r.Shares {
-		at -= max(s.Weight, 0)
-		if at < 0 {
+		remaining -= max(s.Weight, 0)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -84,35 +87,38 @@
 	return r.Shares[0].Service
 }
 
-// Engine are the figures of a service of model engines.
+// Engine holds the parameters of a service of model engines.
 type Engine struct {
-	// Slots is how many requests an endpoint works on at once.
+	// Slots is how many requests an endpoint runs concurrently.
 	Slots int
 	// Model is the name of the model that the endpoints run.
 	Model string
-	// Chunks and ChunkBytes say how the weights come.
+	// Chunks is the number of chunks that the weights are transferred in, of
+	// ChunkBytes bytes each.
 	Chunks     int
 	ChunkBytes int
 	Layers     int
-	// Step is the time of one token step without other writers.
+	// Step is the time to generate one token without concurrent requests.
 	Step time.Duration
-	// Stride is how many steps are played between two looks at the queue.
+	// Stride is how many steps an engine runs between two checks of its queue.
 	Stride int
-	// ReadRate is in prompt tokens a second.
+	// PrefillRate is the speed of reading prompts, in tokens a second.
 	ReadRate float64
-	// UsualPrompt and UsualAnswer are mean tokens of a request.
+	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of a prompt and of
+	// its answer.
 	UsualPrompt, UsualAnswer int
 }
 
-// Service is a group of endpoints, or the origin of weights.
+// Service is a group of endpoints, or the origin server of weights.
 type Service struct {
 	Name           string
 	MaxConnections int
-	// Origin is the address of the origin of weights, or empty, and Zone
-	// where it is.
+	// Origin is the address of the origin server of weights, in availability zone
+	// Zone; empty for other services.
 	Origin string
 	Zone   string
-	// OriginRate is the origin's link in bytes a second, or zero.
+	// OriginRate is the bandwidth of the origin's link in bytes a second, or zero if
+	// it is not configured.
 	OriginRate float64
 	// Engine is nil for a plain service.
 	Engine *Engine
@@ -120,12 +126,14 @@
 
 // Workspace is a customer with its keys.
 type Workspace struct {
-	Name     string
-	Keys     []string
+	Name string
+	Keys []string
+	// Priority is 0 for the most urgent.
 	Priority int
 }
 
-// Limits bound what callers may send, and how long they may rest.
+// Limits bound the size of requests, the time to receive their headers, and the
+// idle time of connections.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -143,7 +151,7 @@
 	workspaces int
 }
 
-// New builds a configuration. The slices belong to it afterwards.
+// New builds a configuration. It takes ownership of the slices and what they point to.
 func New(version int64, routes []*Route, services []*Service, workspaces []*Workspace, limits Limits) *Configuration {
 	c := &Configuration{
 		Version:    version,
@@ -171,12 +179,12 @@
 	return c
 }
 
-// Match returns the route of host with the longest prefix of path, or nil.
-// A port in host does not count.
+// Match returns the route of host with the longest matching path prefix, or nil. It
+// ignores case and a port in host.
 func (c *Configuration) Match(host, path string) *Route {
 	host = strings.ToLower(host)
-	if at := strings.LastIndexByte(host, ':'); at >= 0 {
-		host = host[:at]
+	if i := strings.LastIndexByte(host, ':'); i >= 0 {
+		host = host[:i]
 	}
 	for _, r := range c.hosts[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -186,13 +194,13 @@
 	return nil
 }
 
-// Authenticated reports whether requests need a key at all.
+// Authenticated reports whether requests need a key, because there are workspaces.
 func (c *Configuration) Authenticated() bool { return c.workspaces > 0 }
 
-// Workspace returns the holder of a key, or nil.
+// Workspace returns the workspace that a key belongs to, or nil.
 func (c *Configuration) Workspace(key string) *Workspace { return c.keys[key] }
 
-// Origin returns the origin of weights, or nil.
+// Origin returns a service that is an origin server of weights, or nil.
 func (c *Configuration) Origin() *Service {
 	for _, s := range c.Services {
 		if s.Origin != "" {
@@ -208,7 +216,7 @@
 // Get returns the newest configuration, or nil before the first.
 func (t *Table) Get() *Configuration { return t.current.Load() }
 
-// Apply takes c if it is newer than what is held.
+// Apply stores c and returns true if c is newer than the configuration held.
 func (t *Table) Apply(c *Configuration) bool {
 	for {
 		held := t.current.Load()
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -10,6 +10,8 @@
 	"pgregory.net/rapid"
 )
 
+// testConfiguration returns a configuration with two routes of one host, one of
+// another, a weights origin and one workspace.
 func testConfiguration(version int64) *Configuration {
 	return New(version,
 		[]*Route{
@@ -65,20 +67,19 @@
 	assert.Assert(t, (&Route{Kind: Streaming, Resumable: true}).Idempotent())
 }
 
-// A table never holds an older version than it has held, in whatever order
-// versions come.
-func TestTableNeverGoesBack(t *testing.T) {
+// A table must keep the highest version in whatever order versions are applied.
+func TestTableKeepsHighestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
 		highest := int64(0)
 		for _, v := range rapid.SliceOfN(rapid.Int64Range(1, 20), 1, 30).Draw(t, "versions") {
-			taken := table.Apply(New(v, nil, nil, nil, Limits{IdleTimeout: time.Second}))
-			if taken != (v > highest) {
-				t.Fatalf("version %d taken: %t, highest %d", v, taken, highest)
+			applied := table.Apply(New(v, nil, nil, nil, Limits{IdleTimeout: time.Second}))
+			if applied != (v > highest) {
+				t.Fatalf("version %d applied: %t, highest %d", v, applied, highest)
 			}
 			highest = max(highest, v)
 			if table.Get().Version != highest {
-				t.Fatalf("holds %d, has held %d", table.Get().Version, highest)
+				t.Fatalf("table holds version %d, want %d", table.Get().Version, highest)
 			}
 		}
 	})
--- a/routing/weights.go
+++ b/routing/weights.go
@@ -8,25 +8,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weights say how the weights of a service's model come. They are all that a
-// sidecar needs of a configuration.
+// WeightsConfig describes how the weights of a service's model are obtained. It is
+// the only part of a configuration that sidecars need.
 type Weights struct {
-	// Version is that of the configuration.
+	// Version is the version of the configuration.
 	Version int64  `json:"config"`
 	Model   string `json:"model"`
 	Layers  int    `json:"layers"`
-	// Chunks of ChunkBytes each.
+	// Chunks is the number of chunks, of ChunkBytes bytes each.
 	Chunks     int `json:"chunks"`
 	ChunkBytes int `json:"chunk_bytes"`
-	// Origin is the address of the origin of weights, or empty, OriginZone
-	// where it is, and OriginRate its link in bytes a second, or zero.
+	// Origin is the address of the origin server of weights, or empty. OriginZone is
+	// its availability zone and OriginRate the bandwidth of its link in bytes a
+	// second, or zero.
 	Origin     string  `json:"origin,omitempty"`
 	OriginZone string  `json:"origin_zone,omitempty"`
 	OriginRate float64 `json:"origin_rate,omitempty"`
 }
 
-// Weights returns how the weights of a service come, or false if it has
-// none.
+// Weights returns the WeightsConfig of a service, or false if its configuration has no
+// weights.
 func (c *Configuration) Weights(service string) (Weights, bool) {
 	s := c.Services[service]
 	if s == nil || s.Engine == nil || s.Engine.Chunks == 0 {
@@ -47,8 +48,9 @@
 	return out, true
 }
 
-// Sum is a checksum of all but Version, by which a gateway sees whether a
-// sidecar knows the same. It is never 0.
+// Checksum returns a checksum of all fields but Version, which shows a gateway whether
+// a sidecar has the same values. It is never 0. It covers the names and the order of the
+// fields, which therefore must not change while releases are mixed.
 func (w Weights) Sum() uint32 {
 	w.Version = 0
 	return uint32(xxhash.Sum64String(fmt.Sprintf("%+v", w))) | 1
