--- a/backpressure/decode.go
+++ b/backpressure/decode.go
@@ -10,59 +10,61 @@
 	"time"
 )
 
-// Fields are the names of the headers by which an endpoint speaks of itself. A limit
-// is a decimal number of requests a second, draining is said by drainingValue, and a
-// backoff is a decimal number of seconds beside a 503.
+// Fields holds the names of the response headers in which an endpoint sends its
+// signals. Limit is a decimal number of requests per second, Draining is set by
+// drainingValue, and RetryAfter is a decimal number of seconds that counts only in a
+// response with status 503.
 type Fields struct {
 	Limit, Draining, RetryAfter string
 }
 
 const (
 	drainingValue = "1"
-	// maxUnreadable bounds how much of an unreadable value is kept, in bytes.
-	maxUnreadable = 40
+	// maxInvalidValue is the number of bytes kept of an invalid value.
+	maxInvalidValue = 40
 )
 
-// Decode decodes what an answer says of its endpoint. Of a field that is repeated
-// the strictest value that can be read counts.
+// Decode returns the signal in a response. If a header is repeated, its strictest
+// valid value counts.
 func (f Fields) Decode(status int, h http.Header) Signal {
-	var w Signal
-	unreadable := func(name, value string) {
-		w.Unreadable = append(w.Unreadable, name+": "+value[:min(len(value), maxUnreadable)])
+	var signal Signal
+	invalid := func(name, value string) {
+		signal.Unreadable = append(signal.Unreadable, name+": "+value[:min(len(value), maxInvalidValue)])
 	}
 	for _, value := range h[f.Limit] {
-		rate, ok := decimal(value)
+		rate, ok := parseDecimal(value)
 		switch {
 		case !ok:
-			unreadable(f.Limit, value)
-		case !w.Limit.Named || rate < w.Limit.Rate:
-			w.Limit = Limited(rate)
+			invalid(f.Limit, value)
+		case !signal.Limit.Named || rate < signal.Limit.Rate:
+			signal.Limit = Limited(rate)
 		}
 	}
-	w.Limit.Kept = !w.Limit.Named && len(h[f.Limit]) > 0
+	signal.Limit.Kept = !signal.Limit.Named && len(h[f.Limit]) > 0
 	for _, value := range h[f.Draining] {
 		if strings.TrimSpace(value) != drainingValue {
-			unreadable(f.Draining, value)
+			invalid(f.Draining, value)
 			continue
 		}
-		w.Draining = true
+		signal.Draining = true
 	}
 	if status != http.StatusServiceUnavailable {
-		return w
+		return signal
 	}
 	for _, value := range h[f.RetryAfter] {
-		s, ok := decimal(value)
+		s, ok := parseDecimal(value)
 		if !ok {
-			unreadable(f.RetryAfter, value)
+			invalid(f.RetryAfter, value)
 			continue
 		}
-		w.Backoff = max(w.Backoff, duration(s))
+		signal.Backoff = max(signal.Backoff, secondsToDuration(s))
 	}
-	return w
+	return signal
 }
 
-// decimal reads a decimal number: digits, and at most one point among them.
-func decimal(text string) (float64, bool) {
+// parseDecimal parses a decimal number: digits with at most one point, and no sign or
+// exponent.
+func parseDecimal(text string) (float64, bool) {
 	text = strings.TrimSpace(text)
 	if text == "" || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
@@ -71,8 +73,8 @@
 	return v, err == nil
 }
 
-// duration is so many seconds, or the longest time there is.
-func duration(s float64) time.Duration {
+// secondsToDuration converts seconds to a duration, and saturates at the maximum.
+func secondsToDuration(s float64) time.Duration {
 	if s >= time.Duration(math.MaxInt64).Seconds() {
 		return math.MaxInt64
 	}
--- a/backpressure/permit.go
+++ b/backpressure/permit.go
@@ -7,154 +7,161 @@
 	"time"
 )
 
-// A limit holds for all gateways together. One sidecar, the same for all of them,
-// deals it out as permits, each for one request: what is sent then depends neither
-// on how many gateways there are, nor on which of them have the demand. A gateway
-// that hears nothing of that sidecar keeps to an equal part, in slots that lie
-// apart from those of other gateways by chance.
+// A limit applies to all gateways together. One sidecar, which all gateways choose
+// alike, is the permit allocator: it grants permits, each for one request. The total
+// rate then depends neither on the number of gateways nor on which of them have
+// demand. A gateway that cannot reach the allocator uses an equal share of the limit,
+// in slots with a random offset.
 const (
-	// grantLife is how long a permit counts: what was dealt out may still be sent
-	// for so long, and that must fit what a limit allows at most.
-	grantLife = time.Second
-	// askTakes is how long the answer to an ask usually takes, askAgain when one
-	// without an answer is taken for lost, and askPatience when nobody is taken to
-	// deal permits out; askAlone is how often that is tried again.
-	askTakes    = 10 * time.Millisecond
-	askAgain    = 60 * time.Millisecond
-	askPatience = 300 * time.Millisecond
-	askAlone    = time.Second
-	// maxWant bounds the permits that are asked for at once.
-	maxWant = 8
-	// probeRate is the least rate at which all gateways together send requests, a
-	// second, however low the limit: that it has ended shows only in an answer.
-	probeRate = 0.25
-	// slotLife is how long a slot may be used, of more gateways than standing; so
-	// few may each use theirs at the same time, which a limit's burst allows.
-	slotLife = 300 * time.Millisecond
-	standing = 5
-	// aloneShare is the part of a limit that gateways keep to by themselves while
-	// there is a dealer that they do not observe: it may deal out all of the limit to
-	// others meanwhile.
-	aloneShare = 0.5
+	// grantTTL is how long a permit is valid. Permits already granted may be used
+	// during this time after the limit changes.
+	grantTTL = time.Second
+	// responseTime is the usual time from a permit request to its grant.
+	responseTime = 10 * time.Millisecond
+	// requestTimeout is when a permit request without a response counts as lost.
+	requestTimeout = 60 * time.Millisecond
+	// allocatorTimeout is how long permit requests may go unanswered until the
+	// allocator counts as unreachable.
+	allocatorTimeout = 300 * time.Millisecond
+	// allocatorRetryInterval is the time between permit requests to an unreachable
+	// allocator.
+	allocatorRetryInterval = time.Second
+	// maxPermits bounds the permits of one request.
+	maxPermits = 8
+	// minRate is the total rate, in requests per second, that lower limits are raised
+	// to: only a response shows that a limit of zero has ended.
+	minRate = 0.25
+	// slotWindow is how long a slot is usable with more than burstGateways gateways.
+	// Up to burstGateways may use their slots at the same time, which the burst of a
+	// limit allows.
+	slotWindow    = 300 * time.Millisecond
+	burstGateways = 5
+	// fallbackShare is the fraction of a limit that gateways use while they cannot
+	// reach an allocator that exists, since it may grant the whole limit to others.
+	fallbackShare = 0.5
 )
 
-// Ask is a gateway's wish for permits for an endpoint. One that wants none tells
-// what the endpoint said.
+// PermitRequest is a gateway's request for permits to send to an endpoint. It also
+// carries the state of the endpoint; with Want 0 it does only that.
 type Ask struct {
 	Record
 	Want int `json:"w,omitempty"`
 }
 
-// Grant is the answer to an Ask.
+// Grant is the response to a PermitRequest.
 type Grant struct {
 	Record
 	Permits int `json:"p,omitempty"`
-	// AfterMS is in how many milliseconds there is another permit, if fewer were
+	// AfterMS is the time until the next permit, in milliseconds, if fewer were
 	// granted than wanted.
 	AfterMS int64 `json:"n,omitempty"`
 }
 
-// permits are a gateway's permits to send requests to an endpoint with a limit.
+// permits holds a gateway's permits for an endpoint with a limit.
 type permits struct {
-	granted     int
-	grantedTill time.Time
-	// wanted counts requests that would go to the endpoint if there were permits.
+	granted      int
+	grantedUntil time.Time
+	// wanted counts requests that would be sent to the endpoint with a permit.
 	wanted int
-	// askedAt is when permits were asked for last, and unanswered since when
-	// nobody has answered, or zero.
-	askedAt, unanswered time.Time
-	// undealt says that there is nobody to be asked.
-	undealt bool
-	// next is when there is another permit to be asked for.
-	next time.Time
-	// slot is the beginning of the gateway's own slot, or zero while none is drawn.
+	// requestedAt is when permits were last requested, and unansweredSince the time of
+	// the first request since the last grant; zero if there is none.
+	requestedAt, unansweredSince time.Time
+	// noAllocator reports that no allocator exists for the endpoint.
+	noAllocator bool
+	// nextAt is when the allocator has another permit.
+	nextAt time.Time
+	// slot is the start of the gateway's own slot, or zero if none is chosen.
 	slot time.Time
 }
 
-// cleared is what is left when a limit ends: whether there is somebody to be asked.
-func (p *permits) cleared() permits { return permits{unanswered: p.unanswered, undealt: p.undealt} }
+// cleared returns the state after a limit has ended: only the state of the allocator
+// remains.
+func (p *permits) cleared() permits {
+	return permits{unansweredSince: p.unansweredSince, noAllocator: p.noAllocator}
+}
 
-// alone reports whether nobody deals permits out.
-func (p *permits) alone(now time.Time) bool {
-	return !p.unanswered.IsZero() && now.Sub(p.unanswered) >= askPatience
+// unreachable reports whether no allocator responds.
+func (p *permits) unreachable(now time.Time) bool {
+	return !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) >= allocatorTimeout
 }
 
-// from returns when a request may be sent at the earliest: now, if one may be.
-func (p *permits) from(rate float64, gateways int, now time.Time) time.Time {
+// availableAt returns the earliest time at which a request may be sent, or now.
+func (p *permits) availableAt(rate float64, gateways int, now time.Time) time.Time {
 	switch {
-	case p.granted > 0 && now.Before(p.grantedTill):
+	case p.granted > 0 && now.Before(p.grantedUntil):
 		return now
-	case p.alone(now):
-		return p.slotFrom(rate, gateways, now)
+	case p.unreachable(now):
+		return p.nextSlot(rate, gateways, now)
 	default:
-		return later(p.next, now.Add(askTakes))
+		return later(p.nextAt, now.Add(responseTime))
 	}
 }
 
-// slotFrom returns when the gateway's own slot is next: now, within it.
-func (p *permits) slotFrom(rate float64, gateways int, now time.Time) time.Time {
-	every := p.period(rate, gateways)
+// nextSlot returns the start of the gateway's next slot, or now within a slot.
+func (p *permits) nextSlot(rate float64, gateways int, now time.Time) time.Time {
+	period := p.slotPeriod(rate, gateways)
 	if p.slot.IsZero() {
-		p.slot = now.Add(time.Duration(rand.Float64() * float64(every)))
+		p.slot = now.Add(time.Duration(rand.Float64() * float64(period)))
 	}
-	life := every
-	if gateways > standing {
-		life = min(every, slotLife)
+	usable := period
+	if gateways > burstGateways {
+		usable = min(period, slotWindow)
 	}
-	if past := now.Sub(p.slot); past >= life {
-		p.slot = p.slot.Add((past-life)/every*every + every)
+	if past := now.Sub(p.slot); past >= usable {
+		p.slot = p.slot.Add((past-usable)/period*period + period)
 	}
 	return later(p.slot, now)
 }
 
-// period is how often the gateway's own part of a rate allows a request.
-func (p *permits) period(rate float64, gateways int) time.Duration {
-	if !p.undealt {
-		rate *= aloneShare
+// slotPeriod returns the time between requests at the gateway's share of a rate.
+func (p *permits) slotPeriod(rate float64, gateways int) time.Duration {
+	if !p.noAllocator {
+		rate *= fallbackShare
 	}
-	return time.Duration(float64(max(gateways, 1)) / max(rate, probeRate) * float64(time.Second))
+	return time.Duration(float64(max(gateways, 1)) / max(rate, minRate) * float64(time.Second))
 }
 
-// take uses the permit that from found.
+// take consumes a granted permit, or else the slot.
 func (p *permits) take(rate float64, gateways int, now time.Time) {
-	if p.granted > 0 && now.Before(p.grantedTill) {
+	if p.granted > 0 && now.Before(p.grantedUntil) {
 		p.granted--
 		return
 	}
-	p.slot = later(p.slot, now).Add(p.period(rate, gateways))
+	p.slot = later(p.slot, now).Add(p.slotPeriod(rate, gateways))
 }
 
-// ask returns how many permits are to be asked for now, and forgets what was wanted.
-func (p *permits) ask(now time.Time) int {
-	want := min(p.wanted, maxWant)
+// request returns the number of permits to request now, and resets wanted.
+func (p *permits) request(now time.Time) int {
+	want := min(p.wanted, maxPermits)
 	p.wanted = 0
-	pause := askAgain
-	if p.alone(now) {
-		pause = askAlone
+	pause := requestTimeout
+	if p.unreachable(now) {
+		pause = allocatorRetryInterval
 	}
-	if want == 0 || now.Before(p.next) || now.Sub(p.askedAt) < pause {
+	if want == 0 || now.Before(p.nextAt) || now.Sub(p.requestedAt) < pause {
 		return 0
 	}
-	p.askedAt = now
-	if p.unanswered.IsZero() {
-		p.unanswered = now
+	p.requestedAt = now
+	if p.unansweredSince.IsZero() {
+		p.unansweredSince = now
 	}
 	return want
 }
 
-// grant takes the answer to an ask.
-func (p *permits) grant(g Grant, now time.Time) {
-	if !now.Before(p.grantedTill) {
+// applyGrant adds the permits of a grant.
+func (p *permits) applyGrant(g Grant, now time.Time) {
+	if !now.Before(p.grantedUntil) {
 		p.granted = 0
 	}
-	p.unanswered, p.slot, p.askedAt, p.undealt = time.Time{}, time.Time{}, time.Time{}, false
-	p.next = now.Add(time.Duration(g.AfterMS) * time.Millisecond)
+	p.unansweredSince, p.slot, p.requestedAt, p.noAllocator = time.Time{}, time.Time{}, time.Time{}, false
+	p.nextAt = now.Add(time.Duration(g.AfterMS) * time.Millisecond)
 	if g.Permits > 0 {
-		p.granted += min(g.Permits, maxWant)
-		p.grantedTill = now.Add(grantLife)
+		p.granted += min(g.Permits, maxPermits)
+		p.grantedUntil = now.Add(grantTTL)
 	}
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/backpressure/quota.go
+++ b/backpressure/quota.go
@@ -4,11 +4,13 @@
 
 import "time"
 
-// Quotas deals the limits of endpoints out to the gateways that ask. All gateways
-// ask one process for an endpoint; it need not be the one beside it.
+// Quotas is the permit allocator: it grants the limits of endpoints to gateways as
+// permits. All gateways send their requests for an endpoint to the same process, which
+// need not be the sidecar of that endpoint.
 //
-// In any window of 4 s gateways send at most what was dealt out in it and in the
-// grantLife before, and a connection's wait: rate * 5.4 s and a bucket.
+// In any window of 4 s the gateways send at most the permits granted in the window and
+// in the 1.4 s before it (grantTTL and the wait for a connection): rate * 5.4 s plus
+// one bucket.
 type Quotas struct {
 	table   *Table
 	buckets map[*State]*bucket
@@ -16,65 +18,66 @@
 
 // bucket is a token bucket; a token is a permit.
 type bucket struct {
-	level float64
-	at    time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// bucketMin and bucketShare give the size of a bucket, in permits and seconds of its
-// rate.
+// The capacity of a bucket is minBucket permits plus its rate times bucketSeconds.
 const (
-	bucketMin   = 2
-	bucketShare = 0.25
+	minBucket     = 2
+	bucketSeconds = 0.25
 )
 
-// NewQuotas returns empty quotas.
+// NewQuotas returns an empty Quotas.
 func NewQuotas() *Quotas {
 	return &Quotas{table: NewTable(), buckets: make(map[*State]*bucket)}
 }
 
-// Ask takes what a gateway tells and answers its wish. news says that other
-// gateways should observe of it.
-func (q *Quotas) Ask(a Ask, now time.Time) (g Grant, news bool) {
-	news = len(q.table.Merge(a.Record, now)) > 0
+// Allocate merges the record of a permit request and grants permits. The result changed
+// reports that the grant must be sent to other gateways as well.
+func (q *Quotas) Ask(a Ask, now time.Time) (g Grant, changed bool) {
+	changed = len(q.table.Merge(a.Record, now)) > 0
 	s := q.table.Of(a.ID, a.Born)
 	g.Record = s.record(now)
 	if a.Want > 0 && s.limit.Named {
-		g.Permits, g.AfterMS = q.bucketOf(s, now).take(a.Want, s.limit.Rate)
+		g.Permits, g.AfterMS = q.refill(s, now).take(a.Want, s.limit.Rate)
 	}
-	q.forget(now)
-	return g, news
+	q.evict(now)
+	return g, changed
 }
 
-// Tell returns what endpoints said last.
+// Records returns the latest records of endpoints.
 func (q *Quotas) Tell(now time.Time) []Record { return q.table.Tell(now) }
 
-func (q *Quotas) bucketOf(s *State, now time.Time) *bucket {
+// refill returns the bucket of an endpoint with its tokens up to now.
+func (q *Quotas) refill(s *State, now time.Time) *bucket {
 	b := q.buckets[s]
 	if b == nil {
-		b = &bucket{level: 1, at: now}
+		b = &bucket{tokens: 1, updatedAt: now}
 		q.buckets[s] = b
 	}
-	rate := max(s.limit.Rate, probeRate)
-	b.level = min(b.level+rate*now.Sub(b.at).Seconds(), bucketMin+bucketShare*rate)
-	b.at = now
+	rate := max(s.limit.Rate, minRate)
+	b.tokens = min(b.tokens+rate*now.Sub(b.updatedAt).Seconds(), minBucket+bucketSeconds*rate)
+	b.updatedAt = now
 	return b
 }
 
-// take takes up to want permits; if there are fewer, afterMS is when there is the
-// next.
+// take takes up to want permits. If there are fewer, afterMS is the time until the
+// next, in milliseconds.
 func (b *bucket) take(want int, rate float64) (permits int, afterMS int64) {
-	permits = min(want, int(b.level))
-	b.level -= float64(permits)
+	permits = min(want, int(b.tokens))
+	b.tokens -= float64(permits)
 	if permits < want {
-		missing := (1 - b.level) / max(rate, probeRate)
+		missing := (1 - b.tokens) / max(rate, minRate)
 		afterMS = int64(missing*1000) + 1
 	}
 	return permits, afterMS
 }
 
-// forget drops what no gateway has told for long.
-func (q *Quotas) forget(now time.Time) {
-	q.table.Forget(func(id string) bool { return now.Sub(q.table.states[id].heardAt) < toldFor }, now)
+// evict evicts endpoints from the table, those without a signal within recordWindow as
+// unlisted, and drops the buckets of evicted endpoints.
+func (q *Quotas) evict(now time.Time) {
+	q.table.Forget(func(id string) bool { return now.Sub(q.table.states[id].signalAt) < recordWindow }, now)
 	for s := range q.buckets {
 		if q.table.states[s.id] != s {
 			delete(q.buckets, s)
--- a/backpressure/quota_test.go
+++ b/backpressure/quota_test.go
@@ -13,168 +13,171 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bounds that the users set on a limit: in any window at most so many times what it
-// allows, and some more; and the aim for the part of it that is used.
+// Bounds on a limit: in any window at most factor times what it allows plus slack
+// requests, and the share of it that must be used.
 const (
-	window    = 4 * time.Second
-	factor    = 1.5
-	slack     = 5
-	wantShare = 0.8
+	window   = 4 * time.Second
+	factor   = 1.5
+	slack    = 5
+	minUsage = 0.8
 )
 
-// way is how gateways share a limit.
-type way int
+// strategy is how gateways share a limit.
+type strategy int
 
 const (
-	// dealt: one sidecar deals out permits.
-	dealt way = iota
-	// equalParts: each keeps to an equal part, in slots of its own.
-	equalParts
-	// partsByDemand: each keeps to its part of the demand, which the sidecar tells
-	// with its reports.
-	partsByDemand
+	// byPermits has one sidecar grant permits.
+	byPermits strategy = iota
+	// equalShares has each gateway use an equal share, in slots of its own.
+	equalShares
+	// sharesByDemand has each gateway use its share of the demand, which the sidecar
+	// sends with its load reports.
+	sharesByDemand
 )
 
-func (w way) String() string {
-	return [...]string{"permits dealt out", "equal parts", "parts by demand"}[w]
+func (s strategy) String() string {
+	return [...]string{"permits dealt out", "equal parts", "parts by demand"}[s]
 }
 
-// trial is a play of gateways before one endpoint that names a limit until it ends.
-type trial struct {
-	way      way
+// simulation is a run of gateways that send to one endpoint with a limit, which ends
+// after a while.
+type simulation struct {
+	strategy strategy
 	gateways int
 	rate     float64
-	// busy gateways have demand, all alike, of so many requests a second together.
+	// busy gateways have demand, all alike, of so many requests per second together.
 	busy   int
 	demand float64
-	// silent is the part of the gateways that observe nothing of the sidecar.
-	silent float64
-	// lost says that a gateway ends, suspended that it stands still, both at
-	// disturbed.
-	lost, suspended bool
+	// cutOff is the fraction of gateways that get nothing from the sidecar.
+	cutOff float64
+	// stopped has a gateway stop, and suspended has it pause, both at disturbAt.
+	stopped, suspended bool
 }
 
 const (
 	step = 5 * time.Millisecond
-	// warm is when the limit must hold.
-	warm = 3 * time.Second
-	// ends is when the endpoint names no limit any more, and long the whole play.
-	ends = 64 * time.Second
-	long = 100 * time.Second
-	// hold is how long a request waits for a permit.
-	hold = 100 * time.Millisecond
-	// disturbed is when a gateway is lost or suspended, and stands how long it
-	// stands still.
-	disturbed = 20 * time.Second
-	stands    = 5 * time.Second
-	// told is how long after such an answer a gateway is held to the limit.
-	told = 500 * time.Millisecond
-	// reported is how often parts by demand are told anew.
-	reported = 300 * time.Millisecond
+	// settleTime is the time from which the limit must hold.
+	settleTime = 3 * time.Second
+	// limitEnd is when the endpoint stops sending a limit.
+	limitEnd = 64 * time.Second
+	// length is the length of a simulation.
+	length = 100 * time.Second
+	// maxWait is how long a request waits for a permit.
+	maxWait = 100 * time.Millisecond
+	// disturbAt is when a gateway stops or is suspended, and suspension how long.
+	disturbAt  = 20 * time.Second
+	suspension = 5 * time.Second
+	// graceTime is how long after its first response with a limit the requests of a
+	// gateway start to count against the limit.
+	graceTime = 500 * time.Millisecond
+	// reportInterval is the time between updates of the shares by demand.
+	reportInterval = 300 * time.Millisecond
 )
 
-// player is one gateway of a trial.
-type player struct {
+// gateway is one gateway of a simulation.
+type gateway struct {
 	table *Table
 	state *State
-	// waiting are when the requests came that wait.
+	// waiting holds the arrival times of queued requests.
 	waiting []time.Time
-	silent  bool
-	// grant, records and answers come with the next step; an answer is when its
-	// request was sent.
-	grant   *Grant
-	records []Record
-	answers []time.Time
-	// part is this gateway's part of the demand, and came its requests lately.
-	part, came float64
-	slot       time.Time
-	// told is when an answer first named the limit to it.
-	told time.Time
+	cutOff  bool
+	// grant, records and responses are delivered in the next step. A response is the
+	// time at which its request was sent.
+	grant     *Grant
+	records   []Record
+	responses []time.Time
+	// share is this gateway's share of the demand, and recent its decaying number of
+	// requests.
+	share, recent float64
+	slot          time.Time
+	// limitedAt is when a response first had the limit.
+	limitedAt time.Time
 }
 
-// outcome of a trial.
+// outcome is the outcome of a simulation.
 type outcome struct {
-	// sent are all requests, and counted those of gateways that had heard the limit
-	// in an answer of their own a while (told) before.
+	// sent holds the times of all requests, and counted those that gateways sent at
+	// least graceTime after their own first response with the limit.
 	sent, counted []time.Duration
-	// known is how long after its first signal all busy gateways know of the limit, and
-	// ended how long after its last all know that it has ended; negative if never.
+	// known is the time from the first signal until all busy gateways have the limit,
+	// and ended the time from the end of the limit until none has it; negative if
+	// never.
 	known, ended time.Duration
 }
 
-// play plays a trial.
-func (tr trial) play(seed uint64) outcome {
+// run runs the simulation.
+func (sim simulation) run(seed uint64) outcome {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	quotas := NewQuotas()
-	all := make([]*player, tr.gateways)
+	all := make([]*gateway, sim.gateways)
 	for n := range all {
 		table := NewTable()
-		table.Share(tr.gateways)
-		all[n] = &player{table: table, state: table.Of("e", 1), silent: float64(n) < tr.silent*float64(tr.gateways), part: 1 / float64(tr.gateways)}
+		table.Share(sim.gateways)
+		all[n] = &gateway{table: table, state: table.Of("e", 1), cutOff: float64(n) < sim.cutOff*float64(sim.gateways), share: 1 / float64(sim.gateways)}
 	}
 	out := outcome{known: -1, ended: -1}
-	perStep := tr.demand / float64(max(tr.busy, 1)) * step.Seconds()
-	for at := time.Duration(0); at < long; at += step {
+	perStep := sim.demand / float64(max(sim.busy, 1)) * step.Seconds()
+	for at := time.Duration(0); at < length; at += step {
 		now := start.Add(at)
-		if at%reported == 0 {
-			shareByDemand(all)
+		if at%reportInterval == 0 {
+			updateShares(all)
 		}
 		for n, g := range all {
-			if n == 0 && at >= disturbed && (tr.lost || tr.suspended && at < disturbed+stands) {
+			if n == 0 && at >= disturbAt && (sim.stopped || sim.suspended && at < disturbAt+suspension) {
 				continue
 			}
-			tr.observe(g, at, now)
-			if n < tr.busy && rng.Float64() < perStep {
+			sim.deliver(g, at, now)
+			if n < sim.busy && rng.Float64() < perStep {
 				g.waiting = append(g.waiting, now)
-				g.came++
+				g.recent++
 			}
-			g.waiting = slices.DeleteFunc(g.waiting, func(came time.Time) bool { return now.Sub(came) > hold })
-			for len(g.waiting) > 0 && tr.may(g, now) {
+			g.waiting = slices.DeleteFunc(g.waiting, func(arrived time.Time) bool { return now.Sub(arrived) > maxWait })
+			for len(g.waiting) > 0 && sim.admit(g, now) {
 				g.waiting = g.waiting[1:]
-				g.answers = append(g.answers, now)
+				g.responses = append(g.responses, now)
 				out.sent = append(out.sent, at)
-				if !g.told.IsZero() && now.Sub(g.told) >= told {
+				if !g.limitedAt.IsZero() && now.Sub(g.limitedAt) >= graceTime {
 					out.counted = append(out.counted, at)
 				}
 			}
-			tr.ask(g, all, quotas, now)
+			sim.requestPermits(g, all, quotas, now)
 		}
-		tr.watch(all, at, &out)
+		sim.observe(all, at, &out)
 	}
 	return out
 }
 
-// observe takes what came for a gateway.
-func (tr trial) observe(g *player, at time.Duration, now time.Time) {
+// deliver delivers the records, the grant and the responses to a gateway.
+func (sim simulation) deliver(g *gateway, at time.Duration, now time.Time) {
 	for _, r := range g.records {
 		g.table.Merge(r, now)
 	}
 	if g.grant != nil {
 		g.table.Granted(*g.grant, now)
 	}
-	signal := Signal{Limit: Limited(tr.rate)}
-	if at >= ends {
+	signal := Signal{Limit: Limited(sim.rate)}
+	if at >= limitEnd {
 		signal = Signal{}
 	}
-	for _, sent := range g.answers {
+	for _, sent := range g.responses {
 		g.state.Observe(signal, sent, now)
-		if signal.Limit.Named && g.told.IsZero() {
-			g.told = now
+		if signal.Limit.Named && g.limitedAt.IsZero() {
+			g.limitedAt = now
 		}
 	}
-	g.records, g.grant, g.answers = nil, nil, nil
+	g.records, g.grant, g.responses = nil, nil, nil
 }
 
-// may reports whether a gateway sends a request now, and counts it.
-func (tr trial) may(g *player, now time.Time) bool {
+// admit reports whether a gateway may send a request now, and counts it.
+func (sim simulation) admit(g *gateway, now time.Time) bool {
 	switch {
 	case !g.state.Limited():
 		return true
-	case tr.way == partsByDemand:
+	case sim.strategy == sharesByDemand:
 		if now.Before(g.slot) {
 			return false
 		}
-		g.slot = now.Add(time.Duration(float64(time.Second) / (max(tr.rate, probeRate) * max(g.part, 1e-3))))
+		g.slot = now.Add(time.Duration(float64(time.Second) / (max(sim.rate, minRate) * max(g.share, 1e-3))))
 		return true
 	case g.state.From(now).After(now):
 		return false
@@ -184,65 +187,66 @@
 	}
 }
 
-// ask sends what a gateway asks, and what the sidecar answers and tells.
-func (tr trial) ask(g *player, all []*player, quotas *Quotas, now time.Time) {
+// requestPermits sends the permit request of a gateway, and the grant and records that
+// result.
+func (sim simulation) requestPermits(g *gateway, all []*gateway, quotas *Quotas, now time.Time) {
 	for range g.waiting {
 		g.state.Want()
 	}
-	a, ok := g.state.Ask(now)
+	request, ok := g.state.Ask(now)
 	switch {
-	case tr.way != dealt:
+	case sim.strategy != byPermits:
 		g.state.Alone(now)
-	case ok && !g.silent:
-		grant, news := quotas.Ask(a, now)
+	case ok && !g.cutOff:
+		grant, changed := quotas.Ask(request, now)
 		g.grant = &grant
 		for _, other := range all {
-			if news && other != g && !other.silent {
+			if changed && other != g && !other.cutOff {
 				other.records = append(other.records, grant.Record)
 			}
 		}
 	}
 }
 
-// watch notes when all busy gateways know.
-func (tr trial) watch(all []*player, at time.Duration, out *outcome) {
-	limited, living := 0, 0
-	for n, g := range all[:tr.busy] {
-		if n == 0 && tr.lost && at >= disturbed {
+// observe records when all busy gateways have the limit, and when none has it.
+func (sim simulation) observe(all []*gateway, at time.Duration, out *outcome) {
+	limited, running := 0, 0
+	for n, g := range all[:sim.busy] {
+		if n == 0 && sim.stopped && at >= disturbAt {
 			continue
 		}
-		living++
+		running++
 		if g.state.Limited() {
 			limited++
 		}
 	}
-	if limited == living && out.known < 0 {
+	if limited == running && out.known < 0 {
 		out.known = at
 	}
-	if limited == 0 && at >= ends && out.ended < 0 {
-		out.ended = at - ends
+	if limited == 0 && at >= limitEnd && out.ended < 0 {
+		out.ended = at - limitEnd
 	}
 }
 
-// shareByDemand tells each gateway its part of the demand.
-func shareByDemand(all []*player) {
-	const least = 0.1 // of a request
+// updateShares sets the share of the demand of each gateway.
+func updateShares(all []*gateway) {
+	const least = 0.1 // requests
 	total := 0.0
 	for _, g := range all {
-		total += g.came + least
+		total += g.recent + least
 	}
 	for _, g := range all {
-		g.part = (g.came + least) / total
-		g.came *= 0.8
+		g.share = (g.recent + least) / total
+		g.recent *= 0.8
 	}
 }
 
-// judge returns the most sends in a window, and the share of the limit that was
-// used, both once the limit must hold.
-func (tr trial) judge(o outcome) (most int, used float64) {
-	early := func(at time.Duration) bool { return at < warm || at >= ends }
-	sent := slices.DeleteFunc(slices.Clone(o.sent), early)
-	counted := slices.DeleteFunc(slices.Clone(o.counted), early)
+// evaluate returns the most requests in a window, and the share of the limit that was
+// used, both from settleTime to limitEnd.
+func (sim simulation) evaluate(o outcome) (most int, used float64) {
+	outside := func(at time.Duration) bool { return at < settleTime || at >= limitEnd }
+	sent := slices.DeleteFunc(slices.Clone(o.sent), outside)
+	counted := slices.DeleteFunc(slices.Clone(o.counted), outside)
 	for n, first := range counted {
 		count := 0
 		for _, at := range counted[n:] {
@@ -253,100 +257,101 @@
 		}
 		most = max(most, count)
 	}
-	return most, float64(len(sent)) / (tr.rate * (ends - warm).Seconds())
+	return most, float64(len(sent)) / (sim.rate * (limitEnd - settleTime).Seconds())
 }
 
-func (tr trial) allowed() int { return int(factor*tr.rate*window.Seconds()) + slack }
+// allowed returns the most requests that a window may have.
+func (sim simulation) allowed() int { return int(factor*sim.rate*window.Seconds()) + slack }
 
-// However many gateways there are and wherever the demand is, the limit is kept and
-// used, and all know of it and of its end soon. Where a gateway is lost or suspended,
-// too.
+// With permits, the limit holds and is used, and its start and end propagate in time,
+// for any number of gateways and distribution of demand, also if a gateway stops or is
+// suspended.
 func TestLimitIsKeptAndUsed(t *testing.T) {
-	for _, tr := range trials(dealt) {
-		t.Run(tr.String(), func(t *testing.T) {
-			o := tr.play(1)
-			most, used := tr.judge(o)
-			assert.Check(t, most <= tr.allowed(), "%d, allowed %d", most, tr.allowed())
-			assert.Check(t, tr.rate == 0 || tr.lost || tr.suspended || used >= wantShare, "%.2f used", used)
-			assert.Check(t, o.known >= 0 && o.known <= warm, "all know after %s", o.known)
+	for _, sim := range simulations(byPermits) {
+		t.Run(sim.String(), func(t *testing.T) {
+			o := sim.run(1)
+			most, used := sim.evaluate(o)
+			assert.Check(t, most <= sim.allowed(), "%d, allowed %d", most, sim.allowed())
+			assert.Check(t, sim.rate == 0 || sim.stopped || sim.suspended || used >= minUsage, "%.2f used", used)
+			assert.Check(t, o.known >= 0 && o.known <= settleTime, "all gateways have the limit after %s", o.known)
 			assert.Check(t, o.ended >= 0, "the end of the limit is not noticed")
 		})
 	}
 }
 
-func (tr trial) String() string {
-	where := "even demand"
+func (sim simulation) String() string {
+	scenario := "even demand"
 	switch {
-	case tr.lost:
-		where = "a gateway lost"
-	case tr.suspended:
-		where = "a gateway suspended"
-	case tr.busy < tr.gateways:
-		where = "demand in one zone"
+	case sim.stopped:
+		scenario = "a gateway lost"
+	case sim.suspended:
+		scenario = "a gateway suspended"
+	case sim.busy < sim.gateways:
+		scenario = "demand in one zone"
 	}
-	return fmt.Sprintf("%d gateways, limit %g, %s", tr.gateways, tr.rate, where)
+	return fmt.Sprintf("%d gateways, limit %g, %s", sim.gateways, sim.rate, scenario)
 }
 
-// trials are those of the table that compares ways.
-func trials(w way) (out []trial) {
+// simulations returns the simulations in which the strategies are compared.
+func simulations(s strategy) (out []simulation) {
 	for _, gateways := range []int{2, 6, 53} {
 		for _, rate := range []float64{0, 0.4, 2, 20} {
-			tr := trial{way: w, gateways: gateways, rate: rate, busy: gateways, demand: 3 * max(rate, 2)}
-			zone := tr
+			sim := simulation{strategy: s, gateways: gateways, rate: rate, busy: gateways, demand: 3 * max(rate, 2)}
+			zone := sim
 			zone.busy = max(1, gateways/3)
-			lost, suspended := tr, tr
-			lost.lost, suspended.suspended = true, true
-			out = append(out, tr, zone, lost, suspended)
+			stopped, suspended := sim, sim
+			stopped.stopped, suspended.suspended = true, true
+			out = append(out, sim, zone, stopped, suspended)
 		}
 	}
 	return out
 }
 
-// Permits that one sidecar deals out are kept and used as no other way is: each of the
-// others breaks the limit, or uses no more of what it allows. It prints the table (-v).
+// Each other strategy breaks the limit, or uses no more of it than permits do. With -v
+// it prints a table of the results.
 func TestWaysOfSharing(t *testing.T) {
-	const alike = 0.05
-	t.Logf("%-17s %-42s %s", "", "", "at most in 4 s/allowed, used, all know after, know of the end after")
-	for n, tr := range trials(dealt) {
-		best := tr.play(1)
-		_, bestUsed := tr.judge(best)
-		for _, w := range []way{dealt, equalParts, partsByDemand} {
-			tr := trials(w)[n]
-			o := tr.play(1)
-			most, used := tr.judge(o)
-			t.Logf("%-17s %-42s %3d/%3d %s %s %s", w, tr, most, tr.allowed(), share(used), after(o.known), after(o.ended))
-			assert.Check(t, most > tr.allowed() || min(used, 1) <= bestUsed+alike || tr.rate == 0, "%s, %s: %.2f of the limit used, %.2f by permits", w, tr, used, bestUsed)
+	const tolerance = 0.05
+	t.Logf("%-17s %-42s %s", "", "", "at most in 4 s/allowed, used, limit known after, end known after")
+	for n, sim := range simulations(byPermits) {
+		best := sim.run(1)
+		_, bestUsed := sim.evaluate(best)
+		for _, s := range []strategy{byPermits, equalShares, sharesByDemand} {
+			sim := simulations(s)[n]
+			o := sim.run(1)
+			most, used := sim.evaluate(o)
+			t.Logf("%-17s %-42s %3d/%3d %s %s %s", s, sim, most, sim.allowed(), formatUsage(used), formatDelay(o.known), formatDelay(o.ended))
+			assert.Check(t, most > sim.allowed() || min(used, 1) <= bestUsed+tolerance || sim.rate == 0, "%s, %s: %.2f of the limit used, %.2f by permits", s, sim, used, bestUsed)
 		}
 	}
 }
 
-// share prints the part of a limit that was used; there is none of nothing.
-func share(used float64) string {
+// formatUsage formats the share of a limit that was used, or "-" for a limit of 0.
+func formatUsage(used float64) string {
 	if math.IsInf(used, 0) {
 		return "    -"
 	}
 	return fmt.Sprintf("%5.2f", used)
 }
 
-// after prints when something was known; negative is never.
-func after(d time.Duration) string {
+// formatDelay formats a delay; a negative one is "never".
+func formatDelay(d time.Duration) string {
 	if d < 0 {
 		return "  never"
 	}
 	return fmt.Sprintf("%5.2f s", d.Seconds())
 }
 
-// Gateways that observe nothing of the sidecar keep to their parts: the limit is kept,
-// by all of them or beside others.
+// Gateways that cannot reach the sidecar use their own slots, and the limit still
+// holds, whether all or some of them are cut off.
 func TestLimitIsKeptWithoutTheSidecar(t *testing.T) {
 	for _, gateways := range []int{2, 6, 53} {
 		for _, rate := range []float64{0, 0.4, 2, 20} {
-			for _, silent := range []float64{1, 0.9, 0.5} {
-				tr := trial{gateways: gateways, rate: rate, busy: gateways, demand: 10 * max(rate, 1), silent: silent}
-				t.Run(fmt.Sprint(tr, ", silent ", silent), func(t *testing.T) {
-					most, used := tr.judge(tr.play(1))
-					t.Logf("at most %d, allowed %d; %.2f used", most, tr.allowed(), used)
-					assert.Check(t, most <= tr.allowed(), "%d, allowed %d", most, tr.allowed())
+			for _, cutOff := range []float64{1, 0.9, 0.5} {
+				sim := simulation{gateways: gateways, rate: rate, busy: gateways, demand: 10 * max(rate, 1), cutOff: cutOff}
+				t.Run(fmt.Sprint(sim, ", cut off ", cutOff), func(t *testing.T) {
+					most, used := sim.evaluate(sim.run(1))
+					t.Logf("at most %d, allowed %d; %.2f used", most, sim.allowed(), used)
+					assert.Check(t, most <= sim.allowed(), "%d, allowed %d", most, sim.allowed())
 				})
 			}
 		}
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// Record is what one process tells another of an endpoint. Times are ages: the
-// processes' clocks need not agree.
+// Record is the state of an endpoint as sent between processes. Times are sent as
+// ages, so the clocks of the processes need not agree.
 type Record struct {
-	ID       string  `json:"i"`
+	ID string `json:"i"`
+	// Born is when the incarnation started, in Unix milliseconds; 0 if unknown.
 	Born     int64   `json:"b,omitempty"`
 	Draining bool    `json:"l,omitempty"`
 	Limited  bool    `json:"m,omitempty"`
 	Rate     float64 `json:"r,omitempty"`
-	// LimitAgeMS is how long ago the limit, or its end, was last heard; less than 0
-	// if neither ever was.
+	// LimitAgeMS is the time since the limit or its end was last reported, in
+	// milliseconds; negative if neither was.
 	LimitAgeMS int64 `json:"a"`
 }
 
 const (
-	// mergeMargin is by how much later than what is known the signal of another
-	// process must be that allows more: what is on its way seems younger than it
-	// is.
+	// mergeMargin is by how much a looser limit from another process must be newer
+	// than the limit in force. Network delay makes a record seem newer than it is.
 	mergeMargin = 50 * time.Millisecond
-	// maxTold and toldFor bound what is told unasked, of endpoints that said
-	// something lately: about 60 bytes each.
-	maxTold = 4
-	toldFor = 10 * time.Second
+	// maxRecords bounds the records of one message, about 60 bytes each.
+	maxRecords = 4
+	// recordWindow is how long after the last signal of an endpoint its record is sent
+	// without a request.
+	recordWindow = 10 * time.Second
 )
 
-// record is what the state tells others.
+// record returns the state to send to other processes.
 func (s *State) record(now time.Time) Record {
 	r := Record{ID: s.id, Born: s.born, Draining: s.draining, Limited: s.limit.Named, Rate: s.limit.Rate, LimitAgeMS: -1}
 	if !s.limitAt.IsZero() {
@@ -41,19 +42,19 @@
 	return r
 }
 
-// Merge takes what another process tells, and returns what has changed.
+// Merge merges a record of another process and returns the changes.
 func (t *Table) Merge(r Record, now time.Time) []Change {
 	s := t.Of(r.ID, r.Born)
 	if s.born > r.Born && r.Born != 0 {
-		return nil // of the life before
+		return nil // an earlier incarnation
 	}
 	if r.Draining || r.LimitAgeMS >= 0 {
-		s.heardAt = now
+		s.signalAt = now
 	}
 	var out []Change
 	if r.Draining && !s.draining {
-		out = s.Drain()
-		s.tell = false // whoever told it tells the others
+		out = s.MarkDraining()
+		s.notify = false // the sender notifies the other processes
 	}
 	if r.LimitAgeMS < 0 {
 		return out
@@ -70,16 +71,17 @@
 	return append(out, s.setLimit(limit, at)...)
 }
 
-// Tell returns what was said last, of as many endpoints as are told unasked.
+// Records returns up to maxRecords records of the endpoints with signals within
+// recordWindow, the latest first.
 func (t *Table) Tell(now time.Time) []Record {
 	var states []*State
 	for _, s := range t.states {
-		if now.Sub(s.heardAt) < toldFor {
+		if now.Sub(s.signalAt) < recordWindow {
 			states = append(states, s)
 		}
 	}
-	slices.SortFunc(states, func(a, b *State) int { return cmp.Or(b.heardAt.Compare(a.heardAt), cmp.Compare(a.id, b.id)) })
-	out := make([]Record, min(len(states), maxTold))
+	slices.SortFunc(states, func(a, b *State) int { return cmp.Or(b.signalAt.Compare(a.signalAt), cmp.Compare(a.id, b.id)) })
+	out := make([]Record, min(len(states), maxRecords))
 	for n := range out {
 		out[n] = states[n].record(now)
 	}
--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -1,9 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package backpressure holds what endpoints say of themselves in their answers:
-// a limit on requests, that they drain, and that they want backoff.
+// Package backpressure tracks the signals that endpoints send in their responses: a
+// rate limit, that they are draining, and a backoff. It allocates the rate limit of an
+// endpoint among the gateways.
 //
-// It does no I/O, takes time as a value, and is not safe for concurrent use.
+// It does no I/O, takes the current time as an argument, and is not safe for
+// concurrent use.
 package backpressure
 
 import (
@@ -12,36 +14,38 @@
 	"time"
 )
 
-// Signal is what one answer says of its endpoint.
+// Signal is what one response reports about its endpoint.
 type Signal struct {
 	Limit Limit
-	// Draining says that the endpoint is about to end and takes no new requests.
+	// Draining reports that the endpoint is shutting down and accepts no new requests.
 	Draining bool
-	// Backoff is for how long the endpoint wants nothing from the gateway that it
-	// turned away; 0 is none.
+	// Backoff is how long the gateway that got the response must send no requests to
+	// the endpoint; 0 is none.
 	Backoff time.Duration
-	// Unreadable are the fields whose values cannot be read, as NAME: VALUE. They
-	// change nothing of what the endpoint said before.
+	// Invalid holds the headers whose values cannot be parsed, as NAME: VALUE. They
+	// change nothing in the state of the endpoint.
 	Unreadable []string
 }
 
-// Limit is how many requests a second an endpoint takes from all gateways
-// together.
+// Limit is the rate limit of an endpoint, for all gateways together. The zero Limit is
+// no limit.
 type Limit struct {
-	// Kept says that the answer tells nothing that can be read: what was said
-	// before holds.
+	// Unchanged reports that the response has no valid value: the previous limit
+	// applies.
 	Kept bool
-	// Named says that there is a limit, which is Rate.
+	// Set reports that there is a limit.
 	Named bool
-	Rate  float64
+	// Rate is the limit in requests per second.
+	Rate float64
 }
 
-// Limited is a limit of rate requests a second.
+// Limited returns a limit of rate requests per second.
 func Limited(rate float64) Limit { return Limit{Named: true, Rate: rate} }
 
 // tighter reports whether l allows less than other.
 func (l Limit) tighter(other Limit) bool { return l.rate() < other.rate() }
 
+// rate returns the limit in requests per second, or infinity if there is none.
 func (l Limit) rate() float64 {
 	if !l.Named {
 		return math.Inf(1)
@@ -49,8 +53,8 @@
 	return l.Rate
 }
 
-// fieldOf returns the name of the field of an unreadable value.
-func fieldOf(value string) string {
-	name, _, _ := strings.Cut(value, ":")
+// headerName returns the header name of an entry of Signal.Invalid.
+func headerName(entry string) string {
+	name, _, _ := strings.Cut(entry, ":")
 	return name
 }
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -8,57 +8,59 @@
 	"time"
 )
 
-// Table is what endpoints have said, by life: an endpoint that begins anew has
-// said nothing. It outlasts an endpoint's entry in the list, which may go and come
-// back within a life.
+// Table holds the signals of endpoints, by incarnation: a new incarnation starts
+// without signals. The state is kept while an endpoint is temporarily missing from the
+// endpoint list.
 type Table struct {
 	states map[string]*State
-	// gateways is how many share a limit.
+	// gateways is the number of gateways that share a limit.
 	gateways int
-	// signalled says that an endpoint may have said something that holds; most of the
-	// time none has, and nothing need be asked of each.
-	signalled bool
+	// anySignal reports that signals of an endpoint may apply. Usually none do, and
+	// callers need not check each endpoint.
+	anySignal bool
 }
 
-// NewTable returns an empty table.
+// NewTable returns an empty table for one gateway.
 func NewTable() *Table { return &Table{states: make(map[string]*State), gateways: 1} }
 
-// Share says how many gateways share limits.
+// SetGateways sets the number of gateways that share limits.
 func (t *Table) Share(gateways int) { t.gateways = max(gateways, 1) }
 
-// Quiet reports that no endpoint has said anything that holds.
-func (t *Table) Quiet() bool { return !t.signalled }
+// NoSignals reports that no signal of any endpoint applies.
+func (t *Table) Quiet() bool { return !t.anySignal }
 
-// State is what one life of an endpoint has said.
+// State holds the signals of one incarnation of an endpoint.
 type State struct {
 	table *Table
 	id    string
-	// born is when the life began, in Unix milliseconds; 0 while that is not known.
+	// born is when the incarnation started, in Unix milliseconds; 0 if unknown.
 	born int64
-	// heardAt is when anything of this was last said, and unlisted since when the
-	// endpoint is known not to be on the list, or zero.
-	heardAt     time.Time
-	unlisted    time.Time
-	draining    bool
-	backoffTill time.Time
-	// returning says that no answer has shown yet that the endpoint takes requests
-	// again after a backoff, and triedAt when one was sent last to find out.
-	returning bool
-	triedAt   time.Time
-	limit     Limit
-	// limitAt is when the limit, or its end, was last heard.
+	// signalAt is when the last signal was received, and unlistedSince when the
+	// endpoint was first found missing from the endpoint list, or zero.
+	signalAt      time.Time
+	unlistedSince time.Time
+	draining      bool
+	backoffUntil  time.Time
+	// recovering reports that no response since the backoff has shown that the
+	// endpoint accepts requests again, and probedAt when a request was last sent to
+	// find out.
+	recovering bool
+	probedAt   time.Time
+	limit      Limit
+	// limitAt is when the limit or its end was last reported.
 	limitAt time.Time
-	// limitReported says that the last report named the limit.
-	limitReported bool
+	// limitInReport reports that the last load report had a limit.
+	limitInReport bool
 	permits       permits
-	// tell says that other gateways are to observe of the limit, or of draining.
-	tell bool
-	// unreadable are the fields of which an unreadable value has been told.
-	unreadable map[string]bool
+	// notify reports that the limit or draining must be sent to other gateways.
+	notify bool
+	// invalidSeen holds the headers of which an invalid value has been reported.
+	invalidSeen map[string]bool
 }
 
-// Of returns the state of a life of an endpoint, by id and birth; a birth of 0 is
-// not known. A later life begins at nothing.
+// State returns the state of an incarnation of an endpoint, by endpoint ID and start
+// time in Unix milliseconds; 0 is unknown. A later start time replaces the state by an
+// empty one.
 func (t *Table) Of(id string, born int64) *State {
 	s := t.states[id]
 	if s != nil && (born <= s.born || s.born == 0) {
@@ -70,35 +72,36 @@
 	return s
 }
 
-// Learn takes the birth of a life of which it was not known.
+// SetBorn sets the start time of the incarnation, in Unix milliseconds, if it is
+// unknown.
 func (s *State) Learn(born int64) {
 	if s.born == 0 {
 		s.born = born
 	}
 }
 
-// Change is news of what an endpoint said.
+// Change is a change in the signals of an endpoint.
 type Change struct {
 	Kind Kind
-	// Rate is that of a Limit that was named.
+	// Rate is the new limit in requests per second, for LimitSet.
 	Rate float64
-	// Backoff is how long the endpoint backoffs from now on.
+	// Backoff is the backoff from now on, for BackoffRequested.
 	Backoff time.Duration
-	// Value is what cannot be read.
+	// Value is the header and value, for ValueInvalid.
 	Value string
 }
 
-// Kind is what a Change is about.
+// Kind is the kind of a Change.
 type Kind int
 
 // The kinds of changes.
 const (
-	LimitNamed Kind = iota
+	LimitSet Kind = iota
 	LimitEnded
-	DrainingSeen
-	BackoffAsked
+	DrainingStarted
+	BackoffRequested
 	BackoffEnded
-	ValueUnreadable
+	ValueInvalid
 )
 
 func (k Kind) String() string {
@@ -106,86 +109,88 @@
 }
 
 const (
-	// maxBackoff bounds how long an endpoint can keep a gateway away with one answer:
-	// a mistaken value must not cost it for the remainder of its life.
+	// maxBackoff bounds the backoff of one response, so that a wrong value does not
+	// exclude an endpoint for the rest of its incarnation.
 	maxBackoff = 10 * time.Minute
-	// backoffStep is the least by which a backoff grows that is told as a change.
-	backoffStep = time.Second
-	// tryEvery is how often a request is sent to an endpoint after its backoff until
-	// it takes one: sent all at once, they would all be turned away again.
-	tryEvery = time.Second
+	// minBackoffChange is the least extension of a backoff that is a Change.
+	minBackoffChange = time.Second
+	// probeInterval is the time between requests to an endpoint after its backoff
+	// until it accepts one. Sent all at once, all would be rejected again.
+	probeInterval = time.Second
 )
 
-// Observe takes what an answer says; sent is when its request was sent. It returns
-// what has changed.
-func (s *State) Observe(w Signal, sent, now time.Time) []Change {
+// Observe applies the signal of a response to a request sent at sent, and returns the
+// changes.
+func (s *State) Observe(signal Signal, sent, now time.Time) []Change {
 	var out []Change
-	if w.Draining {
-		out = append(out, s.Drain()...)
+	if signal.Draining {
+		out = append(out, s.MarkDraining()...)
 	}
 	switch {
-	case w.Backoff > 0:
-		out = append(out, s.observeBackoff(min(w.Backoff, maxBackoff), now)...)
-	case s.returning && !sent.Before(s.backoffTill):
-		s.returning = false
+	case signal.Backoff > 0:
+		out = append(out, s.observeBackoff(min(signal.Backoff, maxBackoff), now)...)
+	case s.recovering && !sent.Before(s.backoffUntil):
+		s.recovering = false
 		out = append(out, Change{Kind: BackoffEnded})
 	}
-	if !w.Limit.Kept {
-		out = append(out, s.observeLimit(w.Limit, sent, now)...)
+	if !signal.Limit.Kept {
+		out = append(out, s.observeLimit(signal.Limit, sent, now)...)
 	}
-	out = append(out, s.observeUnreadable(w.Unreadable)...)
-	if w.Draining || w.Backoff > 0 || w.Limit.Named {
-		s.heardAt = now
+	out = append(out, s.observeInvalid(signal.Unreadable)...)
+	if signal.Draining || signal.Backoff > 0 || signal.Limit.Named {
+		s.signalAt = now
 	}
 	return out
 }
 
-// Drain takes the signal that the endpoint drains. Nothing takes it back within a life:
-// a list may be older than that.
-func (s *State) Drain() []Change {
+// MarkDraining marks the endpoint as draining, and other gateways to be notified.
+// Draining lasts until the end of the incarnation, since entries of the endpoint list
+// may be older than the signal.
+func (s *State) MarkDraining() []Change {
 	if s.draining {
 		return nil
 	}
-	s.draining, s.tell, s.table.signalled = true, true, true
-	return []Change{{Kind: DrainingSeen}}
+	s.draining, s.notify, s.table.anySignal = true, true, true
+	return []Change{{Kind: DrainingStarted}}
 }
 
-// ListedDraining takes that signal of the list, which all gateways read.
-func (s *State) ListedDraining() { s.draining, s.table.signalled = true, true }
+// SetListedDraining marks the endpoint as draining from the endpoint list, which all
+// gateways read: no other gateway is notified.
+func (s *State) ListedDraining() { s.draining, s.table.anySignal = true, true }
 
-// ObserveReport takes what the endpoint says to the sidecar beside it. Where it says
-// nothing there it may yet say it in answers to gateways: only a limit that was named
-// there ends there.
-func (s *State) ObserveReport(w Signal, now time.Time) {
-	if w.Draining {
+// ObserveReport applies the signal in a load report of the endpoint's sidecar. An
+// endpoint may send its limit only in responses to gateways, so a report without a
+// limit ends only a limit of the previous report.
+func (s *State) ObserveReport(signal Signal, now time.Time) {
+	if signal.Draining {
 		s.ListedDraining()
 	}
-	if w.Limit.Named || s.limitReported {
-		s.setLimit(w.Limit, now)
+	if signal.Limit.Named || s.limitInReport {
+		s.setLimit(signal.Limit, now)
 	}
-	s.limitReported = w.Limit.Named
+	s.limitInReport = signal.Limit.Named
 }
 
-// Draining reports whether the endpoint gets no new requests any more.
+// Draining reports whether the endpoint must get no new requests.
 func (s *State) Draining() bool { return s.draining }
 
-// observeBackoff takes a backoff. What was asked before is not shortened: of answers to
-// several requests in flight, any may come last.
+// observeBackoff applies a backoff. It never shortens the current one, since responses
+// to concurrent requests arrive in any order.
 func (s *State) observeBackoff(backoff time.Duration, now time.Time) []Change {
-	till, before := now.Add(backoff), s.backoffTill
-	if !till.After(before) {
+	until, before := now.Add(backoff), s.backoffUntil
+	if !until.After(before) {
 		return nil
 	}
-	s.backoffTill, s.returning, s.triedAt, s.table.signalled = till, true, time.Time{}, true
-	if now.Before(before) && till.Sub(before) < backoffStep {
+	s.backoffUntil, s.recovering, s.probedAt, s.table.anySignal = until, true, time.Time{}, true
+	if now.Before(before) && until.Sub(before) < minBackoffChange {
 		return nil
 	}
-	return []Change{{Kind: BackoffAsked, Backoff: backoff}}
+	return []Change{{Kind: BackoffRequested, Backoff: backoff}}
 }
 
-// observeLimit takes a limit, or that none is named. Answers overtake each other: one
-// that allows more counts only if its request was sent after the limit in force was
-// last heard.
+// observeLimit applies the limit of a response, or that it has none. Responses arrive
+// in any order: a looser limit counts only if its request was sent after the limit in
+// force was last reported.
 func (s *State) observeLimit(l Limit, sent, now time.Time) []Change {
 	if l == s.limit {
 		s.limitAt = now
@@ -194,15 +199,15 @@
 	if !l.tighter(s.limit) && !sent.After(s.limitAt) {
 		return nil
 	}
-	s.tell = true
+	s.notify = true
 	return s.setLimit(l, now)
 }
 
-// setLimit takes another limit, as heard at a time.
+// setLimit sets the limit as reported at a time.
 func (s *State) setLimit(l Limit, at time.Time) []Change {
 	changed := l != s.limit
 	s.limit, s.limitAt = l, at
-	s.table.signalled = s.table.signalled || l.Named
+	s.table.anySignal = s.table.anySignal || l.Named
 	switch {
 	case !changed:
 		return nil
@@ -210,146 +215,149 @@
 		s.permits = s.permits.cleared()
 		return []Change{{Kind: LimitEnded}}
 	default:
-		return []Change{{Kind: LimitNamed, Rate: l.Rate}}
+		return []Change{{Kind: LimitSet, Rate: l.Rate}}
 	}
 }
 
-// BackingOff reports whether the endpoint wants nothing from this gateway now.
-func (s *State) BackingOff(now time.Time) bool { return now.Before(s.backoffTill) }
+// BackingOff reports whether a backoff for this gateway is in force.
+func (s *State) BackingOff(now time.Time) bool { return now.Before(s.backoffUntil) }
 
-// Closed reports whether the endpoint is left alone because of a backoff: it lasts, or
-// another request tries whether it has ended.
-func (s *State) Closed(now time.Time) bool { return s.backoffFrom(now).After(now) }
+// Closed reports whether a request must not be sent because of a backoff: it is in
+// force, or another request probes whether it has ended.
+func (s *State) Closed(now time.Time) bool { return s.backoffEnd(now).After(now) }
 
-// backoffFrom returns when the endpoint may get a request as far as backoffs go.
-func (s *State) backoffFrom(now time.Time) time.Time {
+// backoffEnd returns the earliest time at which backoffs allow a request, or now.
+func (s *State) backoffEnd(now time.Time) time.Time {
 	switch {
 	case s.BackingOff(now):
-		return s.backoffTill
-	case s.returning && !s.triedAt.IsZero():
-		return later(s.triedAt.Add(tryEvery), now)
+		return s.backoffUntil
+	case s.recovering && !s.probedAt.IsZero():
+		return later(s.probedAt.Add(probeInterval), now)
 	default:
 		return now
 	}
 }
 
-// Limited reports whether the endpoint has named a limit that is in force.
+// Limited reports whether a limit is in force.
 func (s *State) Limited() bool { return s.limit.Named }
 
-// Rate is the limit, in requests a second of all gateways.
+// Rate returns the limit for all gateways together, in requests per second. It is
+// valid only if Limited.
 func (s *State) Rate() float64 { return s.limit.Rate }
 
-// From returns when the endpoint may get a request of this gateway at the earliest:
-// now, if it may.
+// AvailableAt returns the earliest time at which this gateway may send a request to the
+// endpoint, or now. It ignores draining.
 func (s *State) From(now time.Time) time.Time {
-	from := s.backoffFrom(now)
+	availableAt := s.backoffEnd(now)
 	if s.limit.Named {
-		from = later(from, s.permits.from(s.limit.Rate, s.table.gateways, now))
+		availableAt = later(availableAt, s.permits.availableAt(s.limit.Rate, s.table.gateways, now))
 	}
-	return from
+	return availableAt
 }
 
-// Take notes that a request is sent to the endpoint.
+// Take records that a request is sent to the endpoint, and consumes a permit.
 func (s *State) Take(now time.Time) {
-	if s.returning {
-		s.triedAt = now
+	if s.recovering {
+		s.probedAt = now
 	}
 	if s.limit.Named {
 		s.permits.take(s.limit.Rate, s.table.gateways, now)
 	}
 }
 
-// Want notes that a request would be sent to the endpoint if it had a permit.
+// AddDemand records that a request needs a permit of the endpoint.
 func (s *State) Want() {
 	if s.limit.Named {
 		s.permits.wanted++
 	}
 }
 
-// Ask returns what is to be asked of the process that deals permits out, or told
-// it; ok is false if there is nothing. What was wanted is forgotten.
+// PermitRequest returns the request to send to the permit allocator; ok is false if
+// there is none. It resets the demand.
 func (s *State) Ask(now time.Time) (a Ask, ok bool) {
-	if !s.tell && s.permits.wanted == 0 {
+	if !s.notify && s.permits.wanted == 0 {
 		return Ask{}, false
 	}
-	want := s.permits.ask(now)
-	if !s.tell && want == 0 {
+	want := s.permits.request(now)
+	if !s.notify && want == 0 {
 		return Ask{}, false
 	}
-	s.tell = false
+	s.notify = false
 	return Ask{Record: s.record(now), Want: want}, true
 }
 
-// Alone notes that there is nobody to deal permits out.
+// SetNoAllocator records that there is no permit allocator. Requests are then sent in
+// slots until the next grant.
 func (s *State) Alone(now time.Time) {
-	s.permits.unanswered, s.permits.undealt = now.Add(-askPatience), true
+	s.permits.unansweredSince, s.permits.noAllocator = now.Add(-allocatorTimeout), true
 }
 
-// Granted takes the answer to an Ask; it returns what has changed.
+// ApplyGrant merges the record of a grant and adds its permits. It returns the changes.
 func (t *Table) Granted(g Grant, now time.Time) []Change {
 	changes := t.Merge(g.Record, now)
 	if s := t.states[g.ID]; s.born == g.Born {
-		s.permits.grant(g, now)
+		s.permits.applyGrant(g, now)
 	}
 	return changes
 }
 
 const (
-	// keptFor is how long it is remembered what an endpoint said that is not on
-	// the list: longer than entries are missing within a life.
-	keptFor = 10 * time.Minute
-	// maxKept bounds how many of those are remembered, the last to speak.
-	maxKept = 2048
+	// unlistedTTL is how long the state of an endpoint is kept that is not on the
+	// endpoint list. Entries are missing for less within one incarnation.
+	unlistedTTL = 10 * time.Minute
+	// maxUnlisted bounds the number of those, of which the latest are kept.
+	maxUnlisted = 2048
 )
 
-// matters reports whether the endpoint has said anything that still holds.
-func (s *State) matters() bool {
-	return s.draining || s.limit.Named || s.returning
+// active reports whether a signal of the endpoint applies.
+func (s *State) active() bool {
+	return s.draining || s.limit.Named || s.recovering
 }
 
-// Forget drops what cannot matter any more of endpoints that are not on the list.
+// Evict removes the state of unlisted endpoints that has no active signal or has
+// expired.
 func (t *Table) Forget(listed func(id string) bool, now time.Time) {
 	var kept []*State
-	t.signalled = false
+	t.anySignal = false
 	for id, s := range t.states {
-		t.signalled = t.signalled || s.matters()
+		t.anySignal = t.anySignal || s.active()
 		switch {
 		case listed(id):
-			s.unlisted = time.Time{}
+			s.unlistedSince = time.Time{}
 			continue
-		case s.unlisted.IsZero():
-			s.unlisted = now
+		case s.unlistedSince.IsZero():
+			s.unlistedSince = now
 		}
-		if !s.matters() || now.Sub(s.unlisted) > keptFor {
+		if !s.active() || now.Sub(s.unlistedSince) > unlistedTTL {
 			delete(t.states, id)
 			continue
 		}
 		kept = append(kept, s)
 	}
-	if len(kept) <= maxKept {
+	if len(kept) <= maxUnlisted {
 		return
 	}
 	slices.SortFunc(kept, func(a, b *State) int {
-		return cmp.Or(b.unlisted.Compare(a.unlisted), b.heardAt.Compare(a.heardAt), cmp.Compare(a.id, b.id))
+		return cmp.Or(b.unlistedSince.Compare(a.unlistedSince), b.signalAt.Compare(a.signalAt), cmp.Compare(a.id, b.id))
 	})
-	for _, s := range kept[maxKept:] {
+	for _, s := range kept[maxUnlisted:] {
 		delete(t.states, s.id)
 	}
 }
 
-// observeUnreadable returns the first unreadable values of a life, of each kind one.
-func (s *State) observeUnreadable(values []string) []Change {
+// observeInvalid returns a change for the first invalid value of each header.
+func (s *State) observeInvalid(entries []string) []Change {
 	var out []Change
-	for _, value := range values {
-		name := fieldOf(value)
-		if s.unreadable[name] {
+	for _, entry := range entries {
+		name := headerName(entry)
+		if s.invalidSeen[name] {
 			continue
 		}
-		if s.unreadable == nil {
-			s.unreadable = make(map[string]bool, 1)
+		if s.invalidSeen == nil {
+			s.invalidSeen = make(map[string]bool, 1)
 		}
-		s.unreadable[name] = true
-		out = append(out, Change{Kind: ValueUnreadable, Value: value})
+		s.invalidSeen[name] = true
+		out = append(out, Change{Kind: ValueInvalid, Value: entry})
 	}
 	return out
 }
