--- /dev/null
+++ b/quarantine/completed.go
@@ -0,0 +1,35 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package quarantine
+
+// completedRequests holds the last maxCompleted requests that completed.
+type completedRequests struct {
+	ids map[ID]struct{}
+	// ring holds the same IDs in the order in which they were added; next is the
+	// index of the oldest once it is full.
+	ring []ID
+	next int
+}
+
+func (c *completedRequests) has(id ID) bool {
+	_, ok := c.ids[id]
+	return ok
+}
+
+// add adds a request, and evicts the oldest if the set is full.
+func (c *completedRequests) add(id ID) {
+	if c.has(id) {
+		return
+	}
+	if c.ids == nil {
+		c.ids = make(map[ID]struct{})
+	}
+	if len(c.ring) < maxCompleted {
+		c.ring = append(c.ring, id)
+	} else {
+		delete(c.ids, c.ring[c.next])
+		c.ring[c.next] = id
+		c.next = (c.next + 1) % maxCompleted
+	}
+	c.ids[id] = struct{}{}
+}
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -11,20 +11,19 @@
 	"github.com/juju/errors"
 )
 
-// identityBytes is the length of an ID. 128 bits of SHA-256 leave nobody a way
-// to build a request that is taken for another caller's, which a checksum
-// without a key would.
+// identityBytes is the length of an ID. 128 bits of SHA-256 keep callers from
+// constructing a request with the ID of another caller's, which an unkeyed
+// checksum would allow.
 const identityBytes = 16
 
-// ID tells a request from all others, whichever try, connection or gateway it
-// comes by: by its caller and what an endpoint gets to see of it.
+// ID identifies a request by its caller and by the content that an endpoint
+// receives. It is the same for all attempts, connections and gateways.
 type ID [identityBytes]byte
 
-// Request is what identifies a request.
+// Request holds the properties that identify a request.
 type Request struct {
 	Method string
-	// Host and Target are as the caller wrote them; the case of Host does not
-	// count.
+	// Host and Target are as sent by the caller; Host is case-insensitive.
 	Host, Target string
 	// Workspace is the caller's, empty on public routes.
 	Workspace string
@@ -37,7 +36,7 @@
 	for _, part := range []string{r.Method, strings.ToLower(r.Host), r.Target, r.Workspace} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = h.Write(length[:]) // a hash takes everything
+		_, _ = h.Write(length[:]) // hash.Hash never returns an error
 		_, _ = h.Write([]byte(part))
 	}
 	_, _ = h.Write(r.Body)
@@ -48,13 +47,13 @@
 
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// MarshalText writes the ID in hex.
+// MarshalText encodes the ID in hex.
 func (id ID) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, id[:]), nil }
 
-// UnmarshalText reads an ID in hex.
+// UnmarshalText decodes an ID in hex.
 func (id *ID) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(id) {
-		return errors.NotValidf("identity %q", text)
+		return errors.NotValidf("request identity %q", text)
 	}
 	_, err := hex.Decode(id[:], text)
 	return errors.Trace(err)
--- a/quarantine/identity_test.go
+++ b/quarantine/identity_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestIdentityIsOfCallerAndContent(t *testing.T) {
-	one := Request{Method: "POST", Host: "H.example", Target: "/a/b?c", Workspace: "w", Body: []byte("text")}
-	same := one
+func TestIdentityDependsOnCallerAndContent(t *testing.T) {
+	request := Request{Method: "POST", Host: "H.example", Target: "/a/b?c", Workspace: "w", Body: []byte("text")}
+	same := request
 	same.Host = "h.EXAMPLE"
-	assert.Equal(t, Identify(one), Identify(same))
+	assert.Equal(t, Identify(request), Identify(same))
 	for name, change := range map[string]func(*Request){
 		"method":    func(r *Request) { r.Method = "PUT" },
 		"host":      func(r *Request) { r.Host = "i.example" },
@@ -21,21 +21,21 @@
 		"body":      func(r *Request) { r.Body = []byte("texts") },
 		"boundary":  func(r *Request) { r.Target, r.Workspace = "/a/b?cw", "" },
 	} {
-		other := one
+		other := request
 		change(&other)
-		assert.Assert(t, Identify(one) != Identify(other), name)
+		assert.Assert(t, Identify(request) != Identify(other), name)
 	}
 }
 
-func TestIdentityAsText(t *testing.T) {
+func TestIdentityTextRoundTrip(t *testing.T) {
 	id := Identify(Request{Target: "/a"})
 	text, err := id.MarshalText()
 	assert.NilError(t, err)
 	assert.Equal(t, string(text), id.String())
-	var back ID
-	assert.NilError(t, back.UnmarshalText(text))
-	assert.Equal(t, back, id)
-	assert.ErrorContains(t, back.UnmarshalText([]byte("12")), "identity")
+	var decoded ID
+	assert.NilError(t, decoded.UnmarshalText(text))
+	assert.Equal(t, decoded, id)
+	assert.ErrorContains(t, decoded.UnmarshalText([]byte("12")), "request identity")
 }
 
 func BenchmarkIdentify(b *testing.B) {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,19 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine keeps a request that crashes the endpoints that run it (a
-// poison pill, or query of death) away from them.
+// Package quarantine keeps a request that crashes endpoints (a poison pill, or
+// query of death) from being sent to more of them.
 //
-// A crash says little by itself: a dozen requests run at an endpoint, and all
-// of them break off with it. What tells the request to blame from those beside
-// it is that it never ends well anywhere. So each request under which an
-// endpoint crashed is remembered by its ID with its crashes; one good end
-// clears it; Threshold crashes without one put it in quarantine, in which it is
-// sent to no endpoint for Life.
+// A single crash does not identify the request that caused it, since an endpoint
+// runs several requests and all of them fail with it. The request to blame is the
+// one that never completes. Each request that was in progress at a crash is
+// recorded by its ID with its crashes; a completion clears it; Threshold crashes
+// without one put it in quarantine, and it is sent to no endpoint for CrashTTL.
 //
-// Processes exchange what they know as Records. Merging is idempotent, and does
-// not depend on order or on clocks that agree: a good end begins a new epoch of
-// the request's record, the higher epoch goes before the lower, and crashes of
-// one epoch are united by their keys.
+// Processes exchange their tables as Records. Merging is idempotent and depends
+// neither on the order of messages nor on synchronised clocks: a completion starts
+// a new epoch of the request's entry, a higher epoch replaces a lower one, and the
+// crashes of one epoch are united by key.
 package quarantine
 
 import (
@@ -27,92 +26,94 @@
 )
 
 const (
-	// Threshold is how many crashes put a request in quarantine. One try may cost
-	// two before its gateway can know; with three, a request beside the one to
-	// blame must have met it three times without a good end between.
+	// Threshold is the number of crashes that put a request in quarantine. One
+	// attempt may cause two before its gateway is notified; with three, an innocent
+	// request must have been in progress at three crashes without completing in
+	// between.
 	Threshold = 3
-	// thresholdProven is the same for one that has ended well here lately, and so
-	// is hardly the one to blame. A common request stands beside each crash of an
-	// outbreak, and with Threshold alone would be kept from endpoints with the one
-	// to blame, and nothing could clear it any more.
-	thresholdProven = 3 * Threshold
-	// maxProven bounds the requests that are known to have ended well, the last
-	// ones: 0.2 MB.
-	maxProven = 4096
-	// correlated is the time within which crashes count as one, unless a run
-	// was sent after the crash before it: a rack that loses its power ends many
-	// runs of a common request at once.
-	correlated = 200 * time.Millisecond
-	// unseen is how long an endpoint's end may go unseen elsewhere, a few round
-	// trips between regions: a run that was moved there meanwhile never began.
-	unseen = 30 * time.Millisecond
-	// Life is how long a crash counts. A request in quarantine gets another
-	// chance after it, and at most Threshold more endpoints in each Life.
+	// completedThreshold is the same for a request that completed recently in this
+	// process, and so is unlikely to be the cause. A common request is in progress
+	// at each crash of an outbreak; with Threshold alone it would be quarantined
+	// too, and could then no longer complete and be cleared.
+	completedThreshold = 3 * Threshold
+	// maxCompleted bounds the completed requests that are kept: 0.2 MB.
+	maxCompleted = 4096
+	// correlationWindow is the time within which crashes count as one, unless the
+	// request was sent to the endpoint after the previous crash. A rack that loses
+	// power ends many runs of a common request at once.
+	correlationWindow = 200 * time.Millisecond
+	// detectionDelay is how long other processes may take to detect the end of an
+	// endpoint, a few round trips between regions. A request sent there in the
+	// meantime never started.
+	detectionDelay = 30 * time.Millisecond
+	// CrashTTL is how long a crash counts. A request in quarantine may run again
+	// after it, and crashes at most Threshold more endpoints in each CrashTTL.
 	Life = 10 * time.Minute
-	// TrialAfter is how long after its last crash one process lets a request in
-	// quarantine run once, if nothing has cleared it: one that only stood beside
-	// crashes, as a common one does when all endpoints crash before it has ended
-	// well anywhere, is out after that instead of after Life. One that is to blame
-	// ends one endpoint more in each Life.
+	// TrialAfter is how long after the last crash one process may run a request in
+	// quarantine once, if it was not cleared. An innocent request leaves quarantine
+	// after this time instead of CrashTTL, such as a common one when all endpoints
+	// crash before it has completed anywhere. A harmful one crashes one more
+	// endpoint in each CrashTTL.
 	TrialAfter = 20 * time.Second
-	// relayedLife is how long a process that only relays remembers what no
-	// gateway tells it any more. Gateways tell twice a second.
-	relayedLife = 5 * time.Second
+	// relayedTTL is how long a process that only relays keeps an entry that no
+	// gateway sends any more. Gateways send twice a second.
+	relayedTTL = 5 * time.Second
 	// maxRequests bounds the table: 0.6 MB with maxCrashes of each.
 	maxRequests = 512
 	// maxCrashes bounds the crashes that are kept of a request.
-	maxCrashes = thresholdProven + 3
+	maxCrashes = completedThreshold + 3
 )
 
-// Standing is what is known of a request.
+// Status is the status of a request.
 type Standing struct {
-	// Crashes is how many endpoints crashed under it since it last ended well,
-	// those at the same moment counted as one.
+	// Crashes is the number of endpoint crashes with the request in progress since
+	// it last completed, with correlated ones counted as one.
 	Crashes int
-	// Proven says that it ended well here lately.
+	// Completed reports that it completed recently in this process.
 	Proven bool
 }
 
-// Suspected reports whether an endpoint crashed under the request.
+// Suspected reports whether an endpoint crashed with the request in progress.
 func (s Standing) Suspected() bool { return s.Crashes > 0 }
 
 // Quarantined reports whether the request must be sent to no endpoint.
 func (s Standing) Quarantined() bool {
 	if s.Proven {
-		return s.Crashes >= thresholdProven
+		return s.Crashes >= completedThreshold
 	}
 	return s.Crashes >= Threshold
 }
 
-// crash is one endpoint's, seen by one gateway.
+// crash is the crash of an endpoint as detected by one gateway.
 type crash struct {
-	key uint32 // drawn by who saw it
+	key uint32 // random, chosen by the gateway
 	// sent is when the request was sent to the endpoint.
 	sent, at time.Time
 }
 
-// independent reports whether c counts beside an earlier crash at last.
+// independent reports whether c counts in addition to an earlier crash at last.
 func (c crash) independent(last time.Time) bool {
 	apart := c.at.Sub(last)
-	return apart >= correlated || c.sent.After(last) && apart >= unseen
+	return apart >= correlationWindow || c.sent.After(last) && apart >= detectionDelay
 }
 
-// entry is what is known of one request.
+// entry holds the crashes of one request.
 type entry struct {
-	// epoch counts its good ends that followed a crash.
+	// epoch counts the completions that followed a crash, and the clears by an
+	// operator.
 	epoch uint32
 	// crashes of this epoch, by time.
 	crashes []crash
-	// changed is when the entry last changed here, and told when a process
-	// last told of it.
-	changed, told time.Time
-	// own are the keys of the crashes that this process saw, and tried says that
-	// it has let the request run in quarantine.
-	own   []uint32
+	// changedAt is when the entry last changed in this process, and refreshedAt when
+	// it was last changed or received.
+	changedAt, refreshedAt time.Time
+	// ownKeys are the keys of the crashes that this process detected.
+	ownKeys []uint32
+	// tried reports that this process has run the request in quarantine.
 	tried bool
 }
 
-// count returns how many independent crashes there are.
+// count returns the number of independent crashes.
 func (e *entry) count() int {
 	count := 0
 	var last time.Time
@@ -125,19 +126,18 @@
 	return count
 }
 
-// add adds a crash; of one that is known the earlier time counts, since each
-// process on the way adds the delay of its message. It reports whether that
-// changed anything.
+// add adds a crash, and reports whether it is new. A known one gets the earlier of
+// the two times, since message delays only make it seem later.
 func (e *entry) add(c crash) bool {
-	at := slices.IndexFunc(e.crashes, func(known crash) bool { return known.key == c.key })
+	index := slices.IndexFunc(e.crashes, func(known crash) bool { return known.key == c.key })
 	switch {
-	case at >= 0 && !c.at.Before(e.crashes[at].at):
+	case index >= 0 && !c.at.Before(e.crashes[index].at):
 		return false
-	case at >= 0:
-		e.crashes[at] = c
+	case index >= 0:
+		e.crashes[index] = c
 		e.sort()
 		return false
-	case len(e.crashes) >= maxCrashes && e.count() >= thresholdProven:
+	case len(e.crashes) >= maxCrashes && e.count() >= completedThreshold:
 		return false
 	case len(e.crashes) >= maxCrashes:
 		e.dropDependent()
@@ -151,122 +151,121 @@
 	slices.SortFunc(e.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 }
 
-// dropDependent drops the last crash that does not count beside the one before
-// it.
+// dropDependent drops the last crash that is not independent of the one before it.
 func (e *entry) dropDependent() {
-	for at := len(e.crashes) - 1; at > 0; at-- {
-		if !e.crashes[at].independent(e.crashes[at-1].at) {
-			e.crashes = slices.Delete(e.crashes, at, at+1)
+	for n := len(e.crashes) - 1; n > 0; n-- {
+		if !e.crashes[n].independent(e.crashes[n-1].at) {
+			e.crashes = slices.Delete(e.crashes, n, n+1)
 			return
 		}
 	}
 }
 
-// Table is what one process knows of requests under which endpoints crashed.
-// It is safe for concurrent use; its lock is taken last.
+// Table holds the requests of one process that were in progress at a crash. It is
+// safe for concurrent use; its lock is taken last.
 type Table struct {
-	// relayed says that entries live only as long as gateways tell of them.
+	// relayed reports that entries expire relayedTTL after a gateway last sent them.
 	relayed bool
-	// known says that there are entries: while there are none, which is nearly
-	// always, nobody waits for the lock to hear so.
-	known atomic.Bool
+	// nonEmpty reports that there may be entries. It saves taking the lock in the
+	// usual case that there are none.
+	nonEmpty atomic.Bool
 
-	mu      sync.Mutex
-	entries map[ID]*entry
-	// proven are requests that ended well here lately.
-	proven proven
-	// turn is where the next Tell goes on with entries that are not urgent.
-	turn int
+	mu        sync.Mutex
+	entries   map[ID]*entry
+	completed completedRequests
+	// rotation is the position of Records among the entries that are not urgent.
+	rotation int
 }
 
 // New returns the table of a gateway.
 func New() *Table { return &Table{entries: make(map[ID]*entry)} }
 
-// NewRelayed returns the table of a process that relays between gateways.
+// NewRelayed returns the table of a process that only relays between gateways.
 func NewRelayed() *Table { return &Table{relayed: true, entries: make(map[ID]*entry)} }
 
-// Standing returns what is known of a request.
+// Status returns the status of a request; it is zero for one without crashes.
 func (t *Table) Standing(id ID, now time.Time) Standing {
-	if !t.known.Load() {
+	if !t.nonEmpty.Load() {
 		return Standing{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
-	if e == nil || t.dead(e, now) {
+	if e == nil || t.expired(e, now) {
 		return Standing{}
 	}
-	return t.standing(id, e)
+	return t.status(id, e)
 }
 
-// standing returns what is known of a request with an entry; Table.mu is held.
-func (t *Table) standing(id ID, e *entry) Standing {
-	return Standing{Crashes: e.count(), Proven: t.proven.has(id)}
+// status returns the status of a request with an entry; Table.mu is held.
+func (t *Table) status(id ID, e *entry) Standing {
+	return Standing{Crashes: e.count(), Proven: t.completed.has(id)}
 }
 
-// Crashed notes that an endpoint, to which the request was sent at sent, has
-// crashed.
+// RecordCrash records the crash of an endpoint to which the request was sent at
+// sent, and returns the status of the request.
 func (t *Table) Crashed(id ID, sent, now time.Time) Standing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
-	if e == nil || t.dead(e, now) {
+	if e == nil || t.expired(e, now) {
 		e = &entry{}
 		t.put(id, e, now)
 	}
 	key := rand.Uint32()
 	e.add(crash{key: key, sent: sent, at: now})
-	e.own = append(e.own, key)
-	e.changed, e.told = now, now
-	return t.standing(id, e)
+	e.ownKeys = append(e.ownKeys, key)
+	e.changedAt, e.refreshedAt = now, now
+	return t.status(id, e)
 }
 
-// Trial reports whether a request in quarantine may run once here, and notes that
-// it does: at one process, the one that saw the crash with the lowest key, and once
-// in a Life.
+// Trial reports whether this process may run a request in quarantine once, and
+// records that it does. Only the process that detected the crash with the lowest key
+// may, and once per entry.
 func (t *Table) Trial(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
-	if e == nil || t.dead(e, now) || e.tried || !t.standing(id, e).Quarantined() || now.Sub(e.since()) < TrialAfter {
+	if e == nil || t.expired(e, now) || e.tried || !t.status(id, e).Quarantined() || now.Sub(e.lastCrash()) < TrialAfter {
 		return false
 	}
 	lowest := slices.MinFunc(e.crashes, func(a, b crash) int { return cmp.Compare(a.key, b.key) })
-	e.tried = slices.Contains(e.own, lowest.key)
+	e.tried = slices.Contains(e.ownKeys, lowest.key)
 	return e.tried
 }
 
-// Clear lets a request out of quarantine, by an operator's word; all processes
-// hear of it. It reports whether it was suspected of anything.
+// Clear releases a request from quarantine on behalf of an operator, in all
+// processes. It reports whether the request had crashes.
 func (t *Table) Clear(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clear(id, now)
 }
 
-// clear begins a new epoch of a request; Table.mu is held.
+// clear starts a new epoch of a request with crashes, and reports whether there were
+// any; Table.mu is held.
 func (t *Table) clear(id ID, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || len(e.crashes) == 0 {
 		return false
 	}
 	e.epoch++
-	e.crashes, e.own = nil, nil
-	e.changed, e.told = now, now
+	e.crashes, e.ownKeys = nil, nil
+	e.changedAt, e.refreshedAt = now, now
 	return true
 }
 
-// EndedWell notes that the request was answered in full. It reports whether that
-// cleared it of anything.
+// RecordCompletion records that the request got a complete response. It reports
+// whether that cleared any crashes.
 func (t *Table) EndedWell(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.proven.add(id)
+	t.completed.add(id)
 	return t.clear(id, now)
 }
 
-// Left is how much longer a request in quarantine stays there if nothing clears
-// it.
+// Remaining returns how long a request in quarantine stays there unless it is
+// cleared, or 0 if the table has no entry for it.
 func (t *Table) Left(id ID, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -274,18 +273,18 @@
 	if e == nil {
 		return 0
 	}
-	return max(0, Life-now.Sub(e.since()))
+	return max(0, Life-now.Sub(e.lastCrash()))
 }
 
-// Len returns how many requests are suspected, and how many of those are in
+// Counts returns the number of suspected requests, and how many of them are in
 // quarantine.
 func (t *Table) Len(now time.Time) (suspected, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
-		s := t.standing(id, e)
+		s := t.status(id, e)
 		switch {
-		case t.dead(e, now):
+		case t.expired(e, now):
 		case s.Quarantined():
 			suspected++
 			quarantined++
@@ -296,49 +295,51 @@
 	return suspected, quarantined
 }
 
-// dead reports whether an entry counts no more; Table.mu is held.
-func (t *Table) dead(e *entry, now time.Time) bool {
+// expired reports whether an entry has expired; Table.mu is held.
+func (t *Table) expired(e *entry, now time.Time) bool {
 	if t.relayed {
-		return now.Sub(e.told) > relayedLife
+		return now.Sub(e.refreshedAt) > relayedTTL
 	}
-	return now.Sub(e.since()) > Life
+	return now.Sub(e.lastCrash()) > Life
 }
 
-// since is the time from which an entry lives.
-func (e *entry) since() time.Time {
+// lastCrash returns the time of the last crash, or of the last change if there is no
+// crash.
+func (e *entry) lastCrash() time.Time {
 	if n := len(e.crashes); n > 0 {
 		return e.crashes[n-1].at
 	}
-	return e.changed
+	return e.changedAt
 }
 
-// put adds an entry, in the place of the least important one if the table is
-// full; Table.mu is held.
+// put adds an entry, and evicts the least important one if the table is full;
+// Table.mu is held.
 func (t *Table) put(id ID, e *entry, now time.Time) {
 	if len(t.entries) >= maxRequests {
-		maps.DeleteFunc(t.entries, func(_ ID, e *entry) bool { return t.dead(e, now) })
+		maps.DeleteFunc(t.entries, func(_ ID, e *entry) bool { return t.expired(e, now) })
 	}
 	if len(t.entries) >= maxRequests {
-		t.dropLeast()
+		t.evictLeastImportant()
 	}
 	t.entries[id] = e
-	t.known.Store(true)
+	t.nonEmpty.Store(true)
 }
 
-// dropLeast forgets the entry with the fewest crashes, the oldest of those: a
-// caller that makes many does not free a request in quarantine.
-func (t *Table) dropLeast() {
-	var least ID
-	var lowest *entry
-	for id, e := range t.entries {
-		if lowest == nil || compareImportance(e, lowest) > 0 {
-			least, lowest = id, e
+// evictLeastImportant evicts the entry with the fewest crashes, the oldest of those,
+// so that a caller cannot release a request from quarantine by sending many others;
+// Table.mu is held.
+func (t *Table) evictLeastImportant() {
+	var id ID
+	var least *entry
+	for candidate, e := range t.entries {
+		if least == nil || compareImportance(e, least) > 0 {
+			id, least = candidate, e
 		}
 	}
-	delete(t.entries, least)
+	delete(t.entries, id)
 }
 
 // compareImportance orders entries, the more important first.
 func compareImportance(a, b *entry) int {
-	return cmp.Or(cmp.Compare(b.count(), a.count()), b.changed.Compare(a.changed))
+	return cmp.Or(cmp.Compare(b.count(), a.count()), b.changedAt.Compare(a.changedAt))
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -13,10 +13,10 @@
 	"pgregory.net/rapid"
 )
 
-// begin is when these tests begin; nothing depends on it.
+// begin is an arbitrary start time of the tests.
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at is a time of a test, in milliseconds.
+// at returns the time ms milliseconds after begin.
 func at(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 
 // nth returns the n-th ID.
@@ -41,10 +41,10 @@
 	assert.Equal(t, quarantined, 1)
 }
 
-// A request beside the one to blame ends well at its next endpoint.
-func TestOneGoodEndClears(t *testing.T) {
+// An innocent request completes at its next endpoint, which must clear its crashes.
+func TestOneCompletionClears(t *testing.T) {
 	table := New()
-	assert.Assert(t, !table.EndedWell(nth(1), at(0)), "there was nothing to clear")
+	assert.Assert(t, !table.EndedWell(nth(1), at(0)), "no crash to clear")
 	table.Crashed(nth(1), at(0), at(50))
 	table.Crashed(nth(1), at(100), at(150))
 	assert.Assert(t, table.EndedWell(nth(1), at(300)))
@@ -52,21 +52,20 @@
 	assert.Equal(t, table.Crashed(nth(1), at(400), at(450)).Crashes, 1)
 }
 
-// A rack that loses its power ends many runs of a common request at once. A
-// request that crashes one endpoint after the other, however fast, was sent to
-// the next after the one before had crashed.
+// Simultaneous crashes, as of a rack that loses power, count as one. Crashes of a
+// request that was sent to the next endpoint after the previous crash count each.
 func TestCrashesAtOneMomentCountOnce(t *testing.T) {
 	table := New()
 	for n := range 2 * maxCrashes {
 		s := table.Crashed(nth(1), at(0), at(500+n))
 		assert.Equal(t, s.Crashes, 1)
 	}
-	assert.Equal(t, table.Crashed(nth(1), at(501), at(505)).Crashes, 1, "sent on to one of them before its end was seen")
+	assert.Equal(t, table.Crashed(nth(1), at(501), at(505)).Crashes, 1, "sent to one of them before its crash was detected")
 	assert.Equal(t, table.Crashed(nth(1), at(600), at(650)).Crashes, 2, "sent after them")
 	assert.Equal(t, table.Crashed(nth(1), at(0), at(900)).Crashes, 3, "long after them")
 }
 
-func TestACrashCountsForItsLife(t *testing.T) {
+func TestACrashExpires(t *testing.T) {
 	table := New()
 	for n := range Threshold {
 		table.Crashed(nth(1), at(1000*n), at(1000*n+50))
@@ -77,7 +76,7 @@
 	assert.Equal(t, table.Crashed(nth(1), last.Add(Life), last.Add(Life+time.Second)).Crashes, 1)
 }
 
-// A caller that makes many requests frees none that is in quarantine.
+// The table is bounded, and many other requests do not evict one in quarantine.
 func TestTheTableIsBounded(t *testing.T) {
 	table := New()
 	for n := range Threshold {
@@ -89,22 +88,22 @@
 	assert.Equal(t, len(table.entries), maxRequests)
 	assert.Assert(t, table.Standing(nth(0), at(9000)).Quarantined())
 	assert.Assert(t, table.Standing(nth(3*maxRequests), at(9000)).Suspected(), "the newest is kept")
-	assert.Assert(t, !table.Standing(nth(1), at(9000)).Suspected(), "the oldest is forgotten")
+	assert.Assert(t, !table.Standing(nth(1), at(9000)).Suspected(), "the oldest is evicted")
 }
 
-// A process that only relays forgets what no gateway tells any more.
-func TestARelayForgets(t *testing.T) {
+// A process that only relays evicts entries that no gateway sends any more.
+func TestARelayEvictsEntries(t *testing.T) {
 	gateway, relay := New(), NewRelayed()
 	gateway.Crashed(nth(1), at(0), at(50))
 	assert.Assert(t, relay.Merge(gateway.Tell(at(60)), at(60)))
-	assert.Assert(t, !relay.Merge(gateway.Tell(at(4000)), at(4000)), "no news")
-	assert.Equal(t, len(relay.Tell(at(4000).Add(relayedLife))), 1)
-	assert.Equal(t, len(relay.Tell(at(4001).Add(relayedLife))), 0)
+	assert.Assert(t, !relay.Merge(gateway.Tell(at(4000)), at(4000)), "unchanged")
+	assert.Equal(t, len(relay.Tell(at(4000).Add(relayedTTL))), 1)
+	assert.Equal(t, len(relay.Tell(at(4001).Add(relayedTTL))), 0)
 }
 
-// A message that was long under way, as to a process that stood still, makes no
-// second crash of the first, and does not make it younger.
-func TestALateMessageIsNoNews(t *testing.T) {
+// A delayed message, such as one to a suspended process, neither duplicates a crash
+// nor makes it later.
+func TestADelayedMessageChangesNothing(t *testing.T) {
 	one, other := New(), New()
 	one.Crashed(nth(1), at(0), at(50))
 	early := one.Tell(at(60))
@@ -115,7 +114,8 @@
 	assert.Equal(t, one.entries[nth(1)].crashes[0].at, at(50))
 }
 
-// What was cleared stays cleared, though others tell the older crashes on.
+// A cleared request stays cleared when others still send the crashes of its earlier
+// epoch.
 func TestAClearedRequestStaysCleared(t *testing.T) {
 	one, other := New(), New()
 	for n := range Threshold {
@@ -130,10 +130,10 @@
 	assert.Assert(t, !one.Standing(nth(1), at(3300)).Suspected())
 }
 
-// Whatever is told among several processes, in whatever order, late, twice or
-// not at all: in the end all know the same, no request has more crashes than it
-// had, and one that crashed Threshold endpoints after its last good end is known
-// for it everywhere, and in quarantine where it has not ended well.
+// For messages that arrive in any order, late, twice or not at all, all processes
+// converge: no request has more crashes than happened, and one with Threshold crashes
+// since its last completion has that many everywhere, and is in quarantine in each
+// process where it has not completed.
 func TestProcessesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const requests, processes = 3, 3
@@ -141,36 +141,36 @@
 		for n := range tables {
 			tables[n] = New()
 		}
-		type letter struct {
+		type message struct {
 			to      int
 			records []Record
 		}
-		var underway []letter
+		var inFlight []message
 		var crashes [requests]int
 		now := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += rapid.IntRange(201, 1500).Draw(t, "pause")
-			who := rapid.IntRange(0, processes-1).Draw(t, "process")
-			what := rapid.IntRange(0, requests-1).Draw(t, "request")
+			process := rapid.IntRange(0, processes-1).Draw(t, "process")
+			request := rapid.IntRange(0, requests-1).Draw(t, "request")
 			switch rapid.SampledFrom([]string{"crash", "crash", "end", "tell", "tell", "deliver"}).Draw(t, "event") {
 			case "crash":
-				crashes[what]++
-				tables[who].Crashed(nth(what), at(now-100), at(now))
+				crashes[request]++
+				tables[process].Crashed(nth(request), at(now-100), at(now))
 			case "end":
-				if tables[who].EndedWell(nth(what), at(now)) {
-					crashes[what] = 0
-					for _, other := range tables { // the rest is heard of before the next crash
-						other.Merge(tables[who].Tell(at(now)), at(now))
+				if tables[process].EndedWell(nth(request), at(now)) {
+					crashes[request] = 0
+					for _, other := range tables { // all receive it before the next crash
+						other.Merge(tables[process].Tell(at(now)), at(now))
 					}
 				}
 			case "tell":
-				underway = append(underway, letter{rapid.IntRange(0, processes-1).Draw(t, "to"), tables[who].Tell(at(now))})
+				inFlight = append(inFlight, message{rapid.IntRange(0, processes-1).Draw(t, "to"), tables[process].Tell(at(now))})
 			case "deliver":
-				if len(underway) == 0 {
+				if len(inFlight) == 0 {
 					continue
 				}
-				l := underway[rapid.IntRange(0, len(underway)-1).Draw(t, "letter")]
-				tables[l.to].Merge(l.records, at(now))
+				m := inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "message")]
+				tables[m.to].Merge(m.records, at(now))
 			}
 		}
 		for range processes {
@@ -180,20 +180,20 @@
 				}
 			}
 		}
-		for what := range requests {
+		for request := range requests {
 			for _, table := range tables {
-				s := table.Standing(nth(what), at(now))
-				assert.Assert(t, s.Crashes <= crashes[what])
-				assert.Equal(t, s.Crashes >= Threshold, crashes[what] >= Threshold, "request %d: %d crashes, %v", what, crashes[what], s)
-				assert.Assert(t, s.Proven || s.Quarantined() == (crashes[what] >= Threshold))
+				s := table.Standing(nth(request), at(now))
+				assert.Assert(t, s.Crashes <= crashes[request])
+				assert.Equal(t, s.Crashes >= Threshold, crashes[request] >= Threshold, "request %d: %d crashes, %v", request, crashes[request], s)
+				assert.Assert(t, s.Proven || s.Quarantined() == (crashes[request] >= Threshold))
 			}
 		}
 	})
 }
 
-// A full table is told in turn, the requests in quarantine each time; what is
-// told fits a datagram.
-func TestTellFitsAndLeavesNothingOut(t *testing.T) {
+// Records sends all entries of a full table in rotation, those in quarantine each
+// time, and its records fit a datagram.
+func TestRecordsFitADatagramAndAllAreSent(t *testing.T) {
 	table := New()
 	for n := range maxRequests * maxCrashes {
 		table.Crashed(nth(n%maxRequests), at(n*50), at(n*50+9999))
@@ -202,8 +202,8 @@
 	const datagram = 1300
 	for range maxRequests {
 		records := table.Tell(at(maxRequests * maxCrashes * 50))
-		assert.Equal(t, len(records), toldRequests)
-		assert.Equal(t, len(records[0].Crashes), toldCrashes)
+		assert.Equal(t, len(records), maxRecords)
+		assert.Equal(t, len(records[0].Crashes), maxRecordCrashes)
 		text, err := json.Marshal(records)
 		assert.NilError(t, err)
 		assert.Assert(t, len(text) < datagram, "%d bytes", len(text))
@@ -214,7 +214,7 @@
 	assert.Equal(t, len(seen), maxRequests)
 }
 
-func BenchmarkStanding(b *testing.B) {
+func BenchmarkStatus(b *testing.B) {
 	for name, n := range map[string]int{"none": 0, "full": maxRequests} {
 		table := New()
 		for n := range n {
@@ -229,9 +229,9 @@
 	}
 }
 
-// A common request stands beside each crash of an outbreak; that it has ended
-// well before tells it from the one to blame, which never does. Were it kept from
-// endpoints, nothing could clear it any more.
+// A common request is in progress at each crash of an outbreak. Having completed
+// before keeps it from being quarantined with the request that causes the crashes;
+// in quarantine it could not complete and be cleared.
 func TestACommonRequestIsNotQuarantinedWithTheOneToBlame(t *testing.T) {
 	table := New()
 	table.EndedWell(nth(1), at(0))
@@ -244,33 +244,34 @@
 	assert.Assert(t, table.Standing(nth(2), at(9000)).Quarantined())
 	other := New()
 	other.Merge(table.Tell(at(9000)), at(9000))
-	assert.Assert(t, other.Standing(nth(1), at(9000)).Quarantined(), "a gateway that has not seen it end well")
+	assert.Assert(t, other.Standing(nth(1), at(9000)).Quarantined(), "a gateway in which it has not completed")
 	table.EndedWell(nth(1), at(9500))
 	other.Merge(table.Tell(at(9600)), at(9600))
-	assert.Assert(t, !other.Standing(nth(1), at(9600)).Suspected(), "until it does")
+	assert.Assert(t, !other.Standing(nth(1), at(9600)).Suspected(), "cleared by a completion elsewhere")
 }
 
-// One that has turned bad is found all the same, with more crashes.
-func TestAProvenRequestThatTurnsBadIsQuarantined(t *testing.T) {
+// A request that completed before is still quarantined, after more crashes. The set of
+// completed requests is bounded.
+func TestACompletedRequestIsQuarantinedAfterMoreCrashes(t *testing.T) {
 	table := New()
 	table.EndedWell(nth(1), at(0))
 	crashes := 0
 	for !table.Standing(nth(1), at(1000*crashes)).Quarantined() {
-		assert.Assert(t, crashes < thresholdProven)
+		assert.Assert(t, crashes < completedThreshold)
 		table.Crashed(nth(1), at(1000*crashes), at(1000*crashes+50))
 		crashes++
 	}
-	assert.Equal(t, crashes, thresholdProven)
+	assert.Equal(t, crashes, completedThreshold)
 	table.EndedWell(nth(2), at(0))
-	for n := range maxProven {
+	for n := range maxCompleted {
 		table.EndedWell(nth(3+n), at(0))
 	}
-	assert.Assert(t, len(table.proven.ids) <= maxProven)
-	assert.Assert(t, !table.proven.has(nth(2)), "the oldest is forgotten")
-	assert.Assert(t, table.proven.has(nth(2+maxProven)))
+	assert.Assert(t, len(table.completed.ids) <= maxCompleted)
+	assert.Assert(t, !table.completed.has(nth(2)), "the oldest is evicted")
+	assert.Assert(t, table.completed.has(nth(2+maxCompleted)))
 }
 
-func BenchmarkEndedWell(b *testing.B) {
+func BenchmarkRecordCompletion(b *testing.B) {
 	table := New()
 	n := 0
 	for b.Loop() {
@@ -279,9 +280,9 @@
 	}
 }
 
-// Sidecars that pass on what gateways tell hear of each suspect for a while; only
-// of requests in quarantine for as long as they are in it.
-func TestSuspectsAreToldForAWhile(t *testing.T) {
+// Records of suspected requests are sent for reportTime; those of requests in
+// quarantine until they leave it.
+func TestSuspectsAreSentForReportTime(t *testing.T) {
 	table := New()
 	for n := range Threshold {
 		table.Crashed(nth(0), at(1000*n), at(1000*n+50))
@@ -289,19 +290,19 @@
 	table.Crashed(nth(1), at(2000), at(2050))
 	table.Crashed(nth(2), at(2000), at(2050))
 	table.EndedWell(nth(2), at(2100))
-	assert.Equal(t, len(table.Tell(at(2050).Add(toldFor))), 3)
-	later := table.Tell(at(2101).Add(toldFor))
+	assert.Equal(t, len(table.Tell(at(2050).Add(reportTime))), 3)
+	later := table.Tell(at(2101).Add(reportTime))
 	assert.Equal(t, len(later), 1)
 	assert.Equal(t, later[0].ID, nth(0))
-	assert.Assert(t, table.Standing(nth(1), at(2101).Add(toldFor)).Suspected(), "it is still known here")
+	assert.Assert(t, table.Standing(nth(1), at(2101).Add(reportTime)).Suspected(), "still suspected in this process")
 }
 
-// The memory of a full table, with as many requests that ended well.
+// BenchmarkFullTable measures the memory of a full table and set of completed requests.
 func BenchmarkFullTable(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
 		table := New()
-		for n := range maxProven {
+		for n := range maxCompleted {
 			table.EndedWell(nth(n), begin)
 		}
 		for n := range maxRequests * maxCrashes {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Record is what one process tells another of a request. Times are ages: the
-// processes' clocks need not agree.
+// Record is the entry of a request as sent between processes. Times are sent as
+// ages, so the clocks of the processes need not agree.
 type Record struct {
 	ID      ID      `json:"i"`
 	Epoch   uint32  `json:"e,omitempty"`
@@ -17,29 +17,31 @@
 
 // Crash is one crash of a Record.
 type Crash struct {
+	// Key identifies the crash.
 	Key   uint32 `json:"k"`
 	AgeMS int64  `json:"a"`
-	// RanMS is how long before the crash the request was sent.
+	// RanMS is the time from sending the request to the crash, in milliseconds.
 	RanMS int64 `json:"r"`
 }
 
-// Sizes of what is told at once, so that it fits a datagram beside a
-// subscription or a report: 40 bytes a record and 40 a crash.
+// Sizes of one message, such that it fits a datagram with a subscription or a
+// load report: 40 bytes a record and 40 a crash.
 const (
-	toldRequests = 6
-	// toldInTurn of them are taken in turn from those that are not among the
-	// first.
-	toldInTurn = 2
-	// toldFor is how long a request that is not in quarantine is told after it
-	// changed: all have heard by then, and what the crashes of busy endpoints leave
-	// would fill the datagrams for all of its Life.
-	toldFor = 30 * time.Second
-	// toldCrashes of a request are enough for quarantine.
-	toldCrashes = Threshold + 1
+	maxRecords = 6
+	// rotatingRecords is how many of maxRecords rotate among the entries that are
+	// not among the most urgent.
+	rotatingRecords = 2
+	// reportTime is how long after a change a request that is not in quarantine
+	// is sent. All processes have received it by then, and the crashes of busy
+	// endpoints would otherwise fill the datagrams for CrashTTL.
+	reportTime = 30 * time.Second
+	// maxRecordCrashes bounds the crashes of a record; it suffices for quarantine.
+	maxRecordCrashes = Threshold + 1
 )
 
-// Tell returns the most important records: requests in quarantine first, then
-// what changed last. What does not fit comes with one of the next calls.
+// Records returns the most urgent records: requests in quarantine first, then by
+// time of the last change. Subsequent calls return the rest in rotation. Expired
+// entries are evicted.
 func (t *Table) Tell(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,80 +50,84 @@
 	}
 	ids := make([]ID, 0, len(t.entries))
 	for id, e := range t.entries {
-		if t.dead(e, now) {
+		if t.expired(e, now) {
 			delete(t.entries, id)
 			continue
 		}
-		if e.count() >= Threshold || now.Sub(e.changed) <= toldFor {
+		if e.count() >= Threshold || now.Sub(e.changedAt) <= reportTime {
 			ids = append(ids, id)
 		}
 	}
-	t.known.Store(len(t.entries) > 0)
+	t.nonEmpty.Store(len(t.entries) > 0)
 	slices.SortFunc(ids, func(a, b ID) int { return compareUrgency(t.entries[a], t.entries[b]) })
-	if len(ids) > toldRequests {
-		first, rest := ids[:toldRequests-toldInTurn], ids[toldRequests-toldInTurn:]
-		for range toldInTurn {
-			t.turn++
-			first = append(slices.Clone(first), rest[t.turn%len(rest)])
+	if len(ids) > maxRecords {
+		first, rest := ids[:maxRecords-rotatingRecords], ids[maxRecords-rotatingRecords:]
+		for range rotatingRecords {
+			t.rotation++
+			first = append(slices.Clone(first), rest[t.rotation%len(rest)])
 		}
 		ids = first
 	}
 	out := make([]Record, len(ids))
-	for at, id := range ids {
-		out[at] = t.entries[id].record(id, now)
+	for n, id := range ids {
+		out[n] = t.entries[id].record(id, now)
 	}
 	return out
 }
 
-// compareUrgency orders entries for Tell, the more urgent first.
+// compareUrgency orders entries for Records, the more urgent first.
 func compareUrgency(a, b *entry) int {
-	inA, inB := a.count() >= Threshold, b.count() >= Threshold
+	quarantinedA, quarantinedB := a.count() >= Threshold, b.count() >= Threshold
 	switch {
-	case inA && !inB:
+	case quarantinedA && !quarantinedB:
 		return -1
-	case inB && !inA:
+	case quarantinedB && !quarantinedA:
 		return 1
 	default:
-		return b.changed.Compare(a.changed)
+		return b.changedAt.Compare(a.changedAt)
 	}
 }
 
 func (e *entry) record(id ID, now time.Time) Record {
 	r := Record{ID: id, Epoch: e.epoch}
-	for _, c := range e.spread() {
+	for _, c := range e.recordCrashes() {
 		r.Crashes = append(r.Crashes, Crash{Key: c.key, AgeMS: now.Sub(c.at).Milliseconds(), RanMS: c.at.Sub(c.sent).Milliseconds()})
 	}
 	return r
 }
 
-// spread returns up to toldCrashes crashes that count the most.
-func (e *entry) spread() []crash {
-	if len(e.crashes) <= toldCrashes {
+// recordCrashes returns up to maxRecordCrashes crashes; if there are more, only
+// independent ones.
+func (e *entry) recordCrashes() []crash {
+	if len(e.crashes) <= maxRecordCrashes {
 		return e.crashes
 	}
 	out := e.crashes[:1:1]
 	for _, c := range e.crashes[1:] {
-		if len(out) < toldCrashes && c.independent(out[len(out)-1].at) {
+		if len(out) < maxRecordCrashes && c.independent(out[len(out)-1].at) {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// Merge takes what another process told, and reports whether it was news.
+// Merge merges records of another process, and reports whether they changed the
+// table.
 func (t *Table) Merge(records []Record, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := false
+	changed := false
 	for _, r := range records {
-		news = t.merge(r, now) || news
+		changed = t.mergeRecord(r, now) || changed
 	}
-	return news
+	return changed
 }
 
-func (t *Table) merge(r Record, now time.Time) bool {
+// mergeRecord merges one record, and reports whether it changed the table; Table.mu
+// is held.
+func (t *Table) mergeRecord(r Record, now time.Time) bool {
 	e := t.entries[r.ID]
-	if e != nil && t.dead(e, now) {
+	if e != nil && t.expired(e, now) {
 		e = nil
 	}
 	known := e != nil
@@ -129,12 +135,12 @@
 	case !known && r.Epoch == 0 && len(r.Crashes) == 0:
 		return false
 	case !known:
-		e = &entry{epoch: r.Epoch, changed: now}
+		e = &entry{epoch: r.Epoch, changedAt: now}
 	case r.Epoch < e.epoch:
 		return false
 	case r.Epoch > e.epoch:
-		e.epoch, e.crashes, e.own = r.Epoch, nil, nil
-		e.changed, known = now, false
+		e.epoch, e.crashes, e.ownKeys = r.Epoch, nil, nil
+		e.changedAt, known = now, false
 	}
 	added := false
 	for _, c := range r.Crashes {
@@ -144,9 +150,9 @@
 			added = e.add(crash{key: c.Key, sent: sent, at: at}) || added
 		}
 	}
-	e.told = now
+	e.refreshedAt = now
 	if added {
-		e.changed = now
+		e.changedAt = now
 	}
 	if t.entries[r.ID] != e {
 		t.put(r.ID, e, now)
