--- a/history/history.go
+++ b/history/history.go
@@ -1,30 +1,31 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package history names places in a topic of the platform's log, and orders
-// them.
+// Package history orders positions in a topic of the platform's event log.
 //
-// The log may come back from an older copy. What was written since is gone then,
-// and its offsets are given out again for other records: an offset says nothing
-// without the era that it belongs to, which rises with each return.
+// The log may be restored from an older copy. Records written since that copy are
+// then lost, and their offsets are assigned to other records. An offset is therefore
+// only valid within its era, a number that increases with each restore.
 package history
 
 import "cmp"
 
-// Position is how far a topic has been read.
+// Position is a read position in a topic.
 type Position struct {
-	// Era of the log, and the offset of the next record in it.
-	Era    int64
+	// Era is the era of the log.
+	Era int64
+	// Offset is the offset of the next record in the era; negative if nothing has
+	// been read.
 	Offset int64
 }
 
-// Unread is the position of who has read nothing.
+// Unread is the position of a reader that has read nothing.
 var Unread = Position{Offset: -1}
 
 // Known reports whether anything has been read.
 func (p Position) Known() bool { return p.Offset >= 0 }
 
-// Before reports whether q is further: in a later era, whatever the offsets, or
-// in the same one at a higher offset.
+// Before reports whether p is before q. A position that is not Known is before each
+// that is; others are ordered by era and offset.
 func (p Position) Before(q Position) bool {
 	if !p.Known() || !q.Known() {
 		return !p.Known() && q.Known()
@@ -32,7 +33,7 @@
 	return cmp.Or(cmp.Compare(p.Era, q.Era), cmp.Compare(p.Offset, q.Offset)) < 0
 }
 
-// Later returns the further one of two positions.
+// Later returns the later of two positions.
 func Later(p, q Position) Position {
 	if p.Before(q) {
 		return q
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAnOffsetCountsWithinItsEra(t *testing.T) {
+func TestPositionsAreOrderedByEraAndOffset(t *testing.T) {
 	ordered := []Position{Unread, {Era: 0, Offset: 0}, {Era: 0, Offset: 900}, {Era: 1, Offset: 3}, {Era: 1, Offset: 4}, {Era: 3, Offset: 0}}
 	for a, p := range ordered {
 		for b, q := range ordered {
--- a/retrybudget/retrybudget_test.go
+++ b/retrybudget/retrybudget_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// All gateways together stay within ratio x requests + slack in any window,
-// however many of them restart.
+// All gateways together stay within ratio x requests + slack in any window, however
+// many of them restart.
 func TestBoundHoldsOverGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Params{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Gateways: 8}
@@ -20,7 +20,7 @@
 		for i := range gateways {
 			gateways[i] = New(p, now)
 		}
-		type second struct{ requests, repeats int }
+		type second struct{ requests, retries int }
 		var seconds []second
 		for range 25 {
 			var s second
@@ -34,25 +34,25 @@
 				}
 				for range rapid.IntRange(0, 40).Draw(t, "wanted") {
 					if gateways[i].Take(now) {
-						s.repeats++
+						s.retries++
 					}
 				}
 			}
 			seconds = append(seconds, s)
 			now = now.Add(time.Second)
-			requests, repeats := 0, 0
+			requests, retries := 0, 0
 			for _, old := range seconds[max(0, len(seconds)-10):] {
 				requests += old.requests
-				repeats += old.repeats
+				retries += old.retries
 			}
-			if float64(repeats) > p.Ratio*float64(requests)+p.Slack {
-				t.Fatalf("%d repeats of %d requests in a window", repeats, requests)
+			if float64(retries) > p.Ratio*float64(requests)+p.Slack {
+				t.Fatalf("%d retries of %d requests in a window", retries, requests)
 			}
 		}
 	})
 }
 
-func TestTakeEndsAndComesBack(t *testing.T) {
+func TestBudgetIsExhaustedAndRefilled(t *testing.T) {
 	p := Params{Ratio: 0.2, Slack: 80, Window: 10 * time.Second, Gateways: 8}
 	now := time.Unix(1000, 0)
 	b := New(p, now)
