--- a/backpressure/quota.go
+++ b/backpressure/quota.go
@@ -8,9 +8,9 @@
 // permits. All gateways send their requests for an endpoint to the same process, which
 // need not be the sidecar of that endpoint.
 //
-// In any window of 4 s the gateways send at most the permits granted in the window and
-// in the 1.4 s before it (grantTTL and the wait for a connection): rate * 5.4 s plus
-// one bucket.
+// In any window of 4 s the gateways send at most the permits granted in the window, in
+// the grantTTL before it and in the time that a request waits for a connection: rate *
+// 5.4 s plus one bucket.
 type Quotas struct {
 	table   *Table
 	buckets map[*State]*bucket
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -152,18 +152,18 @@
 			now += rapid.IntRange(201, 1500).Draw(t, "pause")
 			process := rapid.IntRange(0, processes-1).Draw(t, "process")
 			request := rapid.IntRange(0, requests-1).Draw(t, "request")
-			switch rapid.SampledFrom([]string{"crash", "crash", "end", "tell", "tell", "deliver"}).Draw(t, "event") {
+			switch rapid.SampledFrom([]string{"crash", "crash", "complete", "send", "send", "deliver"}).Draw(t, "event") {
 			case "crash":
 				crashes[request]++
 				tables[process].Crashed(nth(request), at(now-100), at(now))
-			case "end":
+			case "complete":
 				if tables[process].EndedWell(nth(request), at(now)) {
 					crashes[request] = 0
 					for _, other := range tables { // all receive it before the next crash
 						other.Merge(tables[process].Tell(at(now)), at(now))
 					}
 				}
-			case "tell":
+			case "send":
 				inFlight = append(inFlight, message{rapid.IntRange(0, processes-1).Draw(t, "to"), tables[process].Tell(at(now))})
 			case "deliver":
 				if len(inFlight) == 0 {
