--- a/transfer/order.go
+++ b/transfer/order.go
@@ -9,20 +9,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// orderRanks is how many boxes of each chunk's rendezvous order an Order
-// keeps.
-const orderRanks = 8
+// maxRanks is the number of boxes that an Order stores for each chunk.
+const maxRanks = 8
 
 // Order is the rendezvous order of a plan: for each region and chunk, the
-// boxes that fetch the chunk first, by rank. It follows from the plan
-// alone, so all boxes hold the same one.
+// boxes responsible for the chunk's first fetch, by rank. It depends on the
+// plan alone, so all boxes compute the same one.
 type Order struct {
-	first map[string][][]string
+	// ranking holds box names by region, chunk and rank.
+	ranking map[string][][]string
 }
 
-// NewOrder computes the order of p.
+// NewOrder computes the order of p. Passive boxes are ranked only in a region
+// that has no other boxes.
 func NewOrder(p Params) *Order {
-	o := &Order{first: make(map[string][][]string)}
+	o := &Order{ranking: make(map[string][][]string)}
 	byRegion := make(map[string][]string)
 	passive := make(map[string][]string)
 	for _, peer := range p.Peers {
@@ -34,36 +35,37 @@
 	}
 	for region, boxes := range passive {
 		if len(byRegion[region]) == 0 {
-			byRegion[region] = boxes // there is nobody else
+			byRegion[region] = boxes
 		}
 	}
 	for region, boxes := range byRegion {
-		o.first[region] = make([][]string, p.Chunks)
+		o.ranking[region] = make([][]string, p.Chunks)
 		for c := range p.Chunks {
-			o.first[region][c] = ranked(c, boxes)
+			o.ranking[region][c] = topRanked(c, boxes)
 		}
 	}
 	return o
 }
 
-// closePartners is how many places of a chunk's order watch each other: who
-// stands there learns at once when a box ahead does not answer, instead of
-// waiting a TakeOver for it. Three dead boxes in a row are rare even where
-// half of a region is gone (one chunk in eight).
-const closePartners = 3
+// partnerRanks is the number of first ranks of a chunk's order whose boxes
+// check each other's health, so that a failed box is skipped at once instead
+// of after a TakeOverDelay. With half of a region's boxes down, all three are
+// down for one chunk in eight.
+const partnerRanks = 3
 
-// Partners returns the boxes that share the first places of a chunk's order
-// with box, which is in region. They are at most 2*closePartners for each of
-// the box's chunks, whatever the size of the region, and all of a small one.
+// Partners returns the boxes that share the first partnerRanks ranks of any
+// chunk with box, which is in region: at most partnerRanks-1 for each chunk in
+// which box has such a rank, whatever the size of the region. In a small region
+// they are all other boxes.
 func (o *Order) Partners(region, box string) []string {
 	seen := map[string]bool{box: true}
 	var out []string
-	for _, ranked := range o.first[region] {
-		near := ranked[:min(closePartners, len(ranked))]
-		if !slices.Contains(near, box) {
+	for _, ranked := range o.ranking[region] {
+		leading := ranked[:min(partnerRanks, len(ranked))]
+		if !slices.Contains(leading, box) {
 			continue
 		}
-		for _, other := range near {
+		for _, other := range leading {
 			if !seen[other] {
 				seen[other] = true
 				out = append(out, other)
@@ -73,22 +75,24 @@
 	return out
 }
 
-type weighted struct {
+// weightedBox is a box with its rendezvous weight for one chunk.
+type weightedBox struct {
 	box    string
 	weight uint64
 }
 
-// ranked returns the first boxes of chunk c's order.
-func ranked(c int, boxes []string) []string {
-	top := make([]weighted, 0, orderRanks+1)
+// topRanked returns the maxRanks boxes of the highest weight for chunk c, in
+// descending order.
+func topRanked(c int, boxes []string) []string {
+	top := make([]weightedBox, 0, maxRanks+1)
 	for _, box := range boxes {
-		w := weighted{box: box, weight: weight(c, box)}
-		if len(top) == orderRanks && top[orderRanks-1].weight >= w.weight {
+		w := weightedBox{box: box, weight: weight(c, box)}
+		if len(top) == maxRanks && top[maxRanks-1].weight >= w.weight {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(top, w, func(a, b weighted) int { return cmp.Compare(b.weight, a.weight) })
+		at, _ := slices.BinarySearchFunc(top, w, func(a, b weightedBox) int { return cmp.Compare(b.weight, a.weight) })
 		top = slices.Insert(top, at, w)
-		top = top[:min(len(top), orderRanks)]
+		top = top[:min(len(top), maxRanks)]
 	}
 	out := make([]string, len(top))
 	for i, w := range top {
@@ -97,7 +101,8 @@
 	return out
 }
 
-// rankAmong is the place of box in chunk c's order among itself and peers.
+// rankAmong returns the rank of box in the rendezvous order of chunk c over
+// itself and peers.
 func rankAmong(c int, box string, peers []*peerState) int {
 	own := weight(c, box)
 	rank := 0
@@ -109,7 +114,7 @@
 	return rank
 }
 
-// weight is the rendezvous weight of a box for a chunk.
+// weight returns the rendezvous weight of box for chunk c.
 func weight(c int, box string) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(c))
--- a/transfer/picker.go
+++ b/transfer/picker.go
@@ -8,29 +8,30 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Picker chooses which chunk to send to a box that pulls: the one that this
-// box has sent the fewest times, so that what is rare spreads first. It is
-// not safe for concurrent use.
+// Picker chooses the chunk to send to a box that pulls: the one that this box
+// has sent the fewest times, an estimate of rarest first. It is not safe for
+// concurrent use.
 type Picker struct {
-	sent []int32
-	rng  *rand.Rand
+	sendCounts []int32 // by chunk
+	rng        *rand.Rand
 }
 
-// NewPicker returns a picker for a version of n chunks.
+// NewPicker returns a picker for a version of n chunks; seed determines how
+// ties are broken.
 func NewPicker(n int, seed uint64) *Picker {
-	return &Picker{sent: make([]int32, n), rng: rand.New(rand.NewPCG(seed, uint64(n)))}
+	return &Picker{sendCounts: make([]int32, n), rng: rand.New(rand.NewPCG(seed, uint64(n)))}
 }
 
-// Pick returns a chunk of held that is not in has, or -1, and counts it as
-// sent.
+// Pick returns the least-sent chunk of held that is not in has and counts it
+// as sent. It returns -1 if there is none.
 func (p *Picker) Pick(held, has *bitset.BitSet) int {
-	useful := held.Difference(has)
+	candidates := held.Difference(has)
 	best, ties := -1, 0
-	for c, ok := useful.NextSet(0); ok; c, ok = useful.NextSet(c + 1) {
+	for c, ok := candidates.NextSet(0); ok; c, ok = candidates.NextSet(c + 1) {
 		switch {
-		case best < 0 || p.sent[c] < p.sent[best]:
+		case best < 0 || p.sendCounts[c] < p.sendCounts[best]:
 			best, ties = int(c), 1
-		case p.sent[c] == p.sent[best]:
+		case p.sendCounts[c] == p.sendCounts[best]:
 			ties++
 			if p.rng.IntN(ties) == 0 {
 				best = int(c)
@@ -38,7 +39,7 @@
 		}
 	}
 	if best >= 0 {
-		p.sent[best]++
+		p.sendCounts[best]++
 	}
 	return best
 }
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -8,9 +8,10 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Offered says that the peer answers p with the chunk. It returns false when
-// the chunk is held or on its way already; the caller then drops the answer
-// and calls Drop.
+// Offered reports to the swarm that p is being answered with the given chunk
+// and returns whether to accept it. It returns false if the chunk is held or in
+// flight already, or is not the one that p names; the caller then discards the
+// answer and calls Drop. For a pull FromPeer it sets p.Chunk.
 func (s *Swarm) Offered(p *Pull, chunk int) bool {
 	if chunk < 0 || chunk >= s.params.Chunks {
 		return false
@@ -19,34 +20,35 @@
 		return p.Chunk == chunk
 	}
 	c := uint(chunk)
-	if s.held.Test(c) || s.flying.Test(c) {
+	if s.held.Test(c) || s.inFlight.Test(c) {
 		return false
 	}
-	s.flying.Set(c)
+	s.inFlight.Set(c)
 	p.Chunk = chunk
 	return true
 }
 
-// Arrived says that the pull brought its chunk, verified, and what the
-// sender told along with it; took is how long the chunk was on its way.
-func (s *Swarm) Arrived(p Pull, k Knowledge, took time.Duration, now time.Time) {
-	s.end(p)
+// Arrived ends a pull whose chunk has been received and verified. a is the
+// sender's availability, and elapsed the duration of the transfer.
+func (s *Swarm) Arrived(p Pull, a Knowledge, elapsed time.Duration, now time.Time) {
+	s.endPull(p)
 	s.held.Set(uint(p.Chunk))
 	s.exists.Set(uint(p.Chunk))
-	if s.standsStill(now) {
-		s.resumed = now.Sub(s.start) + time.Duration(s.unseen())*s.params.ChunkTurn
+	if s.takeOverPaused(now) {
+		s.catchUpAt = now.Sub(s.start) + time.Duration(s.missingInRegion())*s.params.ChunkTurn
 	}
-	s.lastNew = now
-	s.ownStall = false
-	s.chunkTime = smooth(s.chunkTime, took)
+	s.lastArrival = now
+	s.localStall = false
+	s.chunkTime = ewma(s.chunkTime, elapsed)
 	if ps := s.byBox[p.Peer]; ps != nil {
-		ps.idle, ps.penalty, ps.retry = 0, 0, 0
-		s.learn(ps, k)
+		ps.idleBackoff, ps.penalty, ps.retryAt = 0, 0, 0
+		s.mergeAvailability(ps, a)
 	}
 }
 
-// smooth is an exponentially weighted mean.
-func smooth(mean, sample time.Duration) time.Duration {
+// ewma returns the exponentially weighted moving average after sample; a mean
+// of zero stands for no sample yet.
+func ewma(mean, sample time.Duration) time.Duration {
 	const weight = 8
 	if mean == 0 {
 		return sample
@@ -54,136 +56,145 @@
 	return mean + (sample-mean)/weight
 }
 
-// StallLimit is how long a pull may go without a byte before it counts as
-// stalled: a multiple of what chunks take here lately, so that a slow link
-// that moves is let be.
+// StallTimeout returns how long a pull may receive no byte before it counts
+// as stalled. It is a multiple of the smoothed chunk time, so that a slow link
+// that makes progress is not treated as stalled.
 func (s *Swarm) StallLimit() time.Duration {
 	if s.chunkTime == 0 {
-		return stallMax
+		return stallTimeoutMax
 	}
-	return min(max(stallFactor*s.chunkTime, stallMin), stallMax)
+	return min(max(stallFactor*s.chunkTime, stallTimeoutMin), stallTimeoutMax)
 }
 
-// ChunkTime is the smoothed time that a chunk takes, or 0 before the first.
+// ChunkTime returns the smoothed duration of a chunk's transfer, or 0 before
+// the first chunk.
 func (s *Swarm) ChunkTime() time.Duration { return s.chunkTime }
 
-// Nothing says that the peer held nothing of use.
-func (s *Swarm) Nothing(p Pull, k Knowledge, now time.Time) {
-	s.end(p)
+// NothingUseful ends a pull whose peer has no chunk that this box needs, or
+// not the one that was asked for; a is the peer's availability. The peer is
+// asked again after an exponential backoff.
+func (s *Swarm) Nothing(p Pull, a Knowledge, now time.Time) {
+	s.endPull(p)
 	if p.Kind == FromFar {
-		s.senderFailed = now
+		s.lastSenderFailure = now
 	}
 	ps := s.byBox[p.Peer]
 	if ps == nil {
 		return
 	}
-	s.learn(ps, k)
-	ps.idle = min(max(2*ps.idle, idleRetry), idleRetryMax)
-	ps.retry = now.Sub(s.start) + ps.idle
+	s.mergeAvailability(ps, a)
+	ps.idleBackoff = min(max(2*ps.idleBackoff, idleBackoffMin), idleBackoffMax)
+	ps.retryAt = now.Sub(s.start) + ps.idleBackoff
 }
 
-// Busy says that the sender refused for now; after is its own word on when
-// to come back, or zero.
-func (s *Swarm) Busy(p Pull, after time.Duration, now time.Time) {
-	s.end(p)
+// Busy ends a pull that the sender refused because of load; retryAfter is the
+// delay that the sender asked for, or zero.
+func (s *Swarm) Busy(p Pull, retryAfter time.Duration, now time.Time) {
+	s.endPull(p)
 	if ps := s.byBox[p.Peer]; ps != nil {
-		ps.retry = now.Sub(s.start) + max(after, idleRetry)
+		ps.retryAt = now.Sub(s.start) + max(retryAfter, idleBackoffMin)
 	}
 }
 
-// Bad says that the sender answered with something else than the chunk.
-func (s *Swarm) Bad(p Pull, now time.Time) { s.blame(p, penaltyMin, now) }
+// InvalidChunk ends a pull whose answer was not the expected chunk.
+func (s *Swarm) Bad(p Pull, now time.Time) { s.penalize(p, penaltyMin, now) }
 
-// Broken says that the sender refused or broke the connection; the origin,
-// too, is then left alone for a while.
+// ConnectionFailed ends a pull whose connection was refused or broken. It
+// applies a backoff to the sender, which may be the origin.
 func (s *Swarm) Broken(p Pull, now time.Time) {
-	s.pauseOrigin(p, now)
-	s.blame(p, penaltyMin, now)
+	s.backOffOrigin(p, now)
+	s.penalize(p, penaltyMin, now)
 }
 
-// Unreachable says that the sender did not answer at all. A peer behind a
-// narrow or cut link takes a pull's whole time-out each time it is asked, so it
-// is left alone for longer than one that refuses.
+// Unreachable ends a pull that timed out without an answer. Each further pull
+// from such a peer would cost the whole timeout, so the backoff is longer than
+// after a refused connection.
 func (s *Swarm) Unreachable(p Pull, now time.Time) {
-	s.pauseOrigin(p, now)
-	s.blame(p, stallPenalty, now)
+	s.backOffOrigin(p, now)
+	s.penalize(p, stallPenalty, now)
 }
 
-func (s *Swarm) pauseOrigin(p Pull, now time.Time) {
+// backOffOrigin delays the next read from the origin if p is one.
+func (s *Swarm) backOffOrigin(p Pull, now time.Time) {
 	if p.Kind == FromOrigin {
-		s.originRetry = now.Add(originPause)
-		s.senderFailed = now
+		s.originRetry = now.Add(originBackoff)
+		s.lastSenderFailure = now
 	}
 }
 
-// blame leaves a peer alone, for at least a while, doubling.
-func (s *Swarm) blame(p Pull, least time.Duration, now time.Time) {
-	s.end(p)
+// penalize ends p and backs off its peer, for at least minimum and doubling
+// with each failure up to penaltyMax.
+func (s *Swarm) penalize(p Pull, minimum time.Duration, now time.Time) {
+	s.endPull(p)
 	ps := s.byBox[p.Peer]
 	if ps == nil {
 		return
 	}
-	ps.penalty = min(max(2*ps.penalty, least), penaltyMax)
-	ps.retry = now.Sub(s.start) + ps.penalty
+	ps.penalty = min(max(2*ps.penalty, minimum), penaltyMax)
+	ps.retryAt = now.Sub(s.start) + ps.penalty
 }
 
-// Stalled says that the pull went without a byte for StallLimit. Where
-// chunks arrived from others meanwhile, the peer is to blame; otherwise this
-// box's own link is, and nobody is left alone for it.
+// Stalled ends a pull that received no byte for StallTimeout. The peer is
+// penalized only if other chunks arrived meanwhile; otherwise this box's own
+// link is presumed to have stalled.
 func (s *Swarm) Stalled(p Pull, now time.Time) {
-	if now.Sub(s.lastNew) < s.StallLimit() {
-		s.blame(p, stallPenalty, now)
+	if now.Sub(s.lastArrival) < s.StallLimit() {
+		s.penalize(p, stallPenalty, now)
 		return
 	}
-	s.ownStall = true
-	s.end(p)
+	s.localStall = true
+	s.endPull(p)
 	if ps := s.byBox[p.Peer]; ps != nil {
-		ps.retry = now.Sub(s.start) + idleRetryMax
+		ps.retryAt = now.Sub(s.start) + idleBackoffMax
 	}
 }
 
-// Drop says that an answer to p was not taken.
-func (s *Swarm) Drop(p Pull) { s.end(p) }
+// Drop ends a pull whose answer was discarded or that was cancelled.
+func (s *Swarm) Drop(p Pull) { s.endPull(p) }
 
-// Gone says that a box has left the plan's boxes for good.
-func (s *Swarm) Gone(box string) {
+// RemovePeer excludes a box that has left the plan from all further pulls.
+func (s *Swarm) RemovePeer(box string) {
 	if ps := s.byBox[box]; ps != nil {
-		ps.retry = time.Duration(1<<62 - 1)
+		ps.retryAt = time.Duration(1<<62 - 1)
 	}
 }
 
-// Known says that a box holds these chunks.
-func (s *Swarm) Known(box string, k Knowledge) {
+// AddAvailability records the availability that a box has reported.
+func (s *Swarm) Known(box string, a Knowledge) {
 	if ps := s.byBox[box]; ps != nil {
-		s.learn(ps, k)
+		s.mergeAvailability(ps, a)
 	}
 }
 
-func (s *Swarm) learn(ps *peerState, k Knowledge) {
-	if !s.fits(k.Held) {
+// mergeAvailability adds a to what is known of ps and, for a peer of the own
+// region, of the region. Bitmaps that are missing or of the wrong length are
+// ignored.
+func (s *Swarm) mergeAvailability(ps *peerState, a Knowledge) {
+	if !s.validBitmap(a.Held) {
 		return
 	}
-	ps.held.InPlaceUnion(k.Held)
+	ps.held.InPlaceUnion(a.Held)
 	if ps.Region != s.self.Region {
 		return
 	}
-	s.exists.InPlaceUnion(k.Held)
-	if s.fits(k.Exists) {
-		s.exists.InPlaceUnion(k.Exists)
+	s.exists.InPlaceUnion(a.Held)
+	if s.validBitmap(a.Exists) {
+		s.exists.InPlaceUnion(a.Exists)
 	}
 }
 
-func (s *Swarm) fits(b *bitset.BitSet) bool {
+func (s *Swarm) validBitmap(b *bitset.BitSet) bool {
 	return b != nil && b.Len() == uint(s.params.Chunks)
 }
 
-func (s *Swarm) end(p Pull) {
+// endPull undoes the accounting of a pull that is no longer in flight.
+func (s *Swarm) endPull(p Pull) {
 	s.pulls--
 	if p.Kind != FromPeer {
-		s.origin--
+		s.firstFetches--
 	}
 	if p.Chunk >= 0 {
-		s.flying.Clear(uint(p.Chunk))
+		s.inFlight.Clear(uint(p.Chunk))
 	}
 	if ps := s.byBox[p.Peer]; ps != nil {
 		ps.pulling = false
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -1,28 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package transfer decides who sends which chunk to whom, without a
-// coordinator. Each box of a plan runs its own Swarm for the version and
-// asks it what to do next; the answer is a Pull.
+// Package transfer schedules the distribution of a version's chunks to the
+// boxes of a plan, without a coordinator. Each box runs its own Swarm for the
+// version and calls Next for the next Pull to carry out.
 //
-// The rules, all computed from the plan alone, so that boxes agree on them
-// without talking:
+// The schedule is computed from the plan alone, so that all boxes agree on it
+// without exchanging messages:
 //
-//   - Every chunk has a rendezvous order over the plan's boxes in each
-//     region. In a region that reads from the origin, the box of rank 0
-//     reads the chunk from the origin, in the chunk's turn; a box of rank r
-//     takes over only after r further waits without a sign that anyone holds
-//     the chunk. So one copy leaves the origin, and a reader's death wakes
-//     one successor, not all of them.
-//   - In any other region, the same order says who fetches the chunk across
-//     the border, so that crossing is paid once a region.
-//   - Everything else comes from peers of the own region. The box that pulls
-//     sends the bitmap of what it holds and of what is on its way; the box
-//     that is asked picks the chunk (package transfer's Uploads), because it
-//     knows what it has passed on least. Each answer carries the sender's
-//     bitmap, so knowledge costs no messages of its own.
+//   - Every chunk has a rendezvous order over the plan's boxes in each region.
+//     In a region that reads from the origin, the box of rank 0 reads the
+//     chunk from the origin at the chunk's scheduled time: its first fetch. A
+//     box of rank r takes over only after r times TakeOverDelay, and only if
+//     no box of the region is known to hold the chunk. So the origin sends one
+//     copy, and a failed reader is replaced by one box, not by all.
+//   - In any other region, the same order determines which box fetches the
+//     chunk from a remote region, so that each region receives each chunk
+//     once.
+//   - All other chunks come from peers of the own region. The box that pulls
+//     sends the bitmap of the chunks that it holds or has in flight; the peer
+//     selects the chunk (see Picker), because it has counted which it has sent
+//     least. Each answer carries the sender's Availability, so that this needs
+//     no messages of its own.
 //
-// A sender whose chunk fails its digest, or that stalls, is left alone for
-// a while that doubles. The package does no I/O and takes time as a value.
+// A sender whose chunk fails its digest, or that stalls, is backed off
+// exponentially. The package does no I/O and takes the time as a parameter.
 package transfer
 
 import (
@@ -39,42 +40,47 @@
 type Peer struct {
 	Box    string
 	Region string
-	// Zone is the availability zone, for the preference of near peers.
+	// Zone is the availability zone.
 	Zone string
-	// Passive boxes fetch no chunk first for others: they are about to leave.
-	// They still pass on what they hold.
+	// Passive boxes are about to leave and do no first fetches, unless the
+	// region has no other boxes. They still serve the chunks that they hold.
 	Passive bool
 }
 
-// Params are what all boxes of a plan know alike.
+// Params are the parameters of a transfer. Those that determine the schedule
+// must be the same on all boxes of the plan.
 type Params struct {
 	Chunks int
 	Peers  []Peer
-	// OriginRegions read from the origin; the others cross from them.
+	// OriginRegions read from the origin; the other regions fetch from them.
 	OriginRegions []string
-	// ChunkTurn is the time between two chunks' turns at the origin: a
-	// chunk's size over the origin's rate.
+	// ChunkInterval is the time between the scheduled reads of successive
+	// chunks from the origin: a chunk's size over the origin's rate.
 	ChunkTurn time.Duration
-	// TakeOver is how long each further rank waits before it reads a chunk
-	// from the origin, or across a border, in the place of a silent one.
+	// TakeOverDelay is the additional delay of each further rank before it
+	// does the first fetch of a chunk in place of the rank before it.
 	TakeOver time.Duration
-	// ExtraOrigin is how many chunks beyond the rules each box may read from
-	// the origin once every chunk's turn has passed, when no peer has
-	// anything for it. It trades origin bytes for time.
+	// ExtraOrigin is the number of chunks that each box may read from the
+	// origin in addition to the schedule, once the scheduled times of all
+	// chunks have passed and no peer can be asked. It trades origin bytes for
+	// time.
 	ExtraOrigin int
-	// Downloads bounds the pulls under way at once.
+	// Downloads is the maximum number of pulls in flight; 0 stands for
+	// DefaultDownloads.
 	Downloads int
-	// Quiet is how long nothing new must have come before a transfer counts
-	// as stalled and a box looks for chunks that have been lost; 0 stands for DefaultQuiet.
+	// IdleTimeout is the time without a new chunk after which a transfer
+	// counts as idle and a box recovers chunks whose holders have failed; 0
+	// stands for DefaultIdleTimeout.
 	Quiet time.Duration
-	// Patient lets the waits of ranks behind the first stand still while
-	// nothing comes, so that not all ranks read at once when a sender is back.
-	// It suits plans that last for seconds; in one that lasts for minutes a
-	// far region's first wait is long without a fault.
+	// PauseTakeOver suspends the take-over delays of ranks after the first
+	// while the transfer is idle, so that not all ranks read at once when a
+	// failed sender recovers. It is for transfers that take seconds; in one of
+	// minutes a remote region waits long for its first chunk without a fault.
 	Patient bool
 }
 
-// ExtraOrigin is the share of each of n boxes in extra copies, in chunks.
+// ExtraOrigin returns the number of chunks that each of n boxes may read so
+// that together they read the given number of extra copies of the version.
 func ExtraOrigin(chunks, n int, copies float64) int {
 	if n == 0 {
 		return 0
@@ -82,75 +88,87 @@
 	return int(copies * float64(chunks) / float64(n))
 }
 
-// Defaults for Params.
+// Concurrency limits of a box.
 const (
+	// DefaultDownloads is the default of Params.Downloads.
 	DefaultDownloads = 6
-	// UploadSlots is how many chunks a box sends at once; it equals
-	// DefaultDownloads, so that neither end of a link waits for the other.
+	// UploadSlots is the number of chunks that a box sends concurrently. It
+	// equals DefaultDownloads, so that neither end of a link waits for the
+	// other.
 	UploadSlots = 6
-	// UploadWaiting is how many pulls may wait for a slot: one keeps the
-	// link busy, more would tie up the pulls of boxes that could ask
-	// elsewhere.
+	// UploadQueueLength is the number of pulls that may wait for an upload
+	// slot: one keeps the link busy, more would hold up boxes that could pull
+	// from other peers.
 	UploadWaiting = 1
-	// originSlots bounds one box's reads from the origin at once.
-	originSlots = 2
+	// maxFirstFetches limits the first fetches, and other reads from the
+	// origin, that a box has in flight.
+	maxFirstFetches = 2
 )
 
-// Kind says where a pull goes.
+// Kind is the kind of source of a pull.
 type Kind int
 
 // The kinds of a pull.
 const (
-	// None: nothing to do until Wait has passed or something arrives.
+	// None is no pull: nothing to do until Wait has passed or a pull ends.
 	None Kind = iota
-	// FromOrigin: read Chunk from the origin.
+	// FromOrigin reads Chunk from the origin.
 	FromOrigin
-	// FromPeer: ask Peer for any chunk that helps; Chunk is -1 until Offered.
+	// FromPeer asks Peer, in the own region, for any chunk that this box
+	// lacks; Chunk is -1 until Offered.
 	FromPeer
-	// FromFar: ask Peer, in another region, for Chunk.
+	// FromRemoteRegion asks Peer, in another region, for Chunk.
 	FromFar
 )
 
-// Pull is a decision of a Swarm.
+// Pull is a request for a chunk that a Swarm has decided on.
 type Pull struct {
 	Kind  Kind
 	Chunk int
 	Peer  string
-	// Wait is how long to wait before asking again, for None.
+	// Wait is the time after which to call Next again, for None.
 	Wait time.Duration
 }
 
-// Timing of what a Swarm does about peers.
+// Backoffs and timeouts.
 const (
-	// idleRetry is how soon a peer without anything useful is asked again.
-	idleRetry    = 20 * time.Millisecond
-	idleRetryMax = 640 * time.Millisecond
-	// penaltyMin and penaltyMax bound how long a bad peer is left alone;
-	// one that stalls is left alone for stallPenalty at first.
+	// idleBackoffMin and idleBackoffMax bound the backoff of a peer that has
+	// no useful chunk.
+	idleBackoffMin = 20 * time.Millisecond
+	idleBackoffMax = 640 * time.Millisecond
+	// penaltyMin and penaltyMax bound the backoff of a peer that failed;
+	// stallPenalty is the first backoff of one that stalls or does not answer.
 	penaltyMin   = 250 * time.Millisecond
 	penaltyMax   = 2 * time.Minute
 	stallPenalty = 2 * time.Second
-	// a pull without a byte for stallFactor chunk times has stalled.
-	stallFactor = 3
-	stallMin    = 500 * time.Millisecond
-	stallMax    = 10 * time.Second
-	// awayShare: more than one in so many chunks that nobody has seen are not
-	// explained by dead boxes, each of which reads two or three of 64 first.
-	awayShare = 4
-	// originPause is how long the origin is left alone after a failure.
-	originPause = 250 * time.Millisecond
-	// DefaultQuiet is the Quiet of plans that last for minutes.
-	DefaultQuiet = 2 * time.Second
+	// stallFactor times the smoothed chunk time is the timeout of a pull that
+	// receives no byte, within stallTimeoutMin and stallTimeoutMax.
+	stallFactor     = 3
+	stallTimeoutMin = 500 * time.Millisecond
+	stallTimeoutMax = 10 * time.Second
+	// senderDownShare is the fraction 1/senderDownShare of the chunks. If more
+	// than that are missing in the region, the sender is presumed down: failed
+	// peers do not explain it, as each is responsible for two or three
+	// of 64 chunks.
+	senderDownShare = 4
+	// originBackoff is the backoff of the origin after a failure.
+	originBackoff = 250 * time.Millisecond
+	// DefaultIdleTimeout is the default of Params.IdleTimeout, for transfers
+	// that take minutes.
+	DefaultIdleTimeout = 2 * time.Second
 )
 
+// peerState is the state of one peer.
 type peerState struct {
 	Peer
-	pulling bool
-	// retry is when the peer may be asked again; idle and penalty double.
-	retry   time.Duration
-	idle    time.Duration
-	penalty time.Duration
-	held    *bitset.BitSet
+	pulling bool // a pull from the peer is in flight
+	// retryAt is the time since Swarm.start from which the peer may be asked
+	// again. idleBackoff is the backoff after an answer without a useful
+	// chunk, penalty that after a failure; both double, and zero is none.
+	retryAt     time.Duration
+	idleBackoff time.Duration
+	penalty     time.Duration
+	held        *bitset.BitSet // chunks that the peer is known to hold
 }
 
 // Swarm is one box's view of one version's transfer. It is not safe for
@@ -161,64 +179,67 @@
 	start  time.Time
 	rng    *rand.Rand
 
-	held    *bitset.BitSet // verified here
-	flying  *bitset.BitSet // on its way here
-	exists  *bitset.BitSet // seen at some peer of the own region
-	peers   []*peerState   // own region
-	far     []*peerState   // regions that read from the origin, for crossing
-	byBox   map[string]*peerState
-	turns   []turn          // the chunks that this box may have to fetch first
-	silent  map[string]bool // boxes that did not answer when they were asked
-	firstly int             // turns before this index are done
-	origin  int             // reads from the origin under way
-	extra   int             // reads of the extra share so far
-	pulls   int             // all pulls under way
-	lastNew time.Time
-	// resumed is when a sender that had been away will have sent what was
-	// lacking; in a Patient plan later ranks wait from then on.
-	resumed time.Duration
-	// originRetry is when the origin may be asked again.
+	held         *bitset.BitSet // verified chunks of this box
+	inFlight     *bitset.BitSet // chunks on their way to this box
+	exists       *bitset.BitSet // chunks known to be held in the own region
+	peers        []*peerState   // peers of the own region
+	remote       []*peerState   // boxes of the origin regions, if this region is none of them
+	byBox        map[string]*peerState
+	schedule     []scheduledFetch // first fetches that this box may have to do
+	unresponsive map[string]bool  // boxes reported by MarkUnresponsive
+	scheduleDone int              // entries of schedule before this index are done
+	firstFetches int              // pulls in flight from the origin or a remote region
+	extraReads   int              // reads counted against Params.ExtraOrigin
+	pulls        int              // all pulls in flight
+	lastArrival  time.Time
+	// catchUpAt is the time since start by which a sender that recovered from
+	// an outage is expected to have sent the chunks that were missing. With
+	// PauseTakeOver, take-over delays count from then on.
+	catchUpAt time.Duration
+	// originRetry is the time from which the origin may be asked again.
 	originRetry time.Time
-	// senderFailed is when the origin, or the far region, last failed to give
-	// this box a chunk.
-	senderFailed time.Time
-	// chunkTime is the smoothed time that a chunk takes.
+	// lastSenderFailure is the time of the last failed read from the origin or
+	// of the last answer of a remote box that did not hold the chunk.
+	lastSenderFailure time.Time
+	// chunkTime is the smoothed duration of a chunk's transfer.
 	chunkTime time.Duration
-	// ownStall says that pulls from all sides stalled together.
-	ownStall bool
+	// localStall is true while this box's own link seems to stall.
+	localStall bool
 }
 
-// turn is a chunk whose rendezvous order names this box early.
-type turn struct {
+// scheduledFetch is the first fetch of a chunk for which this box has one of
+// the first ranks.
+type scheduledFetch struct {
 	chunk int
-	// ahead are the boxes before this one in the chunk's order, and rank how
-	// many of them are not known to be silent.
+	// ahead are the boxes of lower rank in the chunk's order, and rank is the
+	// number of those that are not known to be unresponsive.
 	ahead []string
 	rank  int
-	// due is when the box of rank 0 fetches the chunk, at when this one does.
+	// due is when the box of rank 0 fetches the chunk, and at is when this box
+	// does, both as the time since Swarm.start.
 	due, at time.Duration
 }
 
-// NewSwarm returns the view of box self; held are the chunks it has
-// already. o is the order of p, and start is when the plan was seen
-// confirmed.
+// NewSwarm returns the swarm of box self. held are the chunks that it has
+// already, o is the order of p, and start is the time at which the box saw the
+// plan confirmed.
 func NewSwarm(p Params, o *Order, self string, held *bitset.BitSet, start time.Time) *Swarm {
 	if p.Downloads <= 0 {
 		p.Downloads = DefaultDownloads
 	}
 	if p.Quiet <= 0 {
-		p.Quiet = DefaultQuiet
+		p.Quiet = DefaultIdleTimeout
 	}
 	s := &Swarm{
-		params:  p,
-		start:   start,
-		rng:     rand.New(rand.NewPCG(xxhash.Sum64String(self), uint64(p.Chunks))),
-		held:    held.Clone(),
-		flying:  bitset.New(uint(p.Chunks)),
-		exists:  bitset.New(uint(p.Chunks)),
-		byBox:   make(map[string]*peerState),
-		silent:  make(map[string]bool),
-		lastNew: start,
+		params:       p,
+		start:        start,
+		rng:          rand.New(rand.NewPCG(xxhash.Sum64String(self), uint64(p.Chunks))),
+		held:         held.Clone(),
+		inFlight:     bitset.New(uint(p.Chunks)),
+		exists:       bitset.New(uint(p.Chunks)),
+		byBox:        make(map[string]*peerState),
+		unresponsive: make(map[string]bool),
+		lastArrival:  start,
 	}
 	for _, peer := range p.Peers {
 		if peer.Box == self {
@@ -226,12 +247,14 @@
 		}
 	}
 	s.addPeers()
-	s.addTurns(o)
+	s.buildSchedule(o)
 	return s
 }
 
+// addPeers adds the boxes that this one may pull from: the peers of its region
+// and, if it does not read from the origin, the boxes of the origin regions.
 func (s *Swarm) addPeers() {
-	crossing := !s.readsOrigin()
+	fetchesRemotely := !s.readsOrigin()
 	for _, peer := range s.params.Peers {
 		if peer.Box == s.self.Box {
 			continue
@@ -240,8 +263,8 @@
 		switch {
 		case peer.Region == s.self.Region:
 			s.peers = append(s.peers, ps)
-		case crossing && slices.Contains(s.params.OriginRegions, peer.Region):
-			s.far = append(s.far, ps)
+		case fetchesRemotely && slices.Contains(s.params.OriginRegions, peer.Region):
+			s.remote = append(s.remote, ps)
 		default:
 			continue
 		}
@@ -249,25 +272,26 @@
 	}
 }
 
+// readsOrigin reports whether this box's region reads from the origin.
 func (s *Swarm) readsOrigin() bool {
 	return slices.Contains(s.params.OriginRegions, s.self.Region)
 }
 
-// Continue takes over the times of an earlier swarm of the same copy: turns go
-// on where they stood, and a wait that has begun is not begun anew.
+// InheritTiming copies the start time and the timing state of an earlier swarm
+// of the same copy, so that the schedule and delays that have begun continue.
 func (s *Swarm) Continue(earlier *Swarm) {
 	s.start = earlier.start
-	s.lastNew = earlier.lastNew
-	s.resumed = earlier.resumed
+	s.lastArrival = earlier.lastArrival
+	s.catchUpAt = earlier.catchUpAt
 	s.originRetry = earlier.originRetry
-	s.senderFailed = earlier.senderFailed
+	s.lastSenderFailure = earlier.lastSenderFailure
 	s.chunkTime = earlier.chunkTime
 }
 
-// addTurns computes the chunks for which this box has one of the first
-// ranks in its region.
-func (s *Swarm) addTurns(o *Order) {
-	for c, ranked := range o.first[s.self.Region] {
+// buildSchedule computes the first fetches of the chunks for which this box has
+// one of the first ranks in its region.
+func (s *Swarm) buildSchedule(o *Order) {
+	for c, ranked := range o.ranking[s.self.Region] {
 		rank := slices.Index(ranked, s.self.Box)
 		if rank < 0 || s.held.Test(uint(c)) {
 			continue
@@ -276,52 +300,54 @@
 		if !s.readsOrigin() {
 			due += s.params.ChunkTurn
 		}
-		s.turns = append(s.turns, turn{chunk: c, ahead: ranked[:rank], due: due})
+		s.schedule = append(s.schedule, scheduledFetch{chunk: c, ahead: ranked[:rank], due: due})
 	}
-	s.rankTurns()
+	s.sortSchedule()
 }
 
-// rankTurns puts the turns in the order of their times, which depend on who
-// is silent.
-func (s *Swarm) rankTurns() {
-	for i := range s.turns {
-		t := &s.turns[i]
-		t.rank = 0
-		for _, box := range t.ahead {
-			if !s.silent[box] {
-				t.rank++
+// sortSchedule recomputes the ranks and times of the schedule, which depend on
+// the unresponsive boxes, and sorts it by time.
+func (s *Swarm) sortSchedule() {
+	for i := range s.schedule {
+		f := &s.schedule[i]
+		f.rank = 0
+		for _, box := range f.ahead {
+			if !s.unresponsive[box] {
+				f.rank++
 			}
 		}
-		t.at = t.due + time.Duration(t.rank)*s.params.TakeOver
+		f.at = f.due + time.Duration(f.rank)*s.params.TakeOver
 	}
-	slices.SortFunc(s.turns, func(a, b turn) int {
+	slices.SortFunc(s.schedule, func(a, b scheduledFetch) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.chunk, b.chunk))
 	})
-	s.firstly = 0
+	s.scheduleDone = 0
 }
 
-// Silent says that a box of the own region did not answer when it was asked:
-// nobody waits for its turns, and it is left alone like one that stalls.
+// MarkUnresponsive records that a box of the own region did not answer a health
+// check: its first fetches are taken over without delay, and it is backed off
+// like a peer that stalls.
 func (s *Swarm) Silent(box string, now time.Time) {
-	if s.silent[box] {
+	if s.unresponsive[box] {
 		return
 	}
-	s.silent[box] = true
+	s.unresponsive[box] = true
 	if ps := s.byBox[box]; ps != nil {
 		ps.penalty = max(ps.penalty, stallPenalty)
-		ps.retry = max(ps.retry, now.Sub(s.start)+ps.penalty)
+		ps.retryAt = max(ps.retryAt, now.Sub(s.start)+ps.penalty)
 	}
-	s.rankTurns()
+	s.sortSchedule()
 }
 
 // Done reports whether every chunk is held.
 func (s *Swarm) Done() bool { return int(s.held.Count()) == s.params.Chunks }
 
-// Wants returns the bitmap that goes with a pull: what is held or on its
-// way, and so is not wanted.
-func (s *Swarm) Wants() *bitset.BitSet { return s.held.Union(s.flying) }
+// HeldOrInFlight returns the bitmap that is sent with a pull: the chunks that
+// this box holds or has in flight and so does not need.
+func (s *Swarm) Wants() *bitset.BitSet { return s.held.Union(s.inFlight) }
 
-// Reachable counts the chunks that this box or a peer is known to hold.
+// AvailableChunks returns the number of chunks that this box or a peer is known
+// to hold.
 func (s *Swarm) Reachable() int {
 	all := s.held.Union(s.exists)
 	for _, ps := range s.byBox {
@@ -333,47 +359,49 @@
 // Held returns a copy of the bitmap of verified chunks.
 func (s *Swarm) Held() *bitset.BitSet { return s.held.Clone() }
 
-// Knowledge is what an answer tells about chunks besides the one it brings.
+// Availability is sent with each answer of a pull. A nil bitmap is unknown.
 type Knowledge struct {
-	// Held are the sender's chunks.
+	// Held are the chunks that the sender holds.
 	Held *bitset.BitSet
-	// Exists are the chunks that the sender knows some peer of its region to
-	// hold. It spreads from answer to answer, so that a box of a later rank
-	// does not read again from the origin what has arrived long ago.
+	// Exists are the chunks that, as far as the sender knows, are held by some
+	// box of its region. Boxes propagate it, so that one of a later rank does
+	// not fetch a chunk that its region has already.
 	Exists *bitset.BitSet
 }
 
-// Knows returns what to send along with an answer.
+// Availability returns the availability to send with an answer.
 func (s *Swarm) Knows() Knowledge {
 	return Knowledge{Held: s.held.Clone(), Exists: s.exists.Clone()}
 }
 
-// Next decides on one more pull. The caller reports its end with Arrived,
-// Nothing, Busy or Bad.
+// Next returns the next pull to carry out. The caller must report its end by
+// one of Arrived, NothingUseful, Busy, InvalidChunk, ConnectionFailed,
+// Unreachable, Stalled and Drop, unless its kind is None.
 func (s *Swarm) Next(now time.Time) Pull {
-	if s.Done() || s.pulls >= s.downloads() {
-		return Pull{Wait: idleRetry}
+	if s.Done() || s.pulls >= s.pullLimit() {
+		return Pull{Wait: idleBackoffMin}
 	}
 	since := now.Sub(s.start)
-	if p, ok := s.firstTurn(now); ok {
+	if p, ok := s.nextScheduled(now); ok {
 		return p
 	}
-	if p, ok := s.nearPeer(since); ok {
+	if p, ok := s.pullFromPeer(since); ok {
 		return p
 	}
-	if p, ok := s.spare(since); ok {
+	if p, ok := s.readExtraShare(since); ok {
 		return p
 	}
-	if p, ok := s.lastResort(now); ok {
+	if p, ok := s.recoverLostChunk(now); ok {
 		return p
 	}
-	return Pull{Wait: idleRetry}
+	return Pull{Wait: idleBackoffMin}
 }
 
-// spare reads a chunk of the box's extra share from the origin.
-func (s *Swarm) spare(since time.Duration) (Pull, bool) {
+// readExtraShare returns a read of a random missing chunk from the origin,
+// within Params.ExtraOrigin, once the whole schedule has passed.
+func (s *Swarm) readExtraShare(since time.Duration) (Pull, bool) {
 	passed := since > time.Duration(s.params.Chunks)*s.params.ChunkTurn
-	if !passed || s.extra >= s.params.ExtraOrigin || s.origin >= originSlots {
+	if !passed || s.extraReads >= s.params.ExtraOrigin || s.firstFetches >= maxFirstFetches {
 		return Pull{}, false
 	}
 	missing := s.Wants().Complement()
@@ -382,129 +410,135 @@
 		return Pull{}, false
 	}
 	chunk := missing.Select(uint(s.rng.IntN(int(n))))
-	s.extra++
-	s.begin(int(chunk))
-	s.origin++
+	s.extraReads++
+	s.startPull(int(chunk))
+	s.firstFetches++
 	return Pull{Kind: FromOrigin, Chunk: int(chunk)}, true
 }
 
-// downloads bounds the pulls under way: a single one, as a probe, while the
-// box's own link seems to stall.
-func (s *Swarm) downloads() int {
-	if s.ownStall {
+// pullLimit returns the maximum number of pulls in flight: one, as a probe,
+// while the box's own link seems to stall.
+func (s *Swarm) pullLimit() int {
+	if s.localStall {
 		return 1
 	}
 	return s.params.Downloads
 }
 
-// firstTurn fetches a chunk that is due and that nobody is known to hold.
-func (s *Swarm) firstTurn(now time.Time) (Pull, bool) {
-	if s.origin >= originSlots || s.readsOrigin() && now.Before(s.originRetry) {
+// nextScheduled returns the first fetch of a scheduled chunk that is due and
+// that no box of the region is known to hold.
+func (s *Swarm) nextScheduled(now time.Time) (Pull, bool) {
+	if s.firstFetches >= maxFirstFetches || s.readsOrigin() && now.Before(s.originRetry) {
 		return Pull{}, false
 	}
 	since := now.Sub(s.start)
-	still := s.standsStill(now)
-	for i := s.firstly; i < len(s.turns); i++ {
-		t := s.turns[i]
-		if t.at > since {
+	paused := s.takeOverPaused(now)
+	for i := s.scheduleDone; i < len(s.schedule); i++ {
+		f := s.schedule[i]
+		if f.at > since {
 			return Pull{}, false
 		}
-		if t.rank > 0 && (still || s.resumed+time.Duration(t.rank)*s.params.TakeOver > since) {
+		if f.rank > 0 && (paused || s.catchUpAt+time.Duration(f.rank)*s.params.TakeOver > since) {
 			continue
 		}
-		c := uint(t.chunk)
+		c := uint(f.chunk)
 		if s.held.Test(c) || s.exists.Test(c) {
-			if i == s.firstly {
-				s.firstly++
+			if i == s.scheduleDone {
+				s.scheduleDone++
 			}
 			continue
 		}
-		if s.flying.Test(c) || s.beyondWindow(t, since) {
+		if s.inFlight.Test(c) || s.outsideReadWindow(f, since) {
 			continue
 		}
-		return s.first(t.chunk, since)
+		return s.startFirstFetch(f.chunk, since)
 	}
 	return Pull{}, false
 }
 
-// Bounds of the reads of an origin that is behind the plan's schedule.
+// Window of the reads from an origin that is behind schedule.
 const (
-	// behindAfter is how late a turn must be for the origin to count as behind.
-	behindAfter = 500 * time.Millisecond
-	// newsTime is how long it takes until the boxes of a region know of a chunk
-	// that one has read, and windowMore how many reads beyond what the origin
-	// sends in that time keep its link busy.
-	newsTime   = 400 * time.Millisecond
-	windowMore = 4
+	// behindThreshold is the lateness of a first fetch from which the origin
+	// counts as behind schedule.
+	behindThreshold = 500 * time.Millisecond
+	// propagationTime is the time until the boxes of a region know that one of
+	// them holds a new chunk. The window is the number of chunks that the
+	// origin sends in that time plus windowSlack, which keeps its link busy.
+	propagationTime = 400 * time.Millisecond
+	windowSlack     = 4
 )
 
-// beyondWindow reports whether a turn is left for later: when an origin that
-// was away is back, all turns are past, and were all read at once the chunks
-// would come together at the end, with no time left to pass them on.
-func (s *Swarm) beyondWindow(t turn, since time.Duration) bool {
-	if !s.params.Patient || !s.readsOrigin() || since-t.due < behindAfter {
+// outsideReadWindow reports whether to defer f because a whole window of
+// earlier chunks is still missing in the region. After an outage of the origin
+// all first fetches are overdue; reading all of them concurrently would complete
+// them all late, with no time left to distribute the chunks.
+func (s *Swarm) outsideReadWindow(f scheduledFetch, since time.Duration) bool {
+	if !s.params.Patient || !s.readsOrigin() || since-f.due < behindThreshold {
 		return false
 	}
-	window := windowMore
+	window := windowSlack
 	if s.params.ChunkTurn > 0 {
-		window += int(newsTime / s.params.ChunkTurn)
+		window += int(propagationTime / s.params.ChunkTurn)
 	}
-	below := 0
-	for c := range uint(t.chunk) {
+	missingBefore := 0
+	for c := range uint(f.chunk) {
 		if !s.held.Test(c) && !s.exists.Test(c) {
-			below++
+			missingBefore++
 		}
 	}
-	return below >= window
+	return missingBefore >= window
 }
 
-// standsStill reports whether nothing has come for so long that a sender is
-// away: in a Patient plan no later rank takes over before it is back.
-func (s *Swarm) standsStill(now time.Time) bool {
-	return s.params.Patient && now.Sub(s.lastNew) > s.params.Quiet
+// takeOverPaused reports whether take-over by later ranks is suspended because
+// the transfer is idle: the sender is presumed down.
+func (s *Swarm) takeOverPaused(now time.Time) bool {
+	return s.params.Patient && now.Sub(s.lastArrival) > s.params.Quiet
 }
 
-// unseen counts the chunks that nobody in the region is known to hold.
-func (s *Swarm) unseen() int {
+// missingInRegion returns the number of chunks that no box of the region is
+// known to hold.
+func (s *Swarm) missingInRegion() int {
 	return s.params.Chunks - int(s.held.UnionCardinality(s.exists))
 }
 
-// NextFirst is Next for the chunks that this box fetches for others alone: a
-// box whose pulls are all taken by its peers still keeps the origin busy.
+// NextFirstFetch is like Next but returns scheduled first fetches only, so that
+// a box that makes no other pulls still reads its chunks from the origin.
 func (s *Swarm) NextFirst(now time.Time) Pull {
-	if s.Done() || s.pulls >= s.downloads() {
-		return Pull{Wait: idleRetry}
+	if s.Done() || s.pulls >= s.pullLimit() {
+		return Pull{Wait: idleBackoffMin}
 	}
-	if p, ok := s.firstTurn(now); ok {
+	if p, ok := s.nextScheduled(now); ok {
 		return p
 	}
-	return Pull{Wait: idleRetry}
+	return Pull{Wait: idleBackoffMin}
 }
 
-// first starts the fetch of a chunk new to the region.
-func (s *Swarm) first(chunk int, since time.Duration) (Pull, bool) {
+// startFirstFetch starts the fetch of a chunk that is new to the region, from
+// the origin or a remote box. It returns false if no remote box can be asked.
+func (s *Swarm) startFirstFetch(chunk int, since time.Duration) (Pull, bool) {
 	if s.readsOrigin() {
-		s.begin(chunk)
-		s.origin++
+		s.startPull(chunk)
+		s.firstFetches++
 		return Pull{Kind: FromOrigin, Chunk: chunk}, true
 	}
-	ps := s.holderFarAway(chunk, since)
+	ps := s.remoteHolder(chunk, since)
 	if ps == nil {
 		return Pull{}, false
 	}
-	s.begin(chunk)
-	s.origin++
+	s.startPull(chunk)
+	s.firstFetches++
 	ps.pulling = true
 	return Pull{Kind: FromFar, Chunk: chunk, Peer: ps.Box}, true
 }
 
-// holderFarAway is the far box that has, or soon will have, the chunk: the
-// first in the far region's own order that is not left alone.
-func (s *Swarm) holderFarAway(chunk int, since time.Duration) *peerState {
+// remoteHolder returns the remote box to ask for chunk, or nil: of those that
+// are not backed off, one that is known to hold the chunk, and otherwise the
+// first in the remote region's own order, which fetches it first there.
+func (s *Swarm) remoteHolder(chunk int, since time.Duration) *peerState {
 	var best *peerState
 	var bestWeight uint64
-	for _, ps := range s.far {
-		if ps.retry > since || ps.pulling {
+	for _, ps := range s.remote {
+		if ps.retryAt > since || ps.pulling {
 			continue
 		}
 		w := weight(chunk, ps.Box)
@@ -520,27 +554,30 @@
 	return best
 }
 
-func (s *Swarm) begin(chunk int) {
-	s.flying.Set(uint(chunk))
+// startPull accounts for a pull of chunk.
+func (s *Swarm) startPull(chunk int) {
+	s.inFlight.Set(uint(chunk))
 	s.pulls++
 }
 
-// nearPeer chooses a peer of the own region: two at random, and of these
-// the one that is known to hold more of what is wanted.
-func (s *Swarm) nearPeer(since time.Duration) (Pull, bool) {
-	first := s.randomPeer(since)
-	if first == nil {
+// pullFromPeer starts a pull from a peer of the own region: of two random ones
+// that which is known to hold more of the chunks that this box lacks.
+func (s *Swarm) pullFromPeer(since time.Duration) (Pull, bool) {
+	chosen := s.randomPeer(since)
+	if chosen == nil {
 		return Pull{}, false
 	}
-	second := s.randomPeer(since)
-	if second != nil && s.useful(second) > s.useful(first) {
-		first = second
+	other := s.randomPeer(since)
+	if other != nil && s.usefulChunks(other) > s.usefulChunks(chosen) {
+		chosen = other
 	}
-	first.pulling = true
+	chosen.pulling = true
 	s.pulls++
-	return Pull{Kind: FromPeer, Chunk: -1, Peer: first.Box}, true
+	return Pull{Kind: FromPeer, Chunk: -1, Peer: chosen.Box}, true
 }
 
+// randomPeer returns a random peer of the own region that is neither backed off
+// nor being pulled from, or nil.
 func (s *Swarm) randomPeer(since time.Duration) *peerState {
 	n := len(s.peers)
 	if n == 0 {
@@ -549,54 +586,58 @@
 	at := s.rng.IntN(n)
 	for i := range n {
 		ps := s.peers[(at+i)%n]
-		if !ps.pulling && ps.retry <= since {
+		if !ps.pulling && ps.retryAt <= since {
 			return ps
 		}
 	}
 	return nil
 }
 
-func (s *Swarm) useful(ps *peerState) uint { return ps.held.DifferenceCardinality(s.held) }
+// usefulChunks returns the number of chunks that ps is known to hold and this
+// box lacks.
+func (s *Swarm) usefulChunks(ps *peerState) uint { return ps.held.DifferenceCardinality(s.held) }
 
-// lastResort fetches what has been seen at some peer but cannot be had any
-// more, because the peers that held it died. When nothing new has come for
-// a while, the first in the chunk's order among the peers that still answer
-// goes, and each further one waits another TakeOver. In a Patient plan of which
-// much has not been seen, the sender is away and not a few boxes dead: that is
-// left to the boxes of its order for as long as these have turns, since one
-// copy is enough when the sender is back. Nor does the time count in which the
-// sender fails: after an outage of seconds all would read what lacks at once.
-func (s *Swarm) lastResort(now time.Time) (Pull, bool) {
-	quiet := now.Sub(s.lastNew)
-	if s.params.Patient && s.senderFailed.After(s.lastNew) {
-		quiet = now.Sub(s.senderFailed)
+// recoverLostChunk starts the fetch of a chunk that is not available although
+// its scheduled time has passed, such as one whose holders have failed. It does
+// so after IdleTimeout, plus one TakeOverDelay for each rank of this box in the
+// chunk's order among the responsive peers.
+//
+// With PauseTakeOver, the time until the last failure of the sender does not
+// count; otherwise all boxes would read the missing chunks at once after an
+// outage. And if more than 1/senderDownShare of the chunks are missing in the
+// region, those are left to the boxes that have them in their schedule first.
+func (s *Swarm) recoverLostChunk(now time.Time) (Pull, bool) {
+	idle := now.Sub(s.lastArrival)
+	if s.params.Patient && s.lastSenderFailure.After(s.lastArrival) {
+		idle = now.Sub(s.lastSenderFailure)
 	}
 	if s.readsOrigin() && now.Before(s.originRetry) {
 		return Pull{}, false
 	}
-	if quiet < s.params.Quiet || s.origin >= originSlots {
+	if idle < s.params.Quiet || s.firstFetches >= maxFirstFetches {
 		return Pull{}, false
 	}
 	since := now.Sub(s.start)
-	living := s.living()
-	away := s.params.Patient && s.unseen() > s.params.Chunks/awayShare
+	responsivePeers := s.responsivePeers()
+	senderDown := s.params.Patient && s.missingInRegion() > s.params.Chunks/senderDownShare
 	for c, ok := s.held.NextClear(0); ok && int(c) < s.params.Chunks; c, ok = s.held.NextClear(c + 1) {
-		if s.flying.Test(c) || time.Duration(c)*s.params.ChunkTurn > since {
+		if s.inFlight.Test(c) || time.Duration(c)*s.params.ChunkTurn > since {
 			continue
 		}
-		rank := rankAmong(int(c), s.self.Box, living)
-		if away && !s.exists.Test(c) {
-			rank += orderRanks // the boxes of its order come first
+		rank := rankAmong(int(c), s.self.Box, responsivePeers)
+		if senderDown && !s.exists.Test(c) {
+			rank += maxRanks // after all boxes that have it in their schedule
 		}
-		if quiet >= s.params.Quiet+time.Duration(rank)*s.params.TakeOver {
-			return s.first(int(c), since)
+		if idle >= s.params.Quiet+time.Duration(rank)*s.params.TakeOver {
+			return s.startFirstFetch(int(c), since)
 		}
 	}
 	return Pull{}, false
 }
 
-// living are the peers that have not failed when last asked.
-func (s *Swarm) living() []*peerState {
+// responsivePeers returns the peers of the own region whose last pull did not
+// fail.
+func (s *Swarm) responsivePeers() []*peerState {
 	var out []*peerState
 	for _, ps := range s.peers {
 		if ps.penalty == 0 {
@@ -606,8 +647,8 @@
 	return out
 }
 
-// TakeOver is the wait of each further rank for a transfer whose floor on
-// time is floor.
-func TakeOver(floor time.Duration) time.Duration {
-	return max(floor/20, 2*time.Second)
+// TakeOverDelay returns Params.TakeOverDelay for a transfer that takes at least
+// minTime.
+func TakeOver(minTime time.Duration) time.Duration {
+	return max(minTime/20, 2*time.Second)
 }
