--- a/weights/copy.go
+++ b/weights/copy.go
@@ -7,25 +7,33 @@
 	"github.com/juju/errors"
 )
 
-// CopyState is how far a box has come with its copy of a version.
+// CopyState is the state of a box's copy of a version.
 type CopyState string
 
 // The states of a copy, in the order in which a copy goes through them.
 const (
-	Absent   CopyState = "absent"
+	// Absent: the copy has no chunks and fetches none.
+	Absent CopyState = "absent"
+	// Fetching: chunks are being fetched and verified.
 	Fetching CopyState = "fetching"
+	// Verified: all chunks are held and verified; the engine has not loaded
+	// them.
 	Verified CopyState = "verified"
-	Loading  CopyState = "loading"
-	Serving  CopyState = "serving"
+	// Loading: the engine is loading the version.
+	Loading CopyState = "loading"
+	// Serving: requests are admitted.
+	Serving CopyState = "serving"
+	// Draining: no requests are admitted; those in progress may complete.
 	Draining CopyState = "draining"
 )
 
-// Copy is one box's copy of one version. Its methods refuse every move that
-// the states do not allow; it is not safe for concurrent use.
+// Copy is the state machine of one box's copy of one version. Its methods
+// return ErrInvalidTransition if the current state does not allow the call. It
+// is not safe for concurrent use.
 type Copy struct {
 	manifest *Manifest
 	state    CopyState
-	held     *bitset.BitSet
+	held     *bitset.BitSet // verified chunks
 	fence    int64
 }
 
@@ -34,10 +42,8 @@
 	return &Copy{manifest: m, state: Absent, held: bitset.New(uint(len(m.Chunks)))}
 }
 
-// Manifest returns the copy's manifest.
 func (c *Copy) Manifest() *Manifest { return c.manifest }
 
-// State returns the copy's state.
 func (c *Copy) State() CopyState { return c.state }
 
 // Held returns a snapshot of the verified chunks.
@@ -46,33 +52,35 @@
 // Count returns the number of verified chunks.
 func (c *Copy) Count() int { return int(c.held.Count()) }
 
-// Fetch starts collecting chunks.
-func (c *Copy) Fetch() error { return c.move(Absent, Fetching) }
+// Fetch moves an absent copy to Fetching.
+func (c *Copy) Fetch() error { return c.transition(Absent, Fetching) }
 
-// Accept takes chunk i after checking b against the manifest. It returns
-// ErrBadChunk and changes nothing if b is not that chunk. The last chunk
-// makes the copy Verified.
+// Accept marks chunk i as held if b matches the manifest; otherwise it returns
+// ErrChunkMismatch and changes nothing. The last missing chunk moves the copy to
+// Verified.
 func (c *Copy) Accept(i int, b []byte) error { return c.AcceptSum(i, int64(len(b)), Sum(b)) }
 
-// Load starts loading under fence, the offset of the record that orders it.
+// Load moves a verified copy to Loading. fence is the fencing token of the load:
+// the offset of the log record that ordered it.
 func (c *Copy) Load(fence int64) error {
-	if err := c.move(Verified, Loading); err != nil {
+	if err := c.transition(Verified, Loading); err != nil {
 		return err
 	}
 	c.fence = fence
 	return nil
 }
 
-// LoadFailed puts a copy whose load did not take effect back to Verified.
-func (c *Copy) LoadFailed() error { return c.move(Loading, Verified) }
+// LoadFailed returns a copy whose load did not take effect to Verified.
+func (c *Copy) LoadFailed() error { return c.transition(Loading, Verified) }
 
-// Serve admits requests. A copy serves only after a load.
-func (c *Copy) Serve() error { return c.move(Loading, Serving) }
+// Serve moves a loaded copy from Loading to Serving.
+func (c *Copy) Serve() error { return c.transition(Loading, Serving) }
 
-// Adopt marks a copy as serving that the engine reports as loaded whole
-// already, for a sidecar that started again beside a running engine.
+// Adopt moves an absent copy to Serving, with all chunks held. It is for a
+// sidecar that restarted while its engine, which reports the version as
+// completely loaded, kept running.
 func (c *Copy) Adopt(fence int64) error {
-	if err := c.move(Absent, Serving); err != nil {
+	if err := c.transition(Absent, Serving); err != nil {
 		return err
 	}
 	c.held.FlipRange(0, uint(len(c.manifest.Chunks)))
@@ -80,39 +88,41 @@
 	return nil
 }
 
-// Drain stops admission; requests in progress end.
-func (c *Copy) Drain() error { return c.move(Serving, Draining) }
+// Drain moves a serving copy to Draining; requests in progress may complete.
+func (c *Copy) Drain() error { return c.transition(Serving, Draining) }
 
-// Resume takes a draining copy back into service, after a roll back.
-func (c *Copy) Resume() error { return c.move(Draining, Serving) }
+// Resume returns a draining copy to Serving, after a rollback.
+func (c *Copy) Resume() error { return c.transition(Draining, Serving) }
 
-// Unload returns a drained copy to Verified: its chunks stay in staging and
-// can be passed on, but it serves nothing.
-func (c *Copy) Unload() error { return c.move(Draining, Verified) }
+// Unload returns a draining copy to Verified. Its chunks stay in staging and are
+// still sent to peers.
+func (c *Copy) Unload() error { return c.transition(Draining, Verified) }
 
-// Drop forgets the copy. A copy that serves or loads cannot be dropped.
+// Drop makes the copy Absent and clears its chunks. A copy that is Loading,
+// Serving or Draining cannot be dropped.
 func (c *Copy) Drop() error {
 	if c.state == Serving || c.state == Loading || c.state == Draining {
-		return errors.WithType(errors.Errorf("drop of %s while %s", c.manifest.Ref, c.state), ErrBadMove)
+		return errors.WithType(errors.Errorf("cannot drop %s while %s", c.manifest.Ref, c.state), ErrInvalidTransition)
 	}
 	c.state = Absent
 	c.held.ClearAll()
 	return nil
 }
 
-func (c *Copy) move(from, to CopyState) error {
+// transition moves the copy to another state if it is in state from.
+func (c *Copy) transition(from, to CopyState) error {
 	if c.state != from {
-		return errors.WithType(errors.Errorf("%s: %s to %s", c.manifest.Ref, c.state, to), ErrBadMove)
+		return errors.WithType(errors.Errorf("%s: no transition from %s to %s", c.manifest.Ref, c.state, to), ErrInvalidTransition)
 	}
 	c.state = to
 	return nil
 }
 
-// AcceptSum is Accept for a chunk that has been streamed through a Hasher:
-// size and sum are what came out of it.
+// AcceptSum is like Accept for a chunk that was streamed through a Hasher: size
+// and sum are the bytes that the Hasher counted and their digest.
 func (c *Copy) AcceptSum(i int, size int64, sum Digest) error {
 	if c.state != Fetching {
-		return errors.WithType(errors.Errorf("chunk %d of %s while %s", i, c.manifest.Ref, c.state), ErrBadMove)
+		return errors.WithType(errors.Errorf("cannot accept chunk %d of %s while %s", i, c.manifest.Ref, c.state), ErrInvalidTransition)
 	}
 	if err := c.manifest.CheckSum(i, size, sum); err != nil {
 		return err
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package weights describes model weights: what a version is made of, and
-// how far one box has come with its copy.
+// Package weights describes the chunks of a version of a model's weights and the
+// state of a box's copy of them.
 //
 // A Manifest lists a version's chunks with their digests. A plan pins the
-// digest of the manifest itself, so one digest in the log vouches for every
-// byte that a box loads. A Copy is the aggregate that moves one box's copy
-// through its states; it accepts a chunk only after the chunk's digest has
-// been checked, and becomes loadable only when all chunks have.
+// digest of the manifest itself, so that one digest in the log verifies every
+// byte that a box loads. A Copy is the state machine of one box's copy; it
+// accepts a chunk only if its digest matches, and can be loaded only when it
+// holds all chunks.
 //
 // The package does no I/O.
 package weights
@@ -23,21 +23,24 @@
 	"github.com/juju/errors"
 )
 
-// Errors that a Manifest or a Copy reports.
+// Errors of manifests and copies, to be tested for with errors.Is.
 const (
-	// ErrBadManifest says that a manifest contradicts itself or its digest.
+	// ErrBadManifest means that a manifest is inconsistent or does not match
+	// its digest.
 	ErrBadManifest = errors.ConstError("manifest is not valid")
-	// ErrBadChunk says that a chunk's bytes do not match its digest.
-	ErrBadChunk = errors.ConstError("chunk does not match its digest")
-	// ErrBadMove says that a copy cannot go from its state to the one asked for.
-	ErrBadMove = errors.ConstError("copy cannot make this move")
+	// ErrChunkMismatch means that a chunk's size or digest does not match the
+	// manifest.
+	ErrChunkMismatch = errors.ConstError("chunk does not match the manifest")
+	// ErrInvalidTransition means that a copy's state does not allow the
+	// requested operation.
+	ErrInvalidTransition = errors.ConstError("invalid state transition of a copy")
 )
 
-// MaxChunks bounds the chunks of one version, and with it the size of a
-// bitmap that travels with each pull.
+// MaxChunks is the maximum number of chunks of a version. It bounds the size of
+// the bitmaps that are sent with each pull.
 const MaxChunks = 16384
 
-// Ref names a version of a model, or of an adapter when Model has the form
+// Ref identifies a version of a model, or of an adapter if Model has the form
 // "base+adapter".
 type Ref struct {
 	Model   string `json:"model"`
@@ -47,7 +50,7 @@
 // String returns "model@version".
 func (r Ref) String() string { return r.Model + "@" + r.Version }
 
-// ParseRef reads "model@version".
+// ParseRef parses the form "model@version" that String returns.
 func ParseRef(s string) (Ref, error) {
 	model, version, ok := strings.Cut(s, "@")
 	r := Ref{Model: model, Version: version}
@@ -57,7 +60,8 @@
 	return r, nil
 }
 
-// Valid reports whether both names are usable in a path.
+// Valid reports whether both names can be used in a path: 1 to 128 letters,
+// digits, '.', '+', '_' and '-', not starting with '.'.
 func (r Ref) Valid() bool { return validName(r.Model) && validName(r.Version) }
 
 func validName(s string) bool {
@@ -73,7 +77,7 @@
 	return true
 }
 
-// Digest is a SHA-256 sum in lower-case hexadecimal.
+// Digest is a SHA-256 digest in lower-case hexadecimal.
 type Digest string
 
 // Sum returns the digest of b.
@@ -82,14 +86,15 @@
 	return Digest(hex.EncodeToString(s[:]))
 }
 
-// Manifest lists the chunks of one version.
+// Manifest lists the chunks of a version.
 type Manifest struct {
 	Ref
-	// Bytes is the size of the whole version.
+	// Bytes is the total size of the version.
 	Bytes int64 `json:"bytes"`
-	// ChunkBytes is the size of each chunk but the last, which may be shorter.
+	// ChunkBytes is the size of every chunk except the last, which may be
+	// smaller.
 	ChunkBytes int64 `json:"chunk_bytes"`
-	// Chunks holds one digest a chunk, in order.
+	// Chunks are the digests of the chunks, in order.
 	Chunks []Digest `json:"chunks"`
 }
 
@@ -97,16 +102,17 @@
 func (m *Manifest) Digest() Digest {
 	b, err := json.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("weights: manifest does not marshal: %v", err)) // plain fields always marshal
+		panic(fmt.Sprintf("weights: manifest does not marshal: %v", err))
 	}
 	return Sum(b)
 }
 
-// Validate reports the first contradiction in m.
+// Validate returns ErrBadManifest with the first inconsistency found in m, or
+// nil.
 func (m *Manifest) Validate() error {
 	switch {
 	case !m.Valid():
-		return errors.WithType(errors.Errorf("manifest names %q", m.Ref), ErrBadManifest)
+		return errors.WithType(errors.Errorf("manifest has invalid version name %q", m.Ref), ErrBadManifest)
 	case m.Bytes <= 0 || m.ChunkBytes <= 0:
 		return errors.WithType(errors.Errorf("manifest of %s has %d bytes in chunks of %d", m.Ref, m.Bytes, m.ChunkBytes), ErrBadManifest)
 	case int64(len(m.Chunks)) != (m.Bytes+m.ChunkBytes-1)/m.ChunkBytes:
@@ -116,52 +122,51 @@
 	}
 	for i, d := range m.Chunks {
 		if raw, err := hex.DecodeString(string(d)); err != nil || len(raw) != sha256.Size {
-			return errors.WithType(errors.Errorf("manifest of %s has no digest for chunk %d", m.Ref, i), ErrBadManifest)
+			return errors.WithType(errors.Errorf("manifest of %s has no valid digest for chunk %d", m.Ref, i), ErrBadManifest)
 		}
 	}
 	return nil
 }
 
-// Size returns the bytes of chunk i.
+// Size returns the size of chunk i in bytes.
 func (m *Manifest) Size(i int) int64 {
 	return min(m.ChunkBytes, m.Bytes-int64(i)*m.ChunkBytes)
 }
 
-// CheckSum reports ErrBadChunk unless a chunk of this size and digest is
-// chunk i.
+// CheckSum returns ErrChunkMismatch unless size and sum are those of chunk i.
 func (m *Manifest) CheckSum(i int, size int64, sum Digest) error {
 	if i < 0 || i >= len(m.Chunks) {
-		return errors.WithType(errors.Errorf("%s has no chunk %d", m.Ref, i), ErrBadChunk)
+		return errors.WithType(errors.Errorf("%s has no chunk %d", m.Ref, i), ErrChunkMismatch)
 	}
 	if size != m.Size(i) || sum != m.Chunks[i] {
-		return errors.WithType(errors.Errorf("chunk %d of %s", i, m.Ref), ErrBadChunk)
+		return errors.WithType(errors.Errorf("size or digest of chunk %d of %s does not match the manifest", i, m.Ref), ErrChunkMismatch)
 	}
 	return nil
 }
 
-// Hasher sums what is written to it. Use NewHasher.
+// Hasher computes the digest and the size of the bytes written to it. Use
+// NewHasher.
 type Hasher struct {
 	hash hash.Hash
 	n    int64
 }
 
-// NewHasher returns a hasher that has seen nothing.
 func NewHasher() *Hasher { return &Hasher{hash: sha256.New()} }
 
-// Write implements io.Writer; it never fails.
+// Write implements io.Writer. It never returns an error.
 func (h *Hasher) Write(b []byte) (int, error) {
 	h.n += int64(len(b))
 	return h.hash.Write(b)
 }
 
-// Written returns the number of bytes seen.
+// Written returns the number of bytes written.
 func (h *Hasher) Written() int64 { return h.n }
 
-// Digest returns the digest of the bytes seen.
+// Digest returns the digest of the bytes written.
 func (h *Hasher) Digest() Digest { return Digest(hex.EncodeToString(h.hash.Sum(nil))) }
 
-// ParseManifest reads a manifest and checks it against the digest that pins
-// it. An empty pin accepts any valid manifest: only a planner does that.
+// ParseManifest parses and validates a manifest and checks that its digest is
+// pin. An empty pin accepts any valid manifest; only a planner may use it.
 func ParseManifest(b []byte, pin Digest) (*Manifest, error) {
 	m := new(Manifest)
 	if err := json.Unmarshal(b, m); err != nil {
@@ -171,7 +176,7 @@
 		return nil, err
 	}
 	if pin != "" && m.Digest() != pin {
-		return nil, errors.WithType(errors.Errorf("manifest of %s has digest %.12s, the plan pins %.12s", m.Ref, m.Digest(), pin), ErrBadManifest)
+		return nil, errors.WithType(errors.Errorf("manifest of %s has digest %.12s, want %.12s as pinned by the plan", m.Ref, m.Digest(), pin), ErrBadManifest)
 	}
 	return m, nil
 }
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -22,30 +22,32 @@
 	return m
 }
 
+// TestCopyServesOnlyVerifiedChunks guards against loading or serving chunks that
+// were not verified, and against dropping a copy that serves.
 func TestCopyServesOnlyVerifiedChunks(t *testing.T) {
 	c := NewCopy(manifest("aaaa", "bb"))
 	assert.NilError(t, c.Fetch())
-	assert.Assert(t, errors.Is(c.Accept(0, []byte("aaab")), ErrBadChunk))
-	assert.Assert(t, errors.Is(c.Accept(1, []byte("bbbb")), ErrBadChunk))
-	assert.Assert(t, errors.Is(c.Accept(7, []byte("aaaa")), ErrBadChunk))
+	assert.Assert(t, errors.Is(c.Accept(0, []byte("aaab")), ErrChunkMismatch))
+	assert.Assert(t, errors.Is(c.Accept(1, []byte("bbbb")), ErrChunkMismatch))
+	assert.Assert(t, errors.Is(c.Accept(7, []byte("aaaa")), ErrChunkMismatch))
 	assert.Equal(t, c.Count(), 0)
 	assert.NilError(t, c.Accept(0, []byte("aaaa")))
-	assert.Assert(t, errors.Is(c.Load(1), ErrBadMove), "half a copy loads")
+	assert.Assert(t, errors.Is(c.Load(1), ErrInvalidTransition), "loaded an incomplete copy")
 	assert.NilError(t, c.Accept(1, []byte("bb")))
 	assert.Equal(t, c.State(), Verified)
-	assert.Assert(t, errors.Is(c.Serve(), ErrBadMove), "a copy serves that is not loaded")
+	assert.Assert(t, errors.Is(c.Serve(), ErrInvalidTransition), "served a copy that is not loaded")
 	assert.NilError(t, c.Load(1))
 	assert.NilError(t, c.Serve())
-	assert.Assert(t, errors.Is(c.Drop(), ErrBadMove), "a serving copy is dropped")
+	assert.Assert(t, errors.Is(c.Drop(), ErrInvalidTransition), "dropped a serving copy")
 	assert.NilError(t, c.Drain())
 	assert.NilError(t, c.Unload())
 	assert.NilError(t, c.Drop())
 	assert.Equal(t, c.State(), Absent)
 }
 
-// TestCopyMoves draws moves and checks that a copy never serves without all
-// its chunks.
-func TestCopyMoves(t *testing.T) {
+// TestCopyTransitions checks that no sequence of operations gets an incomplete
+// copy into a state that requires all chunks.
+func TestCopyTransitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCopy(manifest("aaaa", "bbbb", "cc"))
 		good := []string{"aaaa", "bbbb", "cc"}
@@ -71,7 +73,7 @@
 			}
 			full := c.Count() == len(good)
 			if s := c.State(); (s == Serving || s == Loading || s == Verified || s == Draining) && !full {
-				t.Fatalf("%s with %d of %d chunks", s, c.Count(), len(good))
+				t.Fatalf("copy is %s with %d of %d chunks", s, c.Count(), len(good))
 			}
 		}
 	})
@@ -98,6 +100,8 @@
 	}
 }
 
+// FuzzParseManifest checks that the chunk sizes of any accepted manifest are
+// positive and add up to its total.
 func FuzzParseManifest(f *testing.F) {
 	raw, _ := json.Marshal(manifest("aaaa", "bb"))
 	f.Add(raw)
@@ -114,7 +118,7 @@
 			sum += m.Size(i)
 		}
 		if sum != m.Bytes {
-			t.Fatalf("chunks sum to %d of %d bytes", sum, m.Bytes)
+			t.Fatalf("chunks have %d bytes in total, want %d", sum, m.Bytes)
 		}
 	})
 }
