--- a/transfer/order.go
+++ b/transfer/order.go
@@ -47,10 +47,10 @@
 	return o
 }
 
-// partnerRanks is the number of first ranks of a chunk's order whose boxes
-// check each other's health, so that a failed box is skipped at once instead
-// of after a TakeOverDelay. With half of a region's boxes down, all three are
-// down for one chunk in eight.
+// partnerRanks is the number of first ranks of a chunk's order whose boxes are
+// partners: they query each other at the start of a transfer, so that one that
+// does not answer is skipped at once instead of after a TakeOverDelay. With half
+// of a region's boxes down, all three are down for one chunk in eight.
 const partnerRanks = 3
 
 // Partners returns the boxes that share the first partnerRanks ranks of any
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -324,9 +324,9 @@
 	s.scheduleDone = 0
 }
 
-// MarkUnresponsive records that a box of the own region did not answer a health
-// check: its first fetches are taken over without delay, and it is backed off
-// like a peer that stalls.
+// MarkUnresponsive records that a box of the own region did not answer a query:
+// its first fetches are taken over without delay, and it is backed off like a
+// peer that stalls.
 func (s *Swarm) Silent(box string, now time.Time) {
 	if s.unresponsive[box] {
 		return
@@ -359,7 +359,8 @@
 // Held returns a copy of the bitmap of verified chunks.
 func (s *Swarm) Held() *bitset.BitSet { return s.held.Clone() }
 
-// Availability is sent with each answer of a pull. A nil bitmap is unknown.
+// Availability is sent with each answer of a pull. A nil bitmap stands for
+// unknown.
 type Knowledge struct {
 	// Held are the chunks that the sender holds.
 	Held *bitset.BitSet
