--- a/ingress/accept.go
+++ b/ingress/accept.go
@@ -15,16 +15,16 @@
 // acceptPause is how long a gateway calls itself unready after it could not
 // take a connection: as long as the platform needs for its two misses, so that
 // new callers go elsewhere until there are descriptors again.
-const acceptPause = 2500 * time.Millisecond
+const acceptFailureHold = 2500 * time.Millisecond
 
 // accepts is whether callers' connections can be taken.
-type accepts struct {
+type acceptState struct {
 	// failed is when one could not be taken last, in Unix nanoseconds.
-	failed atomic.Int64
+	lastFailure atomic.Int64
 }
 
-func (a *accepts) failing(now time.Time) bool {
-	return now.UnixNano()-a.failed.Load() < int64(acceptPause)
+func (a *acceptState) recentlyFailed(now time.Time) bool {
+	return now.UnixNano()-a.lastFailure.Load() < int64(acceptFailureHold)
 }
 
 // Accepting watches the listener for callers: a gateway that cannot take a
@@ -43,7 +43,7 @@
 func (l *watchedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		l.server.accepts.failed.Store(clock.Now().UnixNano())
+		l.server.acceptState.lastFailure.Store(clock.Now().UnixNano())
 		l.server.pool.ForgetAll()
 		l.server.events.Error(err, "connection of a caller not taken")
 	}
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -16,20 +16,20 @@
 
 // Outcomes of a request, for logs and metrics.
 const (
-	outcomeAnswered = "answered"
-	outcomeRefused  = "refused"
-	outcomeDenied   = "denied"
-	outcomeFailed   = "failed"
-	outcomeLate     = "timed_out"
-	outcomeLeft     = "caller_left"
-	outcomeBroken   = "broken_off"
+	outcomeAnswered   = "answered"
+	outcomeRefused    = "refused"
+	outcomeDenied     = "denied"
+	outcomeFailed     = "failed"
+	outcomeTimedOut   = "timed_out"
+	outcomeCallerLeft = "caller_left"
+	outcomeBrokenOff  = "broken_off"
 	// outcomeQuarantined is a request that was kept from endpoints because
 	// others had crashed under it.
 	outcomeQuarantined = "quarantined"
 )
 
 // close ends the request in logs and metrics.
-func (x *exchange) close(outcome, cause string, status int) {
+func (x *exchange) recordOutcome(outcome, cause string, status int) {
 	s := x.server
 	took := clock.Since(x.start)
 	route, version := "", int64(0)
@@ -40,7 +40,7 @@
 		version = x.config.Version
 	}
 	s.log.Info("request", "request", x.id, "identity", x.identity.String(), "body_bytes", len(x.body), "outcome", outcome, "cause", cause, "status", status, "route", route,
-		"service", x.service, "config", version, "config_age_ms", x.configAge.Milliseconds(), "attempts", x.attempts, "priority", x.priority, "returned", x.returned, "ms", took.Milliseconds())
+		"service", x.service, "config", version, "config_age_ms", x.configAge.Milliseconds(), "attempts", x.attempts, "priority", x.priority, "returned", x.callerRetry, "ms", took.Milliseconds())
 	s.metrics.Counter("mintlift_ingress_requests_total", "service", x.service, "outcome", outcome).Inc()
 	s.metrics.Histogram("mintlift_ingress_request_seconds", "service", x.service, "outcome", outcome).Update(took.Seconds())
 }
@@ -53,10 +53,10 @@
 // refuse answers that the request has not run and when to come back.
 func (x *exchange) refuse(cause string, after time.Duration) {
 	setRetryAfter(x.writer.Header(), after)
-	x.fail(http.StatusServiceUnavailable, outcomeRefused, cause)
+	x.respond(http.StatusServiceUnavailable, outcomeRefused, cause)
 }
 
-func (x *exchange) deny(status int, cause string) { x.fail(status, outcomeDenied, cause) }
+func (x *exchange) deny(status int, cause string) { x.respond(status, outcomeDenied, cause) }
 
 // denyIfCurrent denies what the configuration does not know, unless there may
 // be a newer one that does.
@@ -69,40 +69,40 @@
 }
 
 // fail gives an answer of the gateway's own.
-func (x *exchange) fail(status int, outcome, cause string) {
+func (x *exchange) respond(status int, outcome, cause string) {
 	h := x.writer.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	body := cause + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(status)
 	_, _ = io.WriteString(x.writer, body) // a caller that has left is told nothing
-	x.close(outcome, cause, status)
+	x.recordOutcome(outcome, cause, status)
 }
 
 // giveUp answers a request for which no attempt brought an answer.
-func (x *exchange) giveUp(ctx context.Context) {
+func (x *exchange) respondUnanswered(ctx context.Context) {
 	switch {
 	case x.callerLeft():
-		x.close(outcomeLeft, "caller left", 0)
+		x.recordOutcome(outcomeCallerLeft, "caller left", 0)
 		panic(http.ErrAbortHandler)
 	case x.quarantined(clock.Now()):
 		x.rejectQuarantined()
-	case !x.mayRun:
-		closed, after := x.server.whenToRetry(x)
-		x.refuse(x.refusal(closed), after)
+	case !x.mayHaveRun:
+		closed, after := x.server.retryAfter(x)
+		x.refuse(x.refusalCause(closed), after)
 	case ctx.Err() != nil:
-		x.fail(http.StatusGatewayTimeout, outcomeLate, x.causeOr("timed out"))
+		x.respond(http.StatusGatewayTimeout, outcomeTimedOut, x.lastCauseOr("timed out"))
 	default:
-		x.fail(http.StatusBadGateway, outcomeFailed, x.causeOr("no answer"))
+		x.respond(http.StatusBadGateway, outcomeFailed, x.lastCauseOr("no answer"))
 	}
 }
 
 // refusal is why x is refused; where endpoints have closed themselves it names one, by
 // which the answer that said so can be found.
-func (x *exchange) refusal(c fleet.Closure) string {
+func (x *exchange) refusalCause(c fleet.Closure) string {
 	switch {
 	case c.Reason == fleet.Open:
-		return x.causeOr("no endpoint has room")
+		return x.lastCauseOr("no endpoint has room")
 	case c.Until.IsZero():
 		return fmt.Sprintf("all endpoints %s: %s is one", c.Reason, c.Endpoint)
 	default:
@@ -110,7 +110,7 @@
 	}
 }
 
-func (x *exchange) causeOr(other string) string {
+func (x *exchange) lastCauseOr(other string) string {
 	if x.lastCause != "" {
 		return x.lastCause
 	}
@@ -123,7 +123,7 @@
 	for name, values := range from {
 		to[name] = values
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		to.Del(name)
 	}
 	if x.server.stopping.Load() {
--- a/ingress/caller.go
+++ b/ingress/caller.go
@@ -10,12 +10,12 @@
 )
 
 // connKey is the key of a caller's connection in its requests' contexts.
-type connKey struct{}
+type connContextKey struct{}
 
 // ConnContext lets a request look at the connection on which it came; it is
 // an http.Server's ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
 // callerLeft reports whether the caller has closed its connection. net/http
@@ -27,10 +27,10 @@
 	if ctx.Err() != nil {
 		return true
 	}
-	c, _ := ctx.Value(connKey{}).(net.Conn)
+	c, _ := ctx.Value(connContextKey{}).(net.Conn)
 	return c != nil && tcpconn.Closed(c)
 }
 
 // over reports whether no further attempt is to be made: the time is up, or
 // the caller has left.
-func (x *exchange) over(ctx context.Context) bool { return ctx.Err() != nil || x.callerLeft() }
+func (x *exchange) finished(ctx context.Context) bool { return ctx.Err() != nil || x.callerLeft() }
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -23,7 +23,7 @@
 
 // mortal starts an endpoint whose process a handler can end; it does not come
 // back.
-func (w *world) mortal(id, service string, h func(rw http.ResponseWriter, r *http.Request, body string, crash func())) {
+func (w *testGateway) startCrashableEndpoint(id, service string, h func(rw http.ResponseWriter, r *http.Request, body string, crash func())) {
 	w.t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(w.t, err)
@@ -31,10 +31,10 @@
 	server.Handler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.mu.Lock()
-		w.seen = append(w.seen, seen{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
+		w.received = append(w.received, receivedRequest{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
 		w.mu.Unlock()
-		rw.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
-		rw.Header().Set(names.Seal, "seal")
+		rw.Header().Set(testHeaders.RequestID, r.Header.Get(testHeaders.RequestID))
+		rw.Header().Set(testHeaders.Seal, "seal")
 		h(rw, r, string(body), func() {
 			_ = server.Close()
 			panic(http.ErrAbortHandler)
@@ -44,16 +44,16 @@
 	w.t.Cleanup(func() { _ = server.Close() })
 	r := fleet.Record{ID: id, Service: service, Address: listener.Addr().String(), Zone: "z"}
 	if service == "engine" {
-		r.Models = map[string]int{model: 1}
+		r.Models = map[string]int{testModel: 1}
 	}
 	w.server.PutEndpoint(r)
 }
 
 // killer is the body of a request that crashes its endpoint.
-const killer = "killer"
+const crashBody = "killer"
 
-func crashes(rw http.ResponseWriter, _ *http.Request, body string, crash func()) {
-	if body == killer {
+func crashOnCrashBody(rw http.ResponseWriter, _ *http.Request, body string, crash func()) {
+	if body == crashBody {
 		time.Sleep(40 * time.Millisecond) // it has begun to run
 		crash()
 	}
@@ -64,9 +64,9 @@
 // reached an endpoint may have run, and is told nothing that promises otherwise or
 // invites it back; one that reached none has not run, and is told when it may come
 // back.
-func keptFromEndpoints(t *testing.T, r *http.Response, reached bool) {
+func assertQuarantineResponse(t *testing.T, r *http.Response, sent bool) {
 	t.Helper()
-	if reached {
+	if sent {
 		assert.Equal(t, r.StatusCode, http.StatusBadGateway)
 		assert.Equal(t, r.Header.Get("Retry-After"), "")
 		return
@@ -86,24 +86,24 @@
 		{"/stream/1", "engine"},
 	} {
 		t.Run(test.path, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestGateway(t)
 			w.configure(1)
 			for n := range 8 {
-				w.mortal(fmt.Sprint("e", n), test.service, crashes)
+				w.startCrashableEndpoint(fmt.Sprint("e", n), test.service, crashOnCrashBody)
 			}
 			for try := range 6 {
 				before := len(w.requests())
-				r, _ := w.get("POST", test.path, killer, with(names.RequestID, fmt.Sprint("try-", try)))
-				keptFromEndpoints(t, r, len(w.requests()) > before)
+				r, _ := w.do("POST", test.path, crashBody, withHeader(testHeaders.RequestID, fmt.Sprint("try-", try)))
+				assertQuarantineResponse(t, r, len(w.requests()) > before)
 			}
 			assert.Equal(t, len(w.requests()), quarantine.Threshold)
 			began := time.Now()
-			r, body := w.get("POST", test.path, killer, with(names.RequestID, "last"), with("X-Other", "value"))
-			keptFromEndpoints(t, r, false)
+			r, body := w.do("POST", test.path, crashBody, withHeader(testHeaders.RequestID, "last"), withHeader("X-Other", "value"))
+			assertQuarantineResponse(t, r, false)
 			assert.Assert(t, strings.Contains(body, "quarantine"), body)
 			assert.Assert(t, time.Since(began) < time.Second)
 			assert.Equal(t, len(w.requests()), quarantine.Threshold)
-			r, _ = w.get("POST", test.path, "other")
+			r, _ = w.do("POST", test.path, "other")
 			assert.Equal(t, r.StatusCode, http.StatusOK)
 		})
 	}
@@ -111,42 +111,42 @@
 
 // Requests beside one that crashes their endpoint go on elsewhere, and are
 // suspected no more once they have ended well.
-func TestRequestsBesideACrashAreServed(t *testing.T) {
-	w := newWorld(t)
+func TestConcurrentRequestsSurviveACrash(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
 	var mu sync.Mutex
-	waiting := 0
-	full := make(chan struct{})
-	const beside = 3
+	running := 0
+	allRunning := make(chan struct{})
+	const concurrent = 3
 	handler := func(rw http.ResponseWriter, _ *http.Request, body string, crash func()) {
-		if body == killer {
-			<-full
+		if body == crashBody {
+			<-allRunning
 			crash()
 		}
 		mu.Lock()
-		waiting++
-		first := waiting <= beside
-		if waiting == beside {
-			close(full)
+		running++
+		firstEndpoint := running <= concurrent
+		if running == concurrent {
+			close(allRunning)
 		}
 		mu.Unlock()
-		if first {
+		if firstEndpoint {
 			select {} // until the process ends
 		}
 		_, _ = io.WriteString(rw, "id: 1\ndata: token\n\n")
 	}
-	w.mortal("first", "engine", handler)
+	w.startCrashableEndpoint("first", "engine", handler)
 	var answers sync.WaitGroup
-	for n := range beside {
+	for n := range concurrent {
 		answers.Go(func() {
-			r, _ := w.get("POST", fmt.Sprint("/stream/", n), "text")
+			r, _ := w.do("POST", fmt.Sprint("/stream/", n), "text")
 			assert.Check(t, r.StatusCode == http.StatusOK, "%d", r.StatusCode)
 		})
 	}
-	answers.Go(func() { _, _ = w.ask(context.Background(), "POST", "/stream/x", killer) })
-	<-full
+	answers.Go(func() { _, _ = w.send(context.Background(), "POST", "/stream/x", crashBody) })
+	<-allRunning
 	for n := range 4 {
-		w.mortal(fmt.Sprint("e", n), "engine", crashes)
+		w.startCrashableEndpoint(fmt.Sprint("e", n), "engine", crashOnCrashBody)
 	}
 	answers.Wait()
 	suspected, quarantined := w.server.suspects.Len(time.Now())
@@ -155,14 +155,14 @@
 }
 
 // Endpoints that break off answers, but live, say nothing of the request.
-func TestBrokenAnswersAreNoCrashes(t *testing.T) {
-	w := newWorld(t)
+func TestBrokenResponsesAreNotCrashes(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
 	for n := range 2 {
-		w.endpoint(fmt.Sprint("e", n), "plain", breaks)
+		w.startEndpoint(fmt.Sprint("e", n), "plain", abortConnection)
 	}
 	for range 4 {
-		_, _ = w.get("GET", "/safe/1", "")
+		_, _ = w.do("GET", "/safe/1", "")
 	}
 	assert.Equal(t, w.server.suspects.Standing(quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: "/safe/1", Workspace: "w"}), time.Now()).Crashes, 0)
 	suspected, _ := w.server.suspects.Len(time.Now())
@@ -171,10 +171,10 @@
 
 // What other gateways have seen counts here, also for a request that waits for
 // an endpoint already.
-func TestQuarantineIsHeardFromOthers(t *testing.T) {
-	w := newWorld(t)
+func TestQuarantineFromOtherGateways(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.mortal("e", "engine", crashes)
+	w.startCrashableEndpoint("e", "engine", crashOnCrashBody)
 	id := quarantine.Identify(quarantine.Request{Method: "POST", Host: "h.example", Target: "/stream/1", Workspace: "w", Body: []byte("text")})
 	other := quarantine.New()
 	now := time.Now()
@@ -183,25 +183,25 @@
 		other.Crashed(id, sent, sent.Add(50*time.Millisecond))
 	}
 	w.server.HeardSuspects(other.Tell(now), now)
-	r, _ := w.get("POST", "/stream/1", "text")
-	keptFromEndpoints(t, r, false)
+	r, _ := w.do("POST", "/stream/1", "text")
+	assertQuarantineResponse(t, r, false)
 	assert.Equal(t, len(w.requests()), 0)
 	other.EndedWell(id, now)
 	w.server.HeardSuspects(other.Tell(now), now)
-	r, _ = w.get("POST", "/stream/1", "text")
+	r, _ = w.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
 // Two requests under which an endpoint crashed are not sent to one endpoint at
 // the same time, while there are others: one would take the other along.
-func TestSuspectsRunApart(t *testing.T) {
+func TestSuspectsRunOnSeparateEndpoints(t *testing.T) {
 	for _, service := range []string{"engine", "plain"} {
-		t.Run(service, func(t *testing.T) { suspectsRunApart(t, service) })
+		t.Run(service, func(t *testing.T) { testSuspectsRunApart(t, service) })
 	}
 }
 
-func suspectsRunApart(t *testing.T, service string) {
-	w := newWorld(t)
+func testSuspectsRunApart(t *testing.T, service string) {
+	w := newTestGateway(t)
 	kind := routing.Streaming
 	if service == "plain" {
 		kind = routing.Safe
@@ -214,7 +214,7 @@
 	}
 	const count = 3
 	for n := range count {
-		w.mortal(fmt.Sprint("e", n), service, slow)
+		w.startCrashableEndpoint(fmt.Sprint("e", n), service, slow)
 	}
 	// One is so much nearer that all would be sent there.
 	list, _ := w.server.List()
@@ -231,7 +231,7 @@
 		id := quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: target, Workspace: "w"})
 		w.server.suspects.Crashed(id, time.Now().Add(-time.Second), time.Now())
 		answers.Go(func() {
-			r, _ := w.get("GET", target, "")
+			r, _ := w.do("GET", target, "")
 			assert.Check(t, r.StatusCode == http.StatusOK, "%d", r.StatusCode)
 		})
 	}
@@ -251,9 +251,9 @@
 
 // quarantinedElsewhere is what another gateway tells of a request that crashed
 // three endpoints.
-func quarantinedElsewhere(target, body string, now time.Time) []quarantine.Record {
+func quarantineRecords(target, body string, now time.Time) []quarantine.Record {
 	other := quarantine.New()
-	id := identity(target, body)
+	id := requestIdentity(target, body)
 	for n := range quarantine.Threshold {
 		sent := now.Add(time.Duration(n-quarantine.Threshold) * time.Second)
 		other.Crashed(id, sent, sent.Add(50*time.Millisecond))
@@ -261,36 +261,36 @@
 	return other.Tell(now)
 }
 
-func identity(target, body string) quarantine.ID {
+func requestIdentity(target, body string) quarantine.ID {
 	return quarantine.Identify(quarantine.Request{Method: "POST", Host: "h.example", Target: target, Workspace: "w", Body: []byte(body)})
 }
 
 // A request in quarantine runs once after a while, at the gateway that saw its
 // first crash: a good one is out then, one to blame stays.
-func TestRequestInQuarantineRunsOnce(t *testing.T) {
-	for _, body := range []string{"good", killer} {
+func TestQuarantineTrialRunsOnce(t *testing.T) {
+	for _, body := range []string{"good", crashBody} {
 		t.Run(body, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestGateway(t)
 			w.configure(1)
 			for n := range 3 {
-				w.mortal(fmt.Sprint("e", n), "engine", crashes)
+				w.startCrashableEndpoint(fmt.Sprint("e", n), "engine", crashOnCrashBody)
 			}
 			began := time.Now().Add(-quarantine.TrialAfter - 5*time.Second)
 			for n := range quarantine.Threshold {
 				sent := began.Add(time.Duration(n) * time.Second)
-				w.server.suspects.Crashed(identity("/stream/1", body), sent, sent.Add(50*time.Millisecond))
+				w.server.suspects.Crashed(requestIdentity("/stream/1", body), sent, sent.Add(50*time.Millisecond))
 			}
-			r, _ := w.get("POST", "/stream/1", body)
+			r, _ := w.do("POST", "/stream/1", body)
 			assert.Equal(t, len(w.requests()), 1, "it runs once")
-			if body == killer {
+			if body == crashBody {
 				assert.Equal(t, r.StatusCode, http.StatusBadGateway)
-				r, _ = w.get("POST", "/stream/1", body)
+				r, _ = w.do("POST", "/stream/1", body)
 				assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 				assert.Equal(t, len(w.requests()), 1)
 				return
 			}
 			assert.Equal(t, r.StatusCode, http.StatusOK)
-			r, _ = w.get("POST", "/stream/1", body)
+			r, _ = w.do("POST", "/stream/1", body)
 			assert.Equal(t, r.StatusCode, http.StatusOK)
 		})
 	}
@@ -298,38 +298,38 @@
 
 // An operator lets a request out.
 func TestOperatorClearsASuspect(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.configure(1)
-	w.mortal("e", "engine", crashes)
+	w.startCrashableEndpoint("e", "engine", crashOnCrashBody)
 	now := time.Now()
-	w.server.HeardSuspects(quarantinedElsewhere("/stream/1", "text", now), now)
-	r, _ := w.get("POST", "/stream/1", "text")
+	w.server.HeardSuspects(quarantineRecords("/stream/1", "text", now), now)
+	r, _ := w.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
-	assert.Assert(t, w.server.ClearSuspect(identity("/stream/1", "text"), time.Now()))
-	assert.Assert(t, !w.server.ClearSuspect(identity("/stream/1", "none"), time.Now()))
-	r, _ = w.get("POST", "/stream/1", "text")
+	assert.Assert(t, w.server.ClearSuspect(requestIdentity("/stream/1", "text"), time.Now()))
+	assert.Assert(t, !w.server.ClearSuspect(requestIdentity("/stream/1", "none"), time.Now()))
+	r, _ = w.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
 // An endpoint that is back at once accepts connections; its birth tells that it
 // ended.
-func TestCrashOfAnEndpointThatIsBackAtOnce(t *testing.T) {
-	w := newWorld(t)
+func TestCrashDetectedByRestart(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("e", "engine", func(_ http.ResponseWriter, r *http.Request) {
+	w.startEndpoint("e", "engine", func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			w.server.Heard(fleet.Report{Address: w.records["e"].Address, Model: model, Version: 1, Born: 2}, -1)
+			w.server.Heard(fleet.Report{Address: w.records["e"].Address, Model: testModel, Version: 1, Born: 2}, -1)
 		}()
 		panic(http.ErrAbortHandler)
 	})
-	born := w.records["e"]
-	born.Born = 1
+	record := w.records["e"]
+	record.Born = 1
 	w.server.RemoveEndpoint("e")
-	w.server.PutEndpoint(born)
-	_, _ = w.get("POST", "/stream/1", "text")
-	for began := time.Now(); w.server.suspects.Standing(identity("/stream/1", "text"), time.Now()).Crashes == 0; time.Sleep(5 * time.Millisecond) {
+	w.server.PutEndpoint(record)
+	_, _ = w.do("POST", "/stream/1", "text")
+	for began := time.Now(); w.server.suspects.Standing(requestIdentity("/stream/1", "text"), time.Now()).Crashes == 0; time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 2*time.Second, "no crash is held against it")
 	}
 }
--- a/ingress/endpoints.go
+++ b/ingress/endpoints.go
@@ -15,22 +15,22 @@
 	defer s.mu.Unlock()
 	now := clock.Now()
 	records = s.reconcile(records, now)
-	clear(s.unnamed)
-	named := make([]fleet.Record, 0, len(records))
+	clear(s.unconfigured)
+	configured := make([]fleet.Record, 0, len(records))
 	for _, r := range records {
-		if s.names(r.Service) {
-			named = append(named, r)
+		if s.isConfigured(r.Service) {
+			configured = append(configured, r)
 		} else {
-			s.unnamed[r.ID] = r
+			s.unconfigured[r.ID] = r
 		}
 	}
-	for _, r := range s.fleet.Replace(named) {
-		s.leftBefore(r, now)
+	for _, r := range s.fleet.Replace(configured) {
+		s.recordRemoval(r, now)
 	}
-	s.listed = true
-	s.list.change()
-	s.events.Info("endpoints listed", "count", len(named), "unnamed", len(s.unnamed))
-	s.tellSoonLocked()
+	s.listKnown = true
+	s.list.markChanged()
+	s.events.Info("endpoints listed", "count", len(configured), "unnamed", len(s.unconfigured))
+	s.sendNoticeLocked()
 	s.dispatchAll(now)
 }
 
@@ -38,13 +38,13 @@
 func (s *Server) PutEndpoint(r fleet.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.back.departed, r.ID)
-	delete(s.back.awaited, r.ID)
-	if !s.names(r.Service) {
-		s.setAside(r)
+	delete(s.rollback.removed, r.ID)
+	delete(s.rollback.unconfirmed, r.ID)
+	if !s.isConfigured(r.Service) {
+		s.putUnconfigured(r)
 		return
 	}
-	delete(s.unnamed, r.ID)
+	delete(s.unconfigured, r.ID)
 	s.putLocked(r)
 }
 
@@ -55,9 +55,9 @@
 	if !s.fleet.Put(r) {
 		return
 	}
-	s.list.change()
+	s.list.markChanged()
 	if added {
-		s.tellSoonLocked()
+		s.sendNoticeLocked()
 	}
 	s.events.Info("endpoint changed", "endpoint", r.ID, "address", r.Address, "service", r.Service, "draining", r.Draining, "models", r.Models, "born", r.Born)
 	s.dispatch(r.Service, clock.Now())
@@ -66,29 +66,29 @@
 // setAside keeps an entry whose service the configuration does not name: it may
 // be named later, and until then it must not take the place of an endpoint that
 // has the same address. Server.mu is held.
-func (s *Server) setAside(r fleet.Record) {
-	_, known := s.unnamed[r.ID]
-	s.unnamed[r.ID] = r
+func (s *Server) putUnconfigured(r fleet.Record) {
+	_, known := s.unconfigured[r.ID]
+	s.unconfigured[r.ID] = r
 	if s.fleet.Remove(r.ID) || !known {
-		s.list.change()
+		s.list.markChanged()
 		s.events.Info("endpoint unnamed", "endpoint", r.ID, "address", r.Address, "service", r.Service)
 	}
 }
 
 // putNamed takes the endpoints whose services a new configuration names.
-func (s *Server) putNamed() {
+func (s *Server) putConfigured() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, r := range s.unnamed {
-		if s.names(r.Service) {
-			delete(s.unnamed, id)
+	for id, r := range s.unconfigured {
+		if s.isConfigured(r.Service) {
+			delete(s.unconfigured, id)
 			s.putLocked(r)
 		}
 	}
 }
 
 // names reports whether the configuration in force names a service.
-func (s *Server) names(service string) bool {
+func (s *Server) isConfigured(service string) bool {
 	c := s.routes.Get()
 	return c == nil || c.Services[service] != nil
 }
@@ -97,7 +97,7 @@
 func (s *Server) RemoveEndpoint(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.unnamed, id)
+	delete(s.unconfigured, id)
 	if s.removeLocked(id, clock.Now()) {
 		s.events.Info("endpoint gone", "endpoint", id)
 	}
@@ -109,11 +109,11 @@
 	e := s.fleet.ByID(id)
 	if e == nil {
 		// Another endpoint may have taken its address before its entry ended.
-		s.leftBefore(fleet.Record{ID: id, Born: anyLife}, now)
+		s.recordRemoval(fleet.Record{ID: id, Born: anyIncarnation}, now)
 		return false
 	}
-	s.leftBefore(e.Record, now)
+	s.recordRemoval(e.Record, now)
 	s.fleet.Remove(id)
-	s.list.change()
+	s.list.markChanged()
 	return true
 }
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -32,42 +32,42 @@
 	// trial says that this try runs although the request is in quarantine.
 	trial bool
 	// life is that of the endpoint when the attempt was sent, as fleet.Life.
-	life   int64
-	body   []byte
-	header http.Header // for the endpoint, without what each attempt adds
-	start  time.Time
+	startedMS int64
+	body      []byte
+	header    http.Header // for the endpoint, without what each attempt adds
+	start     time.Time
 	// configAge is how long before start config was last known to be the
 	// newest.
 	configAge time.Duration
 	// end is when the request is given up: the caller's deadline or the
 	// route's time-out, whichever is first.
-	end time.Time
+	expiresAt time.Time
 	// deadline is the caller's, handed on to endpoints; zero if none.
-	deadline time.Time
-	priority int
+	callerDeadline time.Time
+	priority       int
 	// returned says that the caller was refused before.
-	returned bool
+	callerRetry bool
 
 	// work is how long an engine reads the prompt, in milliseconds.
-	work float64
+	prefillMS float64
 	// usual is the same of a usual prompt.
-	usual float64
+	meanPrefillMS float64
 	// sent is when the attempt in progress was sent, and expected how long it
 	// should take to its first bytes.
-	sent     time.Time
-	expected time.Duration
+	sentAt            time.Time
+	expectedFirstByte time.Duration
 	// begun says that the attempt in progress has brought bytes.
-	begun bool
+	gotBytes bool
 
 	// late says that the request takes an endpoint that will be late.
-	late     bool
-	attempts int             // sent to an endpoint
-	tried    map[string]bool // ids of endpoints
-	mayRun   bool            // an endpoint may have run, or may yet run it
-	granted  bool            // one more attempt is allowed already
+	acceptsLate   bool
+	attempts      int             // sent to an endpoint
+	tried         map[string]bool // ids of endpoints
+	mayHaveRun    bool            // an endpoint may have run, or may yet run it
+	retryReserved bool            // one more attempt is allowed already
 	// alone says that the attempt in progress was chosen with Query.Alone, and
 	// permitted that it has a permit of an endpoint with a limit.
-	alone, permitted bool
+	isolated, hasPermit bool
 	// crashes counts the endpoints that crashed under attempts of this try.
 	crashes   int
 	lastCause string
@@ -75,9 +75,9 @@
 
 // Bounds of reading a request.
 const (
-	defaultBodyBytes = 4 << 20
-	bodyReadTime     = 3 * time.Second
-	maxPriority      = 9
+	defaultMaxBodyBytes = 4 << 20
+	bodyReadTimeout     = 3 * time.Second
+	maxPriority         = 9
 )
 
 // ServeHTTP serves a caller's request.
@@ -91,35 +91,35 @@
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if s.closed.Load() {
+	if s.refusing.Load() {
 		x.refuse("stopping", retryAfterMin)
 		return
 	}
-	if !x.accept() {
+	if !x.prepare() {
 		return
 	}
-	if x.keptOut() {
+	if x.blockedByQuarantine() {
 		x.rejectQuarantined()
 		return
 	}
-	ctx, cancel := clock.WithDeadline(r.Context(), x.end)
+	ctx, cancel := clock.WithDeadline(r.Context(), x.expiresAt)
 	defer cancel()
 	if x.route.Kind == routing.Streaming {
-		x.stream(ctx)
+		x.serveStream(ctx)
 		return
 	}
-	x.plain(ctx)
+	x.servePlain(ctx)
 }
 
 // accept checks the request against the configuration in force and reads
 // its body; if it returns false, the answer has been given.
-func (x *exchange) accept() bool {
+func (x *exchange) prepare() bool {
 	x.config = x.server.routes.Get()
 	if age := x.server.settings.ConfigAge; age != nil {
 		x.configAge = age()
 	}
 	if x.config == nil {
-		x.refuse("no configuration yet", retryAfterUnknown())
+		x.refuse("no configuration yet", retryAfterNotReady())
 		return false
 	}
 	path, _, _ := strings.Cut(x.target(), "?")
@@ -132,17 +132,17 @@
 	workspace := ""
 	if !x.route.Public && x.config.Authenticated() {
 		key, _ := strings.CutPrefix(x.request.Header.Get("Authorization"), "Bearer ")
-		holder := x.config.Workspace(key)
-		if holder == nil {
+		owner := x.config.Workspace(key)
+		if owner == nil {
 			x.denyIfCurrent(http.StatusUnauthorized, "unknown key")
 			return false
 		}
-		workspace = holder.Name
-		x.priority = holder.Priority
+		workspace = owner.Name
+		x.priority = owner.Priority
 	}
 	x.service = x.route.Service(rand.Float64())
-	x.setTimes()
-	x.setHeader(workspace)
+	x.setDeadlines()
+	x.buildHeader(workspace)
 	if !x.readBody() {
 		return false
 	}
@@ -161,31 +161,31 @@
 }
 
 // setTimes sets deadline and end.
-func (x *exchange) setTimes() {
+func (x *exchange) setDeadlines() {
 	timeout := x.route.Timeout
 	if timeout <= 0 {
 		timeout = time.Hour
 	}
-	x.end = x.start.Add(timeout)
+	x.expiresAt = x.start.Add(timeout)
 	ms, err := strconv.ParseFloat(x.request.Header.Get(x.server.settings.Headers.Deadline), 64)
 	if err != nil || ms <= 0 {
 		return
 	}
 	left := time.Duration(ms * float64(time.Millisecond))
-	x.deadline = x.start.Add(left)
-	if x.deadline.Before(x.end) {
-		x.end = x.deadline
+	x.callerDeadline = x.start.Add(left)
+	if x.callerDeadline.Before(x.expiresAt) {
+		x.expiresAt = x.callerDeadline
 	}
-	x.returned = x.server.hasReturned(x.route, x.service, left, timeout, x.start)
+	x.callerRetry = x.server.isCallerRetry(x.route, x.service, left, timeout, x.start)
 }
 
 // connectionHeaders concern one connection only.
-var connectionHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-func (x *exchange) setHeader(workspace string) {
+func (x *exchange) buildHeader(workspace string) {
 	names := &x.server.settings.Headers
 	h := x.request.Header.Clone()
 	for _, name := range strings.Split(h.Get("Connection"), ",") {
@@ -193,7 +193,7 @@
 			h.Del(name)
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 	h.Del(names.ExpectEndpoint)
@@ -205,18 +205,18 @@
 		h.Set(names.Workspace, workspace)
 	}
 	x.header = h
-	if engine := engineOf(x.config, x.service); engine != nil {
+	if engine := engineConfig(x.config, x.service); engine != nil {
 		x.model = h.Get(names.Model)
 		if x.model == "" {
 			x.model = engine.Model
 		}
-		prompt, _, _ := strings.Cut(h.Get(names.TokenUsage), ",")
-		tokens, err := strconv.Atoi(prompt)
+		promptTokens, _, _ := strings.Cut(h.Get(names.TokenUsage), ",")
+		tokens, err := strconv.Atoi(promptTokens)
 		if err != nil || tokens < 0 {
 			tokens = engine.UsualPrompt
 		}
-		x.work = readMillis(engine, tokens)
-		x.usual = readMillis(engine, engine.UsualPrompt)
+		x.prefillMS = prefillMS(engine, tokens)
+		x.meanPrefillMS = prefillMS(engine, engine.UsualPrompt)
 		h.Set(names.Priority, strconv.Itoa(min(max(x.priority, 0), maxPriority)))
 	}
 }
@@ -227,14 +227,14 @@
 	}
 	limit := x.config.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if x.request.ContentLength > limit {
 		x.deny(http.StatusRequestEntityTooLarge, "body too large")
 		return false
 	}
 	control := http.NewResponseController(x.writer)
-	_ = control.SetReadDeadline(clock.Steady(x.start.Add(bodyReadTime))) // real connections support it
+	_ = control.SetReadDeadline(clock.Steady(x.start.Add(bodyReadTimeout))) // real connections support it
 	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -23,19 +23,19 @@
 )
 
 // names of headers in these tests; the product does not care which.
-var names = Headers{
+var testHeaders = Headers{
 	RequestID: "Test-Id", Deadline: "Test-Deadline", Seal: "Test-Seal", NotRun: "Test-Not-Run",
 	ExpectEndpoint: "Test-Expect", ExpectVersion: "Test-Version", Workspace: "Test-Workspace",
 	Priority: "Test-Priority", Model: "Test-Model", TokenUsage: "Test-Usage",
 }
 
 const (
-	key   = "key-1"
-	model = "m"
+	testKey   = "key-1"
+	testModel = "m"
 )
 
 // seen is a request as an endpoint got it.
-type seen struct {
+type receivedRequest struct {
 	endpoint string
 	method   string
 	uri      string
@@ -44,24 +44,24 @@
 }
 
 // world is a gateway with endpoints.
-type world struct {
-	t       testing.TB
-	server  *Server
-	address string
-	client  *http.Client
-	mu      sync.Mutex
-	seen    []seen
-	records map[string]fleet.Record
+type testGateway struct {
+	t        testing.TB
+	server   *Server
+	address  string
+	client   *http.Client
+	mu       sync.Mutex
+	received []receivedRequest
+	records  map[string]fleet.Record
 }
 
 type handler func(w http.ResponseWriter, r *http.Request)
 
-func newWorld(t testing.TB) *world {
+func newTestGateway(t testing.TB) *testGateway {
 	t.Helper()
-	w := &world{t: t, records: make(map[string]fleet.Record)}
+	w := &testGateway{t: t, records: make(map[string]fleet.Record)}
 	w.server = New(Settings{
 		Place:           fleet.Place{Zone: "z"},
-		Headers:         names,
+		Headers:         testHeaders,
 		Budget:          retrybudget.Params{Ratio: 0.2, Slack: 200, Window: 10 * time.Second, Gateways: 1},
 		VersionDeadline: 8 * time.Second,
 	}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
@@ -81,7 +81,7 @@
 	}
 }
 
-func (w *world) configure(version int64, extra ...*routing.Route) {
+func (w *testGateway) configure(version int64, extra ...*routing.Route) {
 	routes := append([]*routing.Route{
 		route(routing.Safe, "/safe/", "plain", 2),
 		route(routing.Unsafe, "/unsafe/", "plain", 1),
@@ -90,50 +90,52 @@
 	w.server.Apply(routing.New(version, routes,
 		[]*routing.Service{
 			{Name: "plain"},
-			{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: model, ReadRate: 20000, UsualPrompt: 1000}},
+			{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, ReadRate: 20000, UsualPrompt: 1000}},
 		},
-		[]*routing.Workspace{{Name: "w", Keys: []string{key}, Priority: 1}},
+		[]*routing.Workspace{{Name: "w", Keys: []string{testKey}, Priority: 1}},
 		routing.Limits{BodyBytes: 1 << 20}))
 }
 
 // endpoint starts an endpoint and puts it on the list.
-func (w *world) endpoint(id, service string, h handler) {
+func (w *testGateway) startEndpoint(id, service string, h handler) {
 	w.t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.mu.Lock()
-		w.seen = append(w.seen, seen{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
+		w.received = append(w.received, receivedRequest{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
 		w.mu.Unlock()
-		rw.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
+		rw.Header().Set(testHeaders.RequestID, r.Header.Get(testHeaders.RequestID))
 		h(rw, r)
 	}))
 	w.t.Cleanup(s.Close)
 	r := fleet.Record{ID: id, Service: service, Address: strings.TrimPrefix(s.URL, "http://"), Zone: "z"}
 	if service == "engine" {
-		r.Models = map[string]int{model: 1}
+		r.Models = map[string]int{testModel: 1}
 	}
 	w.records[id] = r
 	w.server.PutEndpoint(r)
 }
 
-func (w *world) requests() []seen {
+func (w *testGateway) requests() []receivedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]seen(nil), w.seen...)
+	return append([]receivedRequest(nil), w.received...)
 }
 
-type option func(*http.Request)
+type requestOption func(*http.Request)
 
-func with(name, value string) option { return func(r *http.Request) { r.Header.Set(name, value) } }
+func withHeader(name, value string) requestOption {
+	return func(r *http.Request) { r.Header.Set(name, value) }
+}
 
 // ask sends a request; the answer's body is not read yet.
-func (w *world) ask(ctx context.Context, method, path, body string, options ...option) (*http.Response, error) {
+func (w *testGateway) send(ctx context.Context, method, path, body string, options ...requestOption) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, w.address+path, strings.NewReader(body))
 	assert.NilError(w.t, err)
 	r.Host = "h.example"
-	r.Header.Set("Authorization", "Bearer "+key)
-	r.Header.Set(names.RequestID, "id-"+path)
-	r.Header.Set(names.Deadline, "2000")
+	r.Header.Set("Authorization", "Bearer "+testKey)
+	r.Header.Set(testHeaders.RequestID, "id-"+path)
+	r.Header.Set(testHeaders.Deadline, "2000")
 	for _, o := range options {
 		o(r)
 	}
@@ -141,9 +143,9 @@
 }
 
 // get asks and reads the whole answer.
-func (w *world) get(method, path, body string, options ...option) (*http.Response, string) {
+func (w *testGateway) do(method, path, body string, options ...requestOption) (*http.Response, string) {
 	w.t.Helper()
-	response, err := w.ask(context.Background(), method, path, body, options...)
+	response, err := w.send(context.Background(), method, path, body, options...)
 	assert.NilError(w.t, err)
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
@@ -151,32 +153,32 @@
 	return response, string(text)
 }
 
-func ok(body string) handler {
+func respondOK(body string) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "seal")
+		w.Header().Set(testHeaders.Seal, "seal")
 		_, _ = io.WriteString(w, body)
 	}
 }
 
-func status(code int) handler {
+func respondStatus(code int) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "seal")
+		w.Header().Set(testHeaders.Seal, "seal")
 		w.WriteHeader(code)
 	}
 }
 
-func rejects(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set(names.NotRun, "1")
+func respondNotRun(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set(testHeaders.NotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func breaks(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // events answers with events after the last one that the caller has, up to
 // upTo, and then breaks off unless upTo is the last.
-func events(upTo, last int) handler {
+func respondEvents(upTo, lastEvent int) handler {
 	return func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(names.Seal, "seal-"+r.Header.Get(names.ExpectEndpoint))
+		w.Header().Set(testHeaders.Seal, "seal-"+r.Header.Get(testHeaders.ExpectEndpoint))
 		w.Header().Set("Content-Type", "text/event-stream")
 		from := 0
 		if id := r.Header.Get("Last-Event-Id"); id != "" {
@@ -186,7 +188,7 @@
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: token %d\n\n", n, n)
 			w.(http.Flusher).Flush()
 		}
-		if upTo < last {
+		if upTo < lastEvent {
 			_, _ = io.WriteString(w, "id: 99\nda") // within an event
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
@@ -194,9 +196,9 @@
 	}
 }
 
-func wholeStream(last int) string {
+func eventsText(lastEvent int) string {
 	var b strings.Builder
-	for n := 1; n <= last; n++ {
+	for n := 1; n <= lastEvent; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", n, n)
 	}
 	return b.String()
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -67,55 +67,55 @@
 
 // Server is the request path of one gateway. It is an http.Handler.
 type Server struct {
-	settings Settings
-	log      logr.Logger // lines about single requests
-	events   logr.Logger // lines about what the process believes
-	metrics  *telemetry.Metrics
-	routes   routing.Table
-	pool     *upstream.Pool
-	stopping atomic.Bool
-	closed   atomic.Bool
-	inFlight atomic.Int64
-	tellSoon chan struct{} // holds one
-	askSoon  chan struct{} // holds one
-	accepts  accepts
+	settings              Settings
+	log                   logr.Logger // lines about single requests
+	events                logr.Logger // lines about what the process believes
+	metrics               *telemetry.Metrics
+	routes                routing.Table
+	pool                  *upstream.Pool
+	stopping              atomic.Bool
+	refusing              atomic.Bool
+	inFlight              atomic.Int64
+	noticeDue             chan struct{} // holds one
+	permitRequestsPending chan struct{} // holds one
+	acceptState           acceptState
 	// suspects are the requests under which endpoints crashed.
 	suspects *quarantine.Table
 
-	mu        sync.Mutex
-	fleet     *fleet.Fleet
-	waiting   map[string]*queue
-	budgets   map[string]*retrybudget.Budget
-	versions  map[string][]Naming
-	pressures map[string]*pressure
-	patience  map[string]*patience // by route
+	mu            sync.Mutex
+	fleet         *fleet.Fleet
+	queues        map[string]*queue
+	budgets       map[string]*retrybudget.Budget
+	namedVersions map[string][]NamedVersion
+	stats         map[string]*requestStats
+	timeouts      map[string]*timeoutHistogram // by route
 	// gateways is the number that shares what all may do together.
-	gateways int
-	listed   bool // the list of endpoints is known
-	list     listState
-	back     storeReturn
+	gateways  int
+	listKnown bool // the list of endpoints is known
+	list      listState
+	rollback  storeRollback
 	// unnamed are endpoints on the list whose service the configuration does
 	// not name, by id.
-	unnamed map[string]fleet.Record
+	unconfigured map[string]fleet.Record
 	// crashedAt is when endpoints crashed lately, by id.
 	crashedAt map[string]time.Time
 	// asks are what is to be asked of sidecars.
-	asks []PermitAsk
+	permitRequests []PermitRequest
 }
 
 // Naming is a version of a model that the operator named.
-type Naming struct {
+type NamedVersion struct {
 	Version int
 	// Learned is when this gateway heard of it. First says that it was named
 	// before, at an unknown time.
 	Learned time.Time
 	First   bool
 	// due is from when on older versions may start no requests.
-	due time.Time
+	cutoff time.Time
 }
 
 // Overdue reports whether older versions get no requests any more.
-func (n Naming) Overdue(now time.Time) bool { return !now.Before(n.due) }
+func (n NamedVersion) Overdue(now time.Time) bool { return !now.Before(n.cutoff) }
 
 // New returns a server that knows nothing yet.
 func New(s Settings, log, events logr.Logger, m *telemetry.Metrics) *Server {
@@ -129,22 +129,22 @@
 			IdleTimeout: idleTimeout,
 			MaxIdle:     maxIdle,
 		}),
-		fleet:     fleet.New(s.Place),
-		waiting:   make(map[string]*queue),
-		budgets:   make(map[string]*retrybudget.Budget),
-		versions:  make(map[string][]Naming),
-		pressures: make(map[string]*pressure),
-		patience:  make(map[string]*patience),
-		crashedAt: make(map[string]time.Time),
-		unnamed:   make(map[string]fleet.Record),
-		suspects:  quarantine.New(),
-		tellSoon:  make(chan struct{}, 1),
-		askSoon:   make(chan struct{}, 1),
-		list:      newListState(),
-		back:      newStoreReturn(),
+		fleet:                 fleet.New(s.Place),
+		queues:                make(map[string]*queue),
+		budgets:               make(map[string]*retrybudget.Budget),
+		namedVersions:         make(map[string][]NamedVersion),
+		stats:                 make(map[string]*requestStats),
+		timeouts:              make(map[string]*timeoutHistogram),
+		crashedAt:             make(map[string]time.Time),
+		unconfigured:          make(map[string]fleet.Record),
+		suspects:              quarantine.New(),
+		noticeDue:             make(chan struct{}, 1),
+		permitRequestsPending: make(chan struct{}, 1),
+		list:                  newListState(),
+		rollback:              newStoreRollback(),
 	}
 	server.fleet.Share(s.Budget.Gateways)
-	server.gaugeSignals(m)
+	server.registerSignalGauges(m)
 	m.Gauge("mintlift_ingress_suspects", func() float64 {
 		suspected, _ := server.suspects.Len(clock.Now())
 		return float64(suspected)
@@ -169,7 +169,7 @@
 		return
 	}
 	s.events.Info("configuration applied", "version", c.Version, "services", len(c.Services))
-	s.putNamed()
+	s.putConfigured()
 }
 
 // Configuration returns the configuration in force, or nil.
@@ -180,23 +180,23 @@
 func (s *Server) NameVersion(model string, version int, first bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.versions[model]
+	list := s.namedVersions[model]
 	if len(list) > 0 && list[len(list)-1].Version >= version {
 		return
 	}
-	due := now.Add(s.settings.VersionDeadline - s.versionMargin())
-	if first && s.anyHolds(model, version, now) {
-		due = now
+	cutoff := now.Add(s.settings.VersionDeadline - s.versionMargin())
+	if first && s.anyEndpointHolds(model, version, now) {
+		cutoff = now
 	}
-	s.versions[model] = append(list, Naming{Version: version, Learned: now, First: first, due: due})
-	s.events.Info("version named", "model", model, "version", version, "age_unknown", first, "due", due)
-	s.tellSoonLocked()
+	s.namedVersions[model] = append(list, NamedVersion{Version: version, Learned: now, First: first, cutoff: cutoff})
+	s.events.Info("version named", "model", model, "version", version, "age_unknown", first, "due", cutoff)
+	s.sendNoticeLocked()
 }
 
 // tellSoonLocked asks for a round of notices to sidecars; Server.mu is held.
-func (s *Server) tellSoonLocked() {
+func (s *Server) sendNoticeLocked() {
 	select {
-	case s.tellSoon <- struct{}{}:
+	case s.noticeDue <- struct{}{}:
 	default:
 	}
 }
@@ -204,15 +204,15 @@
 // overdue leaves older versions at once where a version of unknown age is
 // seen to be served: by then it has been named for seconds, and for how many
 // nobody here knows. Server.mu is held.
-func (s *Server) overdue(model string, served int, now time.Time) {
-	list := s.versions[model]
+func (s *Server) cutOffOlderVersions(model string, reported int, now time.Time) {
+	list := s.namedVersions[model]
 	for i := range list {
 		n := &list[i]
-		if !n.First || n.Version > served || !n.due.After(now) {
+		if !n.First || n.Version > reported || !n.cutoff.After(now) {
 			continue
 		}
-		n.due = now
-		s.events.Info("version overdue", "model", model, "version", n.Version, "served", served)
+		n.cutoff = now
+		s.events.Info("version overdue", "model", model, "version", n.Version, "served", reported)
 	}
 }
 
@@ -222,17 +222,17 @@
 // after beginTime. versionMarginShare bounds it for short deadlines.
 const (
 	// firstRetransmit is the initial retransmission time of TCP (RFC 6298).
-	firstRetransmit    = time.Second
-	beginTime          = 900 * time.Millisecond
-	versionMargin      = firstRetransmit + beginTime
-	versionMarginShare = 0.25
+	initialRTO            = time.Second
+	engineStartTime       = 900 * time.Millisecond
+	maxVersionMargin      = initialRTO + engineStartTime
+	maxVersionMarginShare = 0.25
 )
 
 func (s *Server) versionMargin() time.Duration {
-	return min(versionMargin, time.Duration(versionMarginShare*float64(s.settings.VersionDeadline)))
+	return min(maxVersionMargin, time.Duration(maxVersionMarginShare*float64(s.settings.VersionDeadline)))
 }
 
-func (s *Server) anyHolds(model string, version int, now time.Time) bool {
+func (s *Server) anyEndpointHolds(model string, version int, now time.Time) bool {
 	c := s.routes.Get()
 	if c == nil {
 		return false
@@ -249,21 +249,21 @@
 
 // cautionLead is how long before a version is due older ones get only what
 // they can begin at once.
-const cautionLead = 1700 * time.Millisecond
+const nextVersionLead = 1700 * time.Millisecond
 
 // promiseLead is for how much longer an engine with an older version gets what
 // it begins at once, if its sidecar promises to drain it in time. The sidecar
 // does so 1.2 s before the deadline; the gateway's own bound holds also if its
 // word of that is late, and leaves an engine that is not drained after all
 // beginTime and 100 ms more.
-const promiseLead = versionMargin - beginTime - 100*time.Millisecond
+const scheduledUpdateLead = maxVersionMargin - engineStartTime - 100*time.Millisecond
 
 // minVersion is the lowest version of model that may start a request at a
 // time.
 func (s *Server) minVersion(model string, at time.Time) int {
 	lowest := 0
-	for _, n := range s.versions[model] {
-		if at.After(n.due) {
+	for _, n := range s.namedVersions[model] {
+		if at.After(n.cutoff) {
 			lowest = n.Version
 		}
 	}
@@ -279,9 +279,9 @@
 	if e == nil {
 		return
 	}
-	s.countGateways(r.Gateways)
+	s.raiseGateways(r.Gateways)
 	if changed {
-		s.overdue(r.Model, e.Holds(r.Model, now), now)
+		s.cutOffOlderVersions(r.Model, e.Holds(r.Model, now), now)
 		s.events.Info("engine reported", "endpoint", e.ID, "model", r.Model, "version", r.Version, "busy", r.Busy, "doubted", r.Doubted, "draining", r.Draining, "limited", r.Limited, "rate", r.Limit)
 	}
 	s.dispatch(e.Service, now)
@@ -289,7 +289,7 @@
 
 // countGateways takes the number of gateways that a sidecar knows; what is
 // shared between them is shared by the most that were ever seen.
-func (s *Server) countGateways(n int) {
+func (s *Server) raiseGateways(n int) {
 	if n <= s.gateways {
 		return
 	}
@@ -303,36 +303,36 @@
 
 // TellSoon tells that sidecars should hear something at once: a version has
 // been named, or an engine was added.
-func (s *Server) TellSoon() <-chan struct{} { return s.tellSoon }
+func (s *Server) TellSoon() <-chan struct{} { return s.noticeDue }
 
 // Named returns the last named versions of a model, the newest last.
-func (s *Server) Named(model string) []Naming {
+func (s *Server) Named(model string) []NamedVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.versions[model]
-	return slices.Clone(list[max(0, len(list)-namedTold):])
+	list := s.namedVersions[model]
+	return slices.Clone(list[max(0, len(list)-maxNamedVersions):])
 }
 
 // namedTold is how many named versions are told: the deadline of one may
 // come before the next is served.
-const namedTold = 2
+const maxNamedVersions = 2
 
 // EngineAddresses returns the addresses of a service's endpoints, apart those
 // whose sidecars know weights with the checksum sum.
-func (s *Server) EngineAddresses(service string, sum uint32, now time.Time) (knowing, others []string) {
+func (s *Server) EngineAddresses(service string, checksum uint32, now time.Time) (upToDate, others []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.Addresses(service, sum, now)
+	return s.fleet.Addresses(service, checksum, now)
 }
 
 // Ready reports whether the gateway can serve new connections.
 func (s *Server) Ready() bool {
-	if s.stopping.Load() || s.routes.Get() == nil || s.accepts.failing(clock.Now()) {
+	if s.stopping.Load() || s.routes.Get() == nil || s.acceptState.recentlyFailed(clock.Now()) {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listed && s.fleet.Len() > 0
+	return s.listKnown && s.fleet.Len() > 0
 }
 
 // ServeReady answers the readiness probe.
@@ -349,7 +349,7 @@
 func (s *Server) StartStopping() { s.stopping.Store(true) }
 
 // Refuse turns away every request from now on.
-func (s *Server) Refuse() { s.closed.Store(true) }
+func (s *Server) Refuse() { s.refusing.Store(true) }
 
 // InFlight is the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
@@ -360,7 +360,7 @@
 	s.pool.Sweep(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endReturn(now)
+	s.expireRollback(now)
 	s.fleet.Forget(now)
 }
 
--- a/ingress/list.go
+++ b/ingress/list.go
@@ -13,7 +13,7 @@
 // listState says which state of the list of endpoints a gateway has.
 type listState struct {
 	// life tells the states of one process from those of another.
-	life       uint64
+	instance   uint64
 	generation int64
 	// era is that of the store that the list was told of.
 	era int64
@@ -21,15 +21,15 @@
 	changed chan struct{}
 	// confirmed is when the store was read last, by this gateway or by the
 	// one from which it has the list.
-	confirmed time.Time
+	confirmedAt time.Time
 }
 
 func newListState() listState {
-	return listState{life: rand.Uint64(), changed: make(chan struct{})}
+	return listState{instance: rand.Uint64(), changed: make(chan struct{})}
 }
 
 // change notes that the list has changed; Server.mu is held.
-func (l *listState) change() {
+func (l *listState) markChanged() {
 	l.generation++
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -51,7 +51,7 @@
 func (s *Server) Listed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list.confirmed = now
+	s.list.confirmedAt = now
 }
 
 // List returns the list of endpoints, and whether it has been read.
@@ -59,16 +59,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := List{
-		State:     strconv.FormatUint(s.list.life, 16) + "." + strconv.FormatInt(s.list.generation, 10),
+		State:     strconv.FormatUint(s.list.instance, 16) + "." + strconv.FormatInt(s.list.generation, 10),
 		Era:       s.list.era,
-		Confirmed: s.list.confirmed,
+		Confirmed: s.list.confirmedAt,
 		Changed:   s.list.changed,
 	}
 	for _, e := range s.fleet.All() {
 		l.Records = append(l.Records, e.Record)
 	}
-	for _, r := range s.unnamed {
+	for _, r := range s.unconfigured {
 		l.Records = append(l.Records, r)
 	}
-	return l, s.listed
+	return l, s.listKnown
 }
--- a/ingress/patience.go
+++ b/ingress/patience.go
@@ -16,58 +16,58 @@
 // from the times that most callers give.
 const (
 	// patienceBins divide the part of the time-out that callers give.
-	patienceBins = 100
+	timeoutBins = 100
 	// patienceLife is the time constant of what is learned.
-	patienceLife = 20 * time.Second
+	timeoutDecay = 20 * time.Second
 	// returnedShare is the share of callers below the usual part: in calm few
 	// come back, and while many do for a short time, they come with all kinds of
 	// times left.
-	returnedShare = 0.03
+	firstTryQuantile = 0.03
 	// calmShare is the share of refusals up to which a gateway learns: amid an
 	// outage those that come back would pass for usual.
-	calmShare = 0.01
+	maxRefusedToLearn = 0.01
 	// patienceRoutes bounds the routes that are learned of, each of which takes
 	// 0.8 KB; callers of others count as asking for the first time.
-	patienceRoutes = 64
+	maxTimeoutRoutes = 64
 	// patienceMin is how many callers must have asked before the usual part
 	// counts as learned.
-	patienceMin = 20
+	minTimeoutSamples = 20
 )
 
 // returnedLess is how much less than usual a caller has left that is taken for
 // one that was refused: it has waited for retryAfterMin, less a margin.
-const returnedLess = 200 * time.Millisecond
+const callerRetryMargin = 200 * time.Millisecond
 
 // patience is the distribution of the parts of a route's time-out that its
 // callers give. Server.mu guards it.
-type patience struct {
-	bins  [patienceBins + 1]float64
-	total float64
-	at    time.Time
+type timeoutHistogram struct {
+	bins      [timeoutBins + 1]float64
+	total     float64
+	updatedAt time.Time
 }
 
 // note adds a caller's part.
-func (p *patience) note(part float64, now time.Time) {
-	keep := math.Exp(-float64(now.Sub(p.at)) / float64(patienceLife))
-	p.at = now
+func (p *timeoutHistogram) add(part float64, now time.Time) {
+	keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(timeoutDecay))
+	p.updatedAt = now
 	p.total = p.total*keep + 1
 	for i := range p.bins {
 		p.bins[i] *= keep
 	}
-	p.bins[int(math.Round(min(max(part, 0), 1)*patienceBins))]++
+	p.bins[int(math.Round(min(max(part, 0), 1)*timeoutBins))]++
 }
 
 // usual is the least part that callers usually give; all of it while too few
 // have asked.
-func (p *patience) usual() float64 {
-	if p.total < patienceMin {
+func (p *timeoutHistogram) firstTryMin() float64 {
+	if p.total < minTimeoutSamples {
 		return 1
 	}
 	below := 0.0
 	for i, n := range p.bins {
 		below += n
-		if below > returnedShare*p.total {
-			return float64(i) / patienceBins
+		if below > firstTryQuantile*p.total {
+			return float64(i) / timeoutBins
 		}
 	}
 	return 1
@@ -75,25 +75,25 @@
 
 // hasReturned reports whether a caller that has so much time left was refused
 // before, as far as one can tell, and learns from it.
-func (s *Server) hasReturned(r *routing.Route, service string, left, timeout time.Duration, now time.Time) bool {
+func (s *Server) isCallerRetry(r *routing.Route, service string, left, timeout time.Duration, now time.Time) bool {
 	if r.Kind != routing.Streaming || timeout <= 0 {
 		return false
 	}
 	part := float64(left) / float64(timeout)
-	calm := s.pressureOf(service).share(now) < calmShare
+	learn := s.statsOf(service).refusedShare(now) < maxRefusedToLearn
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.patience[r.Name]
+	p := s.timeouts[r.Name]
 	if p == nil {
-		if len(s.patience) >= patienceRoutes {
+		if len(s.timeouts) >= maxTimeoutRoutes {
 			return false
 		}
-		p = &patience{at: now}
-		s.patience[r.Name] = p
+		p = &timeoutHistogram{updatedAt: now}
+		s.timeouts[r.Name] = p
 	}
-	returned := left < time.Duration(p.usual()*float64(timeout))-returnedLess
-	if calm {
-		p.note(part, now)
+	retry := left < time.Duration(p.firstTryMin()*float64(timeout))-callerRetryMargin
+	if learn {
+		p.add(part, now)
 	}
-	return returned
+	return retry
 }
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -15,9 +15,9 @@
 type waiter struct {
 	exchange *exchange
 	rank     rank
-	until    time.Time // it is refused then
+	deadline time.Time // it is refused then
 	// granted holds one: the endpoint, or nil if it is refused.
-	granted chan *fleet.Endpoint
+	assigned chan *fleet.Endpoint
 }
 
 // rank orders waiters: the lower goes first.
@@ -25,7 +25,7 @@
 	priority int
 	stage    stage
 	// due is when the answer should begin: who has less time left goes first.
-	due time.Time
+	answerDue time.Time
 }
 
 // stage orders waiters of one priority. A new request that is answered in time
@@ -34,31 +34,31 @@
 type stage int
 
 const (
-	resumed stage = iota
-	fresh
-	returned
+	stageRetry stage = iota
+	stageFirst
+	stageCallerRetry
 )
 
 func (x *exchange) stage() stage {
 	switch {
 	case x.attempts > 0:
-		return resumed
-	case x.returned:
-		return returned
+		return stageRetry
+	case x.callerRetry:
+		return stageCallerRetry
 	default:
-		return fresh
+		return stageFirst
 	}
 }
 
 func compareRank(a, b rank) int {
-	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.due.Compare(b.due))
+	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.answerDue.Compare(b.answerDue))
 }
 
 // queue are the waiters of a service, by rank.
 type queue struct {
 	waiters []*waiter
 	// wakeAt is when the queue is looked at again by itself, or zero.
-	wakeAt time.Time
+	nextDispatch time.Time
 }
 
 func (q *queue) add(a *waiter) {
@@ -81,34 +81,34 @@
 // each waiter, at each report, is more than a gateway has when engines change
 // their version and report a thousand times a second.
 func (s *Server) dispatch(service string, now time.Time) {
-	q := s.waiting[service]
+	q := s.queues[service]
 	if q == nil || len(q.waiters) == 0 {
 		return
 	}
-	defer s.wakeLater(service, q, now)
+	defer s.scheduleDispatch(service, q, now)
 	s.refuseClosed(q, now)
 	if len(q.waiters) == 0 {
 		return
 	}
-	free := s.fleet.Free(s.widest(q.waiters[0].exchange, now), now)
+	free := s.fleet.Free(s.widestQuery(q.waiters[0].exchange, now), now)
 	if len(free) == 0 {
 		return
 	}
-	defer s.askPermits(service, now)
+	defer s.queuePermitRequests(service, now)
 	kept := q.waiters[:0]
 	for _, w := range q.waiters {
-		q := s.query(w.exchange, now)
+		q := s.attemptQuery(w.exchange, now)
 		e := s.fleet.ChooseAmong(free, q, now)
 		if e == nil {
 			kept = append(kept, w)
 			continue
 		}
-		w.exchange.alone = q.Alone
-		w.exchange.permitted = e.Signals.Limited()
+		w.exchange.isolated = q.Alone
+		w.exchange.hasPermit = e.Signals.Limited()
 		if e.Signals.Limited() {
 			s.metrics.Counter("mintlift_ingress_limited_requests_total", "service", service).Inc()
 		}
-		w.granted <- e
+		w.assigned <- e
 	}
 	clear(q.waiters[len(kept):])
 	q.waiters = kept
@@ -117,30 +117,30 @@
 // refuseClosed refuses the waiters for which all endpoints are closed, by their own
 // words, for longer than they wait. Server.mu is held.
 func (s *Server) refuseClosed(q *queue, now time.Time) {
-	if s.fleet.Closed(s.widest(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
+	if s.fleet.Closed(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
 		return
 	}
 	q.waiters = slices.DeleteFunc(q.waiters, func(w *waiter) bool {
-		c := s.fleet.Closed(s.servable(w.exchange, now), w.until, now)
+		c := s.fleet.Closed(s.servableQuery(w.exchange, now), w.deadline, now)
 		if c.Reason == fleet.Open {
 			return false
 		}
-		w.granted <- nil
+		w.assigned <- nil
 		return true
 	})
 }
 
 // wakeLater lets the waiters of a service be looked at again when the next endpoint
 // may get a request: nothing else happens then. Server.mu is held.
-func (s *Server) wakeLater(service string, q *queue, now time.Time) {
+func (s *Server) scheduleDispatch(service string, q *queue, now time.Time) {
 	if len(q.waiters) == 0 {
 		return
 	}
 	at := s.fleet.Opens(service, now)
-	if at.IsZero() || q.wakeAt.After(now) && !at.Before(q.wakeAt) {
+	if at.IsZero() || q.nextDispatch.After(now) && !at.Before(q.nextDispatch) {
 		return
 	}
-	q.wakeAt = at
+	q.nextDispatch = at
 	time.AfterFunc(at.Sub(now), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -149,7 +149,7 @@
 }
 
 func (s *Server) dispatchAll(now time.Time) {
-	for service := range s.waiting {
+	for service := range s.queues {
 		s.dispatch(service, now)
 	}
 }
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -14,7 +14,7 @@
 )
 
 // observe takes what an answer of e says of it.
-func (x *exchange) observe(e *fleet.Endpoint, r *upstream.Response) {
+func (x *exchange) recordSignals(e *fleet.Endpoint, r *upstream.Response) {
 	s := x.server
 	if s.settings.Signal == nil || r.Status == http.StatusMisdirectedRequest {
 		return // another endpoint may have the address, and mean itself
@@ -23,16 +23,16 @@
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changes := e.Signals.Observe(signal, x.sent, now)
-	s.noteSignals(e.ID, x.id, changes)
+	changes := e.Signals.Observe(signal, x.sentAt, now)
+	s.logSignalChanges(e.ID, x.id, changes)
 	if len(changes) > 0 {
-		s.askPermits(e.Service, now)
+		s.queuePermitRequests(e.Service, now)
 	}
 }
 
 // noteSignals logs news of what an endpoint says; request is empty if another process
 // told it. Server.mu is held.
-func (s *Server) noteSignals(endpoint, request string, changes []backpressure.Change) {
+func (s *Server) logSignalChanges(endpoint, request string, changes []backpressure.Change) {
 	for _, c := range changes {
 		s.metrics.Counter("mintlift_ingress_endpoint_signals_total", "signal", c.Kind.String()).Inc()
 		s.events.Info("endpoint signal", "endpoint", endpoint, "request", request, "signal", c.Kind.String(), "rate", c.Rate, "backoff_ms", c.Backoff.Milliseconds(), "value", c.Value)
@@ -40,7 +40,7 @@
 }
 
 // gaugeSignals shows how many endpoints have said what.
-func (s *Server) gaugeSignals(m *telemetry.Metrics) {
+func (s *Server) registerSignalGauges(m *telemetry.Metrics) {
 	of := func(read func(w fleet.Signals) float64) func() float64 {
 		return func() float64 {
 			s.mu.Lock()
@@ -56,58 +56,58 @@
 
 // permit reports whether x may be sent to e as far as its limit goes: one that was
 // named since e was chosen counts, too. Server.mu is held.
-func (x *exchange) permit(e *fleet.Endpoint, now time.Time) bool {
-	if x.permitted || !e.Signals.Limited() {
+func (x *exchange) takePermit(e *fleet.Endpoint, now time.Time) bool {
+	if x.hasPermit || !e.Signals.Limited() {
 		return true
 	}
 	if e.Signals.From(now).After(now) {
 		return false
 	}
 	e.Signals.Take(now)
-	x.permitted = true
+	x.hasPermit = true
 	return true
 }
 
 // PermitAsk is what is to be asked of the sidecar beside an endpoint.
-type PermitAsk struct {
+type PermitRequest struct {
 	backpressure.Ask
 	// Address is that of the endpoint beside which the sidecar is.
 	Address string
 }
 
 // AskSoon tells that Asks has something.
-func (s *Server) AskSoon() <-chan struct{} { return s.askSoon }
+func (s *Server) AskSoon() <-chan struct{} { return s.permitRequestsPending }
 
 // Asks returns what is to be asked of sidecars, once.
-func (s *Server) Asks() []PermitAsk {
+func (s *Server) Asks() []PermitRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asks := s.asks
-	s.asks = nil
+	asks := s.permitRequests
+	s.permitRequests = nil
 	return asks
 }
 
 // maxAsks bounds the asks that wait to be sent; what is lost is asked again.
-const maxAsks = 256
+const maxPermitRequests = 256
 
 // askPermits notes what is to be asked for the endpoints of a service. Server.mu is
 // held.
-func (s *Server) askPermits(service string, now time.Time) {
+func (s *Server) queuePermitRequests(service string, now time.Time) {
 	s.fleet.Asks(service, now, func(e *fleet.Endpoint, a backpressure.Ask) {
-		address := s.dealer(e, now)
+		address := s.permitIssuer(e, now)
 		if address == "" {
 			e.Signals.Alone(now)
 			return
 		}
-		if len(s.asks) < maxAsks {
-			s.asks = append(s.asks, PermitAsk{Ask: a, Address: address})
+		if len(s.permitRequests) < maxPermitRequests {
+			s.permitRequests = append(s.permitRequests, PermitRequest{Ask: a, Address: address})
 		}
 	})
-	if len(s.asks) == 0 {
+	if len(s.permitRequests) == 0 {
 		return
 	}
 	select {
-	case s.askSoon <- struct{}{}:
+	case s.permitRequestsPending <- struct{}{}:
 	default:
 	}
 }
@@ -115,12 +115,12 @@
 // dealer returns the address of the endpoint whose sidecar deals out the limit of e:
 // its own if it has one, else one that all gateways choose alike, or none. Server.mu
 // is held.
-func (s *Server) dealer(e *fleet.Endpoint, now time.Time) string {
+func (s *Server) permitIssuer(e *fleet.Endpoint, now time.Time) string {
 	c := s.routes.Get()
 	if c == nil {
 		return ""
 	}
-	if engineOf(c, e.Service) != nil {
+	if engineConfig(c, e.Service) != nil {
 		return e.Address
 	}
 	var relays []string
@@ -137,7 +137,7 @@
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteSignals(g.ID, "", s.fleet.Granted(g, now))
+	s.logSignalChanges(g.ID, "", s.fleet.Granted(g, now))
 	if e := s.fleet.ByID(g.ID); e != nil {
 		s.dispatch(e.Service, now)
 	}
@@ -150,7 +150,7 @@
 	defer s.mu.Unlock()
 	for _, r := range records {
 		changes := s.fleet.HeardOf(r, now)
-		s.noteSignals(r.ID, "", changes)
+		s.logSignalChanges(r.ID, "", changes)
 		if e := s.fleet.ByID(r.ID); e != nil && len(changes) > 0 {
 			s.dispatch(e.Service, now)
 		}
--- a/ingress/silence_test.go
+++ b/ingress/silence_test.go
@@ -24,47 +24,47 @@
 
 // stopBound is how long a request may go on at its endpoint after its caller
 // has left.
-const stopBound = 500 * time.Millisecond
+const maxStopDelay = 500 * time.Millisecond
 
 // muteProxy forwards connections to an endpoint until it is muted: from then
 // on open ones bring nothing either way, without being closed, while new ones
 // work.
-type muteProxy struct {
+type stallProxy struct {
 	address string
 	// era counts the mutings; a connection forwards only in its own.
-	era atomic.Int64
+	stalls atomic.Int64
 }
 
-func newMuteProxy(t testing.TB, to string) *muteProxy {
+func newStallProxy(t testing.TB, to string) *stallProxy {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	p := &muteProxy{address: l.Addr().String()}
+	p := &stallProxy{address: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			up, err := net.Dial("tcp4", to)
+			upstream, err := net.Dial("tcp4", to)
 			if err != nil {
 				_ = c.Close()
 				continue
 			}
-			born := p.era.Load()
-			go p.forward(up, c, born)
-			go p.forward(c, up, born)
+			stallsAtOpen := p.stalls.Load()
+			go p.forward(upstream, c, stallsAtOpen)
+			go p.forward(c, upstream, stallsAtOpen)
 		}
 	}()
 	return p
 }
 
-func (p *muteProxy) forward(to, from net.Conn, born int64) {
+func (p *stallProxy) forward(to, from net.Conn, stallsAtOpen int64) {
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := from.Read(buffer)
-		if p.era.Load() != born {
+		if p.stalls.Load() != stallsAtOpen {
 			continue // swallowed, also the end
 		}
 		if n > 0 {
@@ -77,12 +77,12 @@
 	}
 }
 
-func (p *muteProxy) mute() { p.era.Add(1) }
+func (p *stallProxy) stall() { p.stalls.Add(1) }
 
 // behind puts an endpoint's address behind a proxy.
-func (w *world) behind(id string) *muteProxy {
+func (w *testGateway) putBehindProxy(id string) *stallProxy {
 	r := w.records[id]
-	p := newMuteProxy(w.t, r.Address)
+	p := newStallProxy(w.t, r.Address)
 	w.server.RemoveEndpoint(id)
 	r.Address = p.address
 	w.records[id] = r
@@ -91,7 +91,7 @@
 }
 
 // prefer takes all endpoints but one off the list.
-func (w *world) prefer(id string) {
+func (w *testGateway) listOnly(id string) {
 	for other := range w.records {
 		if other != id {
 			w.server.RemoveEndpoint(other)
@@ -101,15 +101,15 @@
 
 // A connection that goes silent with a request on it is found, and a request
 // that may be repeated is answered by another endpoint in time.
-func TestSilentConnectionIsFound(t *testing.T) {
+func TestStalledConnectionIsDetected(t *testing.T) {
 	for _, kind := range []string{"safe", "stream"} {
 		t.Run(kind, func(t *testing.T) {
-			w := newWorld(t)
-			patient := []*routing.Route{route(routing.Safe, "/patient-safe/", "plain", 2), route(routing.Streaming, "/patient-stream/", "engine", 2)}
-			for _, r := range patient {
+			w := newTestGateway(t)
+			longRoutes := []*routing.Route{route(routing.Safe, "/patient-safe/", "plain", 2), route(routing.Streaming, "/patient-stream/", "engine", 2)}
+			for _, r := range longRoutes {
 				r.Timeout = 8 * time.Second
 			}
-			w.configure(1, patient...)
+			w.configure(1, longRoutes...)
 			service, path, method := "plain", "/patient-safe/1", "GET"
 			if kind == "stream" {
 				service, path, method = "engine", "/patient-stream/1", "POST"
@@ -117,143 +117,143 @@
 			arrived := make(chan struct{}, 1)
 			release := make(chan struct{})
 			defer close(release)
-			w.endpoint("a", service, func(http.ResponseWriter, *http.Request) {
+			w.startEndpoint("a", service, func(http.ResponseWriter, *http.Request) {
 				arrived <- struct{}{}
 				<-release
 			})
-			proxy := w.behind("a")
-			w.endpoint("b", service, events(last, last))
-			w.prefer("a")
+			proxy := w.putBehindProxy("a")
+			w.startEndpoint("b", service, respondEvents(lastEvent, lastEvent))
+			w.listOnly("a")
 			go func() {
 				<-arrived
-				proxy.mute()
+				proxy.stall()
 				w.server.PutEndpoint(w.records["b"])
 			}()
-			response, body := w.get(method, path, "", with(names.Deadline, "8000"))
+			response, body := w.do(method, path, "", withHeader(testHeaders.Deadline, "8000"))
 			assert.Equal(t, response.StatusCode, http.StatusOK)
-			assert.Equal(t, body, wholeStream(last))
+			assert.Equal(t, body, eventsText(lastEvent))
 		})
 	}
 }
 
 // A stream that has brought events and stops goes on elsewhere before its
 // caller leaves, also while its endpoint's box is heard.
-func TestStreamThatStopsGoesOnElsewhere(t *testing.T) {
-	w := newWorld(t)
-	patient := route(routing.Streaming, "/patient/", "engine", 2)
-	patient.Timeout = time.Minute
-	w.configure(1, patient)
+func TestStalledStreamResumesElsewhere(t *testing.T) {
+	w := newTestGateway(t)
+	longRoute := route(routing.Streaming, "/patient/", "engine", 2)
+	longRoute.Timeout = time.Minute
+	w.configure(1, longRoute)
 	release := make(chan struct{})
 	defer close(release)
 	var first atomic.Value
 	h := func(rw http.ResponseWriter, r *http.Request) {
-		if first.CompareAndSwap(nil, r.Header.Get(names.ExpectEndpoint)) {
-			rw.Header().Set(names.Seal, "s")
+		if first.CompareAndSwap(nil, r.Header.Get(testHeaders.ExpectEndpoint)) {
+			rw.Header().Set(testHeaders.Seal, "s")
 			_, _ = io.WriteString(rw, "id: 1\ndata: token 1\n\n")
 			rw.(http.Flusher).Flush()
 			<-release
 			return
 		}
-		events(last, last)(rw, r)
+		respondEvents(lastEvent, lastEvent)(rw, r)
 	}
-	w.endpoint("a", "engine", h)
-	w.endpoint("b", "engine", h)
+	w.startEndpoint("a", "engine", h)
+	w.startEndpoint("b", "engine", h)
 	reporting := time.NewTicker(50 * time.Millisecond)
 	defer reporting.Stop()
 	go func() {
 		for range reporting.C {
 			for _, r := range w.records {
-				w.server.Heard(fleet.Report{Address: r.Address, Model: model, Version: 1, Running: 1}, -1)
+				w.server.Heard(fleet.Report{Address: r.Address, Model: testModel, Version: 1, Running: 1}, -1)
 			}
 		}
 	}()
-	_, body := w.get("POST", "/patient/1", "x", with(names.Deadline, "60000"))
-	assert.Equal(t, body, wholeStream(last))
+	_, body := w.do("POST", "/patient/1", "x", withHeader(testHeaders.Deadline, "60000"))
+	assert.Equal(t, body, eventsText(lastEvent))
 }
 
 // One that has brought events is moved sooner than one that has not, whose
 // engine may have no slot yet.
-func TestLimitOfSilence(t *testing.T) {
-	w := newWorld(t)
+func TestStreamStallTimeouts(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", ok(""))
+	w.startEndpoint("a", "engine", respondOK(""))
 	now := time.Now()
-	w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: model, Version: 1}, -1)
+	w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1}, -1)
 	e := w.server.fleet.Endpoints("engine")[0]
-	silent := silentBegun + watchEvery
-	assert.Assert(t, silent < silentStream)
-	assert.Assert(t, !w.server.fellSilent(e, silent, silenceLimit(false), now))
-	assert.Assert(t, w.server.fellSilent(e, silent, silenceLimit(true), now))
-	assert.Assert(t, w.server.fellSilent(e, silent, silenceLimit(false), now.Add(2*silentBox)), "the whole box is silent")
+	idle := nextEventTimeout + idleCheckInterval
+	assert.Assert(t, idle < firstEventTimeout)
+	assert.Assert(t, !w.server.streamStalled(e, idle, eventTimeout(false), now))
+	assert.Assert(t, w.server.streamStalled(e, idle, eventTimeout(true), now))
+	assert.Assert(t, w.server.streamStalled(e, idle, eventTimeout(false), now.Add(2*boxSilenceTimeout)), "the whole box is silent")
 }
 
 // After one connection to an endpoint went silent, those that rest are not
 // used any more: each would hold up a request as long.
-func TestRestingConnectionsOfASilentOneAreForgotten(t *testing.T) {
-	w := newWorld(t)
+func TestIdleConnectionsAreClosedAfterAStall(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	var hold atomic.Bool
+	var stall atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
-	w.endpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
-		if hold.Load() {
+	w.startEndpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
+		if stall.Load() {
 			<-release
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
-		ok("x")(rw, r)
+		respondOK("x")(rw, r)
 	})
-	proxy := w.behind("a")
-	w.endpoint("b", "plain", ok("x"))
-	w.prefer("a")
+	proxy := w.putBehindProxy("a")
+	w.startEndpoint("b", "plain", respondOK("x"))
+	w.listOnly("a")
 	answered := make(chan struct{}, 4)
 	for n := range cap(answered) { // each on a connection of its own
 		go func() {
-			w.get("GET", fmt.Sprintf("/safe/%d", n), "")
+			w.do("GET", fmt.Sprintf("/safe/%d", n), "")
 			answered <- struct{}{}
 		}()
 	}
 	for range cap(answered) {
 		<-answered
 	}
-	hold.Store(true)
-	proxy.mute()
+	stall.Store(true)
+	proxy.stall()
 	w.server.PutEndpoint(w.records["b"])
-	w.prefer("a")
-	w.get("GET", "/safe/silent", "")
-	hold.Store(false)
-	time.Sleep(openAgain)
-	response, _ := w.get("GET", "/safe/after", "")
+	w.listOnly("a")
+	w.do("GET", "/safe/silent", "")
+	stall.Store(false)
+	time.Sleep(failureBackoff)
+	response, _ := w.do("GET", "/safe/after", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
 // openAgain is longer than an endpoint is left alone after one failure.
-const openAgain = 600 * time.Millisecond
+const failureBackoff = 600 * time.Millisecond
 
 // A caller that closes its connection stops its request at the endpoint. On a
 // machine that is busy with other things one of several tries shows it.
-func TestCloseReachesTheEndpoint(t *testing.T) {
+func TestCallerCloseStopsEndpoint(t *testing.T) {
 	for path, service := range map[string]string{"/safe/1": "plain", "/unsafe/1": "plain", "/stream/1": "engine"} {
 		t.Run(path, func(t *testing.T) {
 			const tries = 5
-			least := time.Hour
+			shortest := time.Hour
 			for range tries {
-				least = min(least, closeToStop(t, path, service))
+				shortest = min(shortest, cancelDelay(t, path, service))
 			}
-			assert.Assert(t, least < stopBound, "stopped after %v", least)
+			assert.Assert(t, shortest < maxStopDelay, "stopped after %v", shortest)
 		})
 	}
 }
 
 // closeToStop is the time from a caller's close to the end of its request at
 // the endpoint.
-func closeToStop(t *testing.T, path, service string) time.Duration {
-	w := newWorld(t)
+func cancelDelay(t *testing.T, path, service string) time.Duration {
+	w := newTestGateway(t)
 	w.configure(1)
 	running := make(chan struct{})
 	ended := make(chan time.Time, 1)
-	w.endpoint("a", service, func(rw http.ResponseWriter, r *http.Request) {
-		rw.Header().Set(names.Seal, "s")
+	w.startEndpoint("a", service, func(rw http.ResponseWriter, r *http.Request) {
+		rw.Header().Set(testHeaders.Seal, "s")
 		if service == "engine" {
 			_, _ = io.WriteString(rw, "id: 1\ndata: x\n\n")
 			rw.(http.Flusher).Flush()
@@ -264,7 +264,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		if response, err := w.ask(ctx, "POST", path, "x"); err == nil {
+		if response, err := w.send(ctx, "POST", path, "x"); err == nil {
 			_, _ = io.ReadAll(response.Body)
 			_ = response.Body.Close()
 		}
@@ -276,11 +276,11 @@
 }
 
 // A request that is read after its caller has left reaches no endpoint.
-func TestRequestOfACallerThatHasLeftIsNotSent(t *testing.T) {
-	w := newWorld(t)
+func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "plain", ok("x"))
-	w.endpoint("b", "engine", events(last, last))
+	w.startEndpoint("a", "plain", respondOK("x"))
+	w.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	const callers = 40
@@ -291,7 +291,7 @@
 		if n%2 == 0 {
 			line, path = "POST", "/stream/1"
 		}
-		_, err = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: id-%d\r\nContent-Length: 0\r\n\r\n", line, path, key, names.RequestID, n)
+		_, err = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: id-%d\r\nContent-Length: 0\r\n\r\n", line, path, testKey, testHeaders.RequestID, n)
 		assert.NilError(t, err)
 		assert.NilError(t, c.Close())
 	}
@@ -314,13 +314,13 @@
 }
 
 // scarceListener has no descriptors left for a while.
-type scarceListener struct {
+type exhaustibleListener struct {
 	net.Listener
-	scarce atomic.Bool
+	exhausted atomic.Bool
 }
 
-func (l *scarceListener) Accept() (net.Conn, error) {
-	if l.scarce.Load() {
+func (l *exhaustibleListener) Accept() (net.Conn, error) {
+	if l.exhausted.Load() {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.EMFILE}
 	}
 	return l.Listener.Accept()
@@ -328,23 +328,23 @@
 
 // A gateway that cannot take connections says that it is not ready, and is
 // ready again once it can.
-func TestReadyMeansThatConnectionsAreTaken(t *testing.T) {
-	w := newWorld(t)
+func TestNotReadyWhileAcceptFails(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "plain", ok("x"))
+	w.startEndpoint("a", "plain", respondOK("x"))
 	w.server.SetEndpoints([]fleet.Record{w.records["a"]})
 	assert.Assert(t, w.server.Ready())
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	scarce := &scarceListener{Listener: l}
-	scarce.scarce.Store(true)
+	listener := &exhaustibleListener{Listener: l}
+	listener.exhausted.Store(true)
 	front := &http.Server{ConnContext: ConnContext, Handler: w.server}
-	go func() { _ = front.Serve(w.server.Accepting(scarce)) }()
+	go func() { _ = front.Serve(w.server.Accepting(listener)) }()
 	defer front.Close()
 	for began := time.Now(); w.server.Ready(); time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 20*time.Second)
 	}
-	scarce.scarce.Store(false)
+	listener.exhausted.Store(false)
 	for began := time.Now(); !w.server.Ready(); time.Sleep(10 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 30*time.Second)
 	}
@@ -352,12 +352,12 @@
 
 // While many callers press and all endpoints are taken, a ready gateway takes
 // each new connection, and answers what it cannot serve.
-func TestReadyGatewayTakesConnectionsUnderPressure(t *testing.T) {
-	w := newWorld(t)
+func TestConnectionsAreAcceptedUnderLoad(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
 	release := make(chan struct{})
 	defer close(release)
-	w.endpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
+	w.startEndpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
 		select {
 		case <-release:
 		case <-r.Context().Done():
@@ -367,7 +367,7 @@
 	const callers = 200
 	answered := make(chan error, callers)
 	for range callers {
-		go func() { answered <- w.askOnce() }()
+		go func() { answered <- w.sendOnce() }()
 	}
 	for range callers {
 		assert.NilError(t, <-answered)
@@ -377,13 +377,13 @@
 
 // askOnce asks for a stream on a new connection and reads the first line of
 // an answer.
-func (w *world) askOnce() error {
+func (w *testGateway) sendOnce() error {
 	c, err := net.DialTimeout("tcp4", strings.TrimPrefix(w.address, "http://"), 10*time.Second)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	if _, err := fmt.Fprintf(c, "POST /stream/1 HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: x\r\nContent-Length: 0\r\n\r\n", key, names.RequestID); err != nil {
+	if _, err := fmt.Fprintf(c, "POST /stream/1 HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\n%s: x\r\nContent-Length: 0\r\n\r\n", testKey, testHeaders.RequestID); err != nil {
 		return err
 	}
 	_ = c.SetReadDeadline(time.Now().Add(30 * time.Second))
--- a/ingress/storereturn.go
+++ b/ingress/storereturn.go
@@ -16,38 +16,38 @@
 const (
 	// returnWait is how long after the return an endpoint counts that the copy
 	// lacks: one that lives has written again within about two seconds.
-	returnWait = 2500 * time.Millisecond
+	rewriteTimeout = 2500 * time.Millisecond
 	// lapseWait is how long after the return an entry may stand whose endpoint
 	// has left: three heartbeats of 1.2 s, and a look at the list.
-	lapseWait = 4600 * time.Millisecond
+	staleEntryTimeout = 4600 * time.Millisecond
 	// departedKept is how long it is remembered that an endpoint has left: longer
 	// than a copy is old.
-	departedKept = time.Minute
+	removalRetention = time.Minute
 )
 
 // storeReturn is what a gateway remembers for when the store comes back from an
 // older copy.
-type storeReturn struct {
+type storeRollback struct {
 	// at is when this gateway heard of the return, or zero.
-	at time.Time
+	startedAt time.Time
 	// departed are endpoints that have left, by id.
-	departed map[string]departure
+	removed map[string]removal
 	// awaited are endpoints that the copy lacks.
-	awaited map[string]bool
+	unconfirmed map[string]bool
 }
 
 // departure is the end of an endpoint's entry; born is that of the life that
 // ended, or anyLife.
-type departure struct {
-	born int64
-	at   time.Time
+type removal struct {
+	startedMS int64
+	removedAt time.Time
 }
 
 // anyLife is later than all births.
-const anyLife = math.MaxInt64
+const anyIncarnation = math.MaxInt64
 
-func newStoreReturn() storeReturn {
-	return storeReturn{departed: make(map[string]departure), awaited: make(map[string]bool)}
+func newStoreRollback() storeRollback {
+	return storeRollback{removed: make(map[string]removal), unconfirmed: make(map[string]bool)}
 }
 
 // SetEra says of which era of the store the list is that is told next. It
@@ -60,32 +60,32 @@
 	}
 	s.events.Info("list comes from an older copy", "era", s.list.era, "new_era", era, "endpoints", s.fleet.Len())
 	s.list.era = era
-	if s.listed {
-		s.back.at = clock.Now()
-		clear(s.back.awaited)
+	if s.listKnown {
+		s.rollback.startedAt = clock.Now()
+		clear(s.rollback.unconfirmed)
 	}
 	return true
 }
 
 // leftBefore notes that an endpoint's entry has ended. Server.mu is held.
-func (s *Server) leftBefore(r fleet.Record, now time.Time) {
-	s.back.departed[r.ID] = departure{r.Born, now}
-	delete(s.back.awaited, r.ID)
+func (s *Server) recordRemoval(r fleet.Record, now time.Time) {
+	s.rollback.removed[r.ID] = removal{r.Born, now}
+	delete(s.rollback.unconfirmed, r.ID)
 }
 
 // reconcile puts what is known in the place of what a list says that may come from
 // an older copy. Server.mu is held.
 func (s *Server) reconcile(records []fleet.Record, now time.Time) []fleet.Record {
-	since := now.Sub(s.back.at)
-	if s.back.at.IsZero() || since >= lapseWait {
+	since := now.Sub(s.rollback.startedAt)
+	if s.rollback.startedAt.IsZero() || since >= staleEntryTimeout {
 		return records
 	}
 	out := make([]fleet.Record, 0, len(records))
 	listed := make(map[string]bool, len(records))
 	for _, r := range records {
 		listed[r.ID] = true
-		delete(s.back.awaited, r.ID)
-		if d, left := s.back.departed[r.ID]; left && d.at.Before(s.back.at) && r.Born <= d.born {
+		delete(s.rollback.unconfirmed, r.ID)
+		if d, wasRemoved := s.rollback.removed[r.ID]; wasRemoved && d.removedAt.Before(s.rollback.startedAt) && r.Born <= d.startedMS {
 			s.events.Info("entry of an endpoint that has left", "endpoint", r.ID, "born", r.Born)
 			continue
 		}
@@ -94,12 +94,12 @@
 		}
 		out = append(out, r)
 	}
-	if since >= returnWait {
+	if since >= rewriteTimeout {
 		return out
 	}
 	for _, e := range s.fleet.All() {
 		if !listed[e.ID] {
-			s.back.awaited[e.ID] = true
+			s.rollback.unconfirmed[e.ID] = true
 			out = append(out, e.Record)
 		}
 	}
@@ -108,19 +108,19 @@
 
 // endReturn forgets endpoints that have not written again since the store came
 // back, and departures of long ago. Server.mu is held.
-func (s *Server) endReturn(now time.Time) {
-	for id, d := range s.back.departed {
-		if now.Sub(d.at) > departedKept {
-			delete(s.back.departed, id)
+func (s *Server) expireRollback(now time.Time) {
+	for id, d := range s.rollback.removed {
+		if now.Sub(d.removedAt) > removalRetention {
+			delete(s.rollback.removed, id)
 		}
 	}
-	if len(s.back.awaited) == 0 || now.Sub(s.back.at) < returnWait {
+	if len(s.rollback.unconfirmed) == 0 || now.Sub(s.rollback.startedAt) < rewriteTimeout {
 		return
 	}
-	for id := range s.back.awaited {
+	for id := range s.rollback.unconfirmed {
 		if s.removeLocked(id, now) {
 			s.events.Info("endpoint has not written again", "endpoint", id)
 		}
 	}
-	clear(s.back.awaited)
+	clear(s.rollback.unconfirmed)
 }
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -21,144 +21,144 @@
 const (
 	// silentBox is how long nothing may come from an endpoint's box before
 	// its streams go on elsewhere.
-	silentBox = 900 * time.Millisecond
+	boxSilenceTimeout = 900 * time.Millisecond
 	// silentStream is the same for one stream of a box that is heard, and
 	// silentBegun for one that has brought events: an engine that waits for a
 	// slot may take seconds to begin, but one that writes does not pause for
 	// so long, and callers leave after two seconds of silence.
-	silentStream = 2200 * time.Millisecond
-	silentBegun  = 1200 * time.Millisecond
+	firstEventTimeout = 2200 * time.Millisecond
+	nextEventTimeout  = 1200 * time.Millisecond
 	// watchEvery is how often that is looked at.
-	watchEvery = 300 * time.Millisecond
+	idleCheckInterval = 300 * time.Millisecond
 )
 
 // errOrder says that an endpoint's events do not follow the last one.
-const errOrder = errors.ConstError("events do not follow")
+const errEventGap = errors.ConstError("events do not follow")
 
 // streaming is the state of a stream's answer.
-type streaming struct {
+type streamExchange struct {
 	*exchange
 	control *http.ResponseController
 	// started says that the head and an event have gone to the caller.
 	started bool
 	// last is the number of the last event that went to the caller, or what
 	// the caller had before; none is -1.
-	last int64
+	lastID int64
 	// lastSent is last in the caller's own words.
-	lastSent string
-	events   int
+	lastEventID string
+	eventCount  int
 	// first is when the first event went to the caller, lastAt the last, and
 	// gap the longest pause between two.
-	first, lastAt time.Time
-	gap           time.Duration
+	firstAt, lastAt time.Time
+	maxGap          time.Duration
 }
 
 // stream serves a request that is answered by events. They are passed on as
 // they come; where the route allows it, a stream that breaks off goes on at
 // another endpoint within the same answer.
-func (x *exchange) stream(ctx context.Context) {
+func (x *exchange) serveStream(ctx context.Context) {
 	x.countRequest()
-	t := &streaming{exchange: x, control: http.NewResponseController(x.writer), last: -1, lastSent: x.request.Header.Get("Last-Event-Id")}
-	if id, err := strconv.ParseInt(t.lastSent, 10, 64); err == nil {
-		t.last = id
+	t := &streamExchange{exchange: x, control: http.NewResponseController(x.writer), lastID: -1, lastEventID: x.request.Header.Get("Last-Event-Id")}
+	if id, err := strconv.ParseInt(t.lastEventID, 10, 64); err == nil {
+		t.lastID = id
 	}
-	failure, v := x.try(ctx, t.attempt)
-	if v == good {
-		t.ended(outcomeAnswered, http.StatusOK)
+	failure, v := x.runAttempts(ctx, t.attempt)
+	if v == verdictOK {
+		t.finishStream(outcomeAnswered, http.StatusOK)
 		return
 	}
-	t.end(ctx, failure)
+	t.failStream(ctx, failure)
 }
 
 // end closes a stream that could not be completed.
-func (t *streaming) end(ctx context.Context, failure *reply) {
+func (t *streamExchange) failStream(ctx context.Context, failure *reply) {
 	if t.started {
-		outcome := outcomeBroken
+		outcome := outcomeBrokenOff
 		if t.callerLeft() {
-			outcome = outcomeLeft
+			outcome = outcomeCallerLeft
 		}
-		t.ended(outcome, http.StatusOK)
+		t.finishStream(outcome, http.StatusOK)
 		panic(http.ErrAbortHandler)
 	}
 	if failure != nil && !t.callerLeft() {
-		t.pass(failure, outcomeFailed)
+		t.sendReply(failure, outcomeFailed)
 		return
 	}
-	t.giveUp(ctx)
+	t.respondUnanswered(ctx)
 }
 
 // attempt sends the request to e and passes its events on.
-func (t *streaming) attempt(ctx context.Context, e *fleet.Endpoint) (*reply, verdict) {
-	ctx, b := t.breakable(ctx)
+func (t *streamExchange) attempt(ctx context.Context, e *fleet.Endpoint) (*reply, verdict) {
+	ctx, b := t.withCanceler(ctx)
 	defer b.end()
-	watch := t.watch(e, b)
+	watch := t.startIdleWatch(e, b)
 	defer watch.stop()
-	response, err := t.send(ctx, e, t.lastSent)
+	response, err := t.send(ctx, e, t.lastEventID)
 	if err != nil {
-		return nil, t.broken(ctx, e, err)
+		return nil, t.attemptFailed(ctx, e, err)
 	}
 	defer response.Close()
-	t.observe(e, response)
-	v := t.judge(response)
+	t.recordSignals(e, response)
+	v := t.classify(response)
 	switch v {
-	case notRun, spoilt:
-		t.discard(e, response, v)
+	case verdictNotRun, verdictInvalid:
+		t.discardResponse(e, response, v)
 		return nil, v
-	case answered:
+	case verdictFailed:
 		t.lastCause = "endpoint failed"
-		t.finish(e, fleet.Failed)
-		body, err := readWhole(response)
+		t.finishAttempt(e, fleet.Failed)
+		body, err := readResponseBody(response)
 		if err != nil {
-			return nil, spoilt
+			return nil, verdictInvalid
 		}
 		response.Whole()
-		return &reply{status: response.Status, header: response.Header, body: body}, answered
+		return &reply{status: response.Status, header: response.Header, body: body}, verdictFailed
 	}
-	return nil, t.pump(ctx, e, response, watch)
+	return nil, t.relayEvents(ctx, e, response, watch)
 }
 
 // pump passes events on until the stream ends.
-func (t *streaming) pump(ctx context.Context, e *fleet.Endpoint, response *upstream.Response, watch *watch) verdict {
+func (t *streamExchange) relayEvents(ctx context.Context, e *fleet.Endpoint, response *upstream.Response, watch *idleWatch) verdict {
 	events := eventstream.NewReader(response.Body)
 	for {
 		event, err := events.Next()
 		readErr := err
 		if err == io.EOF && t.started {
 			response.Whole()
-			t.finish(e, fleet.Answered)
-			return good
+			t.finishAttempt(e, fleet.Answered)
+			return verdictOK
 		}
 		if err == nil {
-			watch.alive()
-			t.begin(e)
-			err = t.passOn(response, event)
+			watch.touch()
+			t.recordFirstBytes(e)
+			err = t.forwardEvent(response, event)
 		}
 		if err == nil {
 			continue
 		}
-		if errors.Is(context.Cause(ctx), errSilent) {
-			return t.silent(e)
+		if errors.Is(context.Cause(ctx), errStalled) {
+			return t.attemptStalled(e)
 		}
 		t.lastCause = "stream broke off: " + err.Error()
 		if ctx.Err() != nil {
-			t.finish(e, fleet.Abandoned)
-			return spoilt
+			t.finishAttempt(e, fleet.Abandoned)
+			return verdictInvalid
 		}
 		t.checkCrash(ctx, e, readErr)
-		t.finish(e, fleet.Failed)
-		t.server.log.Info("stream broken", "request", t.id, "attempt", t.attempts, "endpoint", e.ID, "events", t.events, "error", err.Error())
-		return spoilt
+		t.finishAttempt(e, fleet.Failed)
+		t.server.log.Info("stream broken", "request", t.id, "attempt", t.attempts, "endpoint", e.ID, "events", t.eventCount, "error", err.Error())
+		return verdictInvalid
 	}
 }
 
 // passOn gives the caller one event; one that it has is left out.
-func (t *streaming) passOn(response *upstream.Response, event eventstream.Event) error {
+func (t *streamExchange) forwardEvent(response *upstream.Response, event eventstream.Event) error {
 	if event.HasID {
-		if event.ID <= t.last {
+		if event.ID <= t.lastID {
 			return nil
 		}
-		if t.last >= 0 && event.ID != t.last+1 {
-			return errOrder
+		if t.lastID >= 0 && event.ID != t.lastID+1 {
+			return errEventGap
 		}
 	}
 	if !t.started {
@@ -170,68 +170,68 @@
 		return err
 	}
 	if event.HasID {
-		t.last = event.ID
-		t.lastSent = strconv.FormatInt(event.ID, 10)
+		t.lastID = event.ID
+		t.lastEventID = strconv.FormatInt(event.ID, 10)
 	}
-	t.pace(clock.Now())
+	t.recordEvent(clock.Now())
 	return t.control.Flush()
 }
 
 // pace notes that an event goes to the caller.
-func (t *streaming) pace(now time.Time) {
-	if t.events == 0 {
-		t.first = now
+func (t *streamExchange) recordEvent(now time.Time) {
+	if t.eventCount == 0 {
+		t.firstAt = now
 	} else {
-		t.gap = max(t.gap, now.Sub(t.lastAt))
+		t.maxGap = max(t.maxGap, now.Sub(t.lastAt))
 	}
 	t.lastAt = now
-	t.events++
+	t.eventCount++
 }
 
 // ended logs the stream's times and ends the request.
-func (t *streaming) ended(outcome string, status int) {
-	first := time.Duration(-1)
-	if t.events > 0 {
-		first = t.first.Sub(t.start)
+func (t *streamExchange) finishStream(outcome string, status int) {
+	firstDelay := time.Duration(-1)
+	if t.eventCount > 0 {
+		firstDelay = t.firstAt.Sub(t.start)
 	}
-	t.server.log.Info("stream", "request", t.id, "first_ms", first.Milliseconds(), "gap_ms", t.gap.Milliseconds(), "events", t.events, "usage", t.request.Header.Get(t.server.settings.Headers.TokenUsage))
-	t.close(outcome, t.lastCause, status)
+	t.server.log.Info("stream", "request", t.id, "first_ms", firstDelay.Milliseconds(), "gap_ms", t.maxGap.Milliseconds(), "events", t.eventCount, "usage", t.request.Header.Get(t.server.settings.Headers.TokenUsage))
+	t.recordOutcome(outcome, t.lastCause, status)
 }
 
 // watch ends an attempt whose endpoint has been silent for too long, but
 // only where another endpoint may go on with it.
-type watch struct {
-	heard chan struct{}
-	done  chan struct{}
+type idleWatch struct {
+	activity chan struct{}
+	done     chan struct{}
 }
 
-func (w *watch) alive() {
+func (w *idleWatch) touch() {
 	select {
-	case w.heard <- struct{}{}:
+	case w.activity <- struct{}{}:
 	default:
 	}
 }
 
-func (w *watch) stop() { close(w.done) }
+func (w *idleWatch) stop() { close(w.done) }
 
-func (t *streaming) watch(e *fleet.Endpoint, b *breaker) *watch {
-	w := &watch{heard: make(chan struct{}, 1), done: make(chan struct{})}
-	if !t.movable() {
+func (t *streamExchange) startIdleWatch(e *fleet.Endpoint, b *attemptCanceler) *idleWatch {
+	w := &idleWatch{activity: make(chan struct{}, 1), done: make(chan struct{})}
+	if !t.canFailOver() {
 		return w
 	}
 	go func() {
-		ticker := time.NewTicker(watchEvery)
+		ticker := time.NewTicker(idleCheckInterval)
 		defer ticker.Stop()
-		last, limit := clock.Now(), silenceLimit(false)
+		lastActivity, limit := clock.Now(), eventTimeout(false)
 		for {
 			select {
 			case <-w.done:
 				return
-			case <-w.heard:
-				last, limit = clock.Now(), silenceLimit(true)
+			case <-w.activity:
+				lastActivity, limit = clock.Now(), eventTimeout(true)
 			case <-ticker.C:
 				now := clock.Now()
-				if t.server.fellSilent(e, now.Sub(last), limit, now) && b.breakOff(now) {
+				if t.server.streamStalled(e, now.Sub(lastActivity), limit, now) && b.cancelForRetry(now) {
 					return
 				}
 			}
@@ -242,20 +242,20 @@
 
 // silenceLimit is how long one stream of a box that is heard may be silent;
 // begun says that it has brought events.
-func silenceLimit(begun bool) time.Duration {
-	if begun {
-		return silentBegun
+func eventTimeout(started bool) time.Duration {
+	if started {
+		return nextEventTimeout
 	}
-	return silentStream
+	return firstEventTimeout
 }
 
 // fellSilent reports whether a stream that has been silent for some time
 // should go on elsewhere: in any case after limit.
-func (s *Server) fellSilent(e *fleet.Endpoint, silent, limit time.Duration, now time.Time) bool {
-	if silent < silentBox {
+func (s *Server) streamStalled(e *fleet.Endpoint, idle, limit time.Duration, now time.Time) bool {
+	if idle < boxSilenceTimeout {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return silent >= limit || e.SilentFor(now) >= silentBox
+	return idle >= limit || e.SilentFor(now) >= boxSilenceTimeout
 }
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -16,11 +16,11 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-const last = 6
+const lastEvent = 6
 
 // resumes serves the first request by one handler, and later ones by
 // another, whichever endpoint they reach.
-func resumes(w *world, first, later handler) {
+func serveInTurn(w *testGateway, first, later handler) {
 	h := func(rw http.ResponseWriter, r *http.Request) {
 		if len(w.requests()) == 1 {
 			first(rw, r)
@@ -28,33 +28,33 @@
 		}
 		later(rw, r)
 	}
-	w.endpoint("a", "engine", h)
-	w.endpoint("b", "engine", h)
+	w.startEndpoint("a", "engine", h)
+	w.startEndpoint("b", "engine", h)
 }
 
-func TestStreamPasses(t *testing.T) {
-	w := newWorld(t)
+func TestStreamIsForwarded(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(last, last))
-	r, body := w.get("POST", "/stream/1", "x", with(names.TokenUsage, "1000,50"))
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	r, body := w.do("POST", "/stream/1", "x", withHeader(testHeaders.TokenUsage, "1000,50"))
 	assert.Equal(t, r.StatusCode, http.StatusOK)
-	assert.Equal(t, r.Header.Get(names.Seal), "seal-a")
-	assert.Equal(t, body, wholeStream(last))
-	assert.Equal(t, w.requests()[0].header.Get(names.Priority), "1")
+	assert.Equal(t, r.Header.Get(testHeaders.Seal), "seal-a")
+	assert.Equal(t, body, eventsText(lastEvent))
+	assert.Equal(t, w.requests()[0].header.Get(testHeaders.Priority), "1")
 }
 
 // Events are passed on as they come.
-func TestEventsAreNotHeld(t *testing.T) {
-	w := newWorld(t)
+func TestEventsAreNotBuffered(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
 	release := make(chan struct{})
-	w.endpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
-		rw.Header().Set(names.Seal, "s")
+	w.startEndpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
+		rw.Header().Set(testHeaders.Seal, "s")
 		_, _ = io.WriteString(rw, "id: 1\ndata: x\n\n")
 		rw.(http.Flusher).Flush()
 		<-release
 	})
-	response, err := w.ask(context.Background(), "POST", "/stream/1", "x")
+	response, err := w.send(context.Background(), "POST", "/stream/1", "x")
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	line, err := bufio.NewReader(response.Body).ReadString('\n')
@@ -65,38 +65,38 @@
 
 // A stream that breaks off, within an event or between two, goes on at
 // another endpoint: whole, once, and under the head of the first.
-func TestStreamGoesOnElsewhere(t *testing.T) {
-	for _, upTo := range []int{0, 1, 3, last - 1} {
-		w := newWorld(t)
+func TestBrokenStreamResumesElsewhere(t *testing.T) {
+	for _, upTo := range []int{0, 1, 3, lastEvent - 1} {
+		w := newTestGateway(t)
 		w.configure(1)
-		resumes(w, events(upTo, last), events(last, last))
-		r, body := w.get("POST", "/stream/1", "x")
-		assert.Equal(t, body, wholeStream(last))
+		serveInTurn(w, respondEvents(upTo, lastEvent), respondEvents(lastEvent, lastEvent))
+		r, body := w.do("POST", "/stream/1", "x")
+		assert.Equal(t, body, eventsText(lastEvent))
 		got := w.requests()
 		assert.Equal(t, len(got), 2)
 		assert.Assert(t, got[0].endpoint != got[1].endpoint)
 		if upTo > 0 {
-			assert.Equal(t, r.Header.Get(names.Seal), "seal-"+got[0].endpoint)
+			assert.Equal(t, r.Header.Get(testHeaders.Seal), "seal-"+got[0].endpoint)
 			assert.Equal(t, got[1].header.Get("Last-Event-Id"), string(rune('0'+upTo)))
 		}
 	}
 }
 
 func TestCallerResumes(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(last, last))
-	_, body := w.get("POST", "/stream/1", "x", with("Last-Event-Id", "4"))
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	_, body := w.do("POST", "/stream/1", "x", withHeader("Last-Event-Id", "4"))
 	assert.Equal(t, w.requests()[0].header.Get("Last-Event-Id"), "4")
 	assert.Equal(t, body, "id: 5\ndata: token 5\n\nid: 6\ndata: token 6\n\n")
 }
 
 // A stream that cannot go on must not look complete.
-func TestBrokenStreamLooksBroken(t *testing.T) {
-	w := newWorld(t)
+func TestUnresumableStreamIsAborted(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(3, last))
-	response, err := w.ask(context.Background(), "POST", "/stream/1", "x")
+	w.startEndpoint("a", "engine", respondEvents(3, lastEvent))
+	response, err := w.send(context.Background(), "POST", "/stream/1", "x")
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	_, err = io.ReadAll(response.Body)
@@ -104,78 +104,78 @@
 }
 
 // Events that do not follow the last one are not passed on.
-func TestGapIsNotPassedOn(t *testing.T) {
-	w := newWorld(t)
+func TestEventGapIsNotForwarded(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	resumes(w, func(rw http.ResponseWriter, r *http.Request) {
-		rw.Header().Set(names.Seal, "s")
+	serveInTurn(w, func(rw http.ResponseWriter, r *http.Request) {
+		rw.Header().Set(testHeaders.Seal, "s")
 		_, _ = io.WriteString(rw, "id: 1\ndata: token 1\n\nid: 3\ndata: token 3\n\n")
-	}, events(last, last))
-	_, body := w.get("POST", "/stream/1", "x")
-	assert.Equal(t, body, wholeStream(last))
+	}, respondEvents(lastEvent, lastEvent))
+	_, body := w.do("POST", "/stream/1", "x")
+	assert.Equal(t, body, eventsText(lastEvent))
 }
 
 // An endpoint that sends again what the caller has does not double it.
-func TestRepeatedEventsAreLeftOut(t *testing.T) {
-	w := newWorld(t)
+func TestDuplicateEventsAreDropped(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	resumes(w, events(3, last), func(rw http.ResponseWriter, r *http.Request) {
+	serveInTurn(w, respondEvents(3, lastEvent), func(rw http.ResponseWriter, r *http.Request) {
 		r.Header.Del("Last-Event-Id")
-		events(last, last)(rw, r)
+		respondEvents(lastEvent, lastEvent)(rw, r)
 	})
-	_, body := w.get("POST", "/stream/1", "x")
-	assert.Equal(t, body, wholeStream(last))
+	_, body := w.do("POST", "/stream/1", "x")
+	assert.Equal(t, body, eventsText(lastEvent))
 }
 
 // A stream whose endpoint is not heard of any more goes on elsewhere before
 // the caller gives it up.
-func TestSilentStreamGoesOnElsewhere(t *testing.T) {
-	w := newWorld(t)
+func TestStreamOfUnreachableBoxResumesElsewhere(t *testing.T) {
+	w := newTestGateway(t)
 	long := route(routing.Streaming, "/long/", "engine", 2)
 	long.Timeout = time.Minute
 	w.configure(1, long)
-	resumes(w, func(rw http.ResponseWriter, r *http.Request) {
-		events(3, 3)(rw, r)
+	serveInTurn(w, func(rw http.ResponseWriter, r *http.Request) {
+		respondEvents(3, 3)(rw, r)
 		<-r.Context().Done()
-	}, events(last, last))
-	_, body := w.get("POST", "/long/1", "x", with(names.Deadline, "60000"))
-	assert.Equal(t, body, wholeStream(last))
+	}, respondEvents(lastEvent, lastEvent))
+	_, body := w.do("POST", "/long/1", "x", withHeader(testHeaders.Deadline, "60000"))
+	assert.Equal(t, body, eventsText(lastEvent))
 }
 
 func TestVersionDeadline(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(last, last))
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	now := time.Now()
-	w.server.NameVersion(model, 2, false, now.Add(-w.server.settings.VersionDeadline))
-	r, _ := w.get("POST", "/stream/1", "x")
+	w.server.NameVersion(testModel, 2, false, now.Add(-w.server.settings.VersionDeadline))
+	r, _ := w.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable, "the only engine holds an older version")
 	newer := w.records["a"]
-	newer.Models = map[string]int{model: 2}
+	newer.Models = map[string]int{testModel: 2}
 	w.server.PutEndpoint(newer)
-	r, _ = w.get("POST", "/stream/1", "x")
+	r, _ = w.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
 // A gateway that starts amid a rollout does not know how old the naming
 // is: where an engine holds the version, only such engines may start.
 func TestVersionOfUnknownAge(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(last, last))
-	w.server.NameVersion(model, 2, true, time.Now())
-	r, _ := w.get("POST", "/stream/1", "x")
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	w.server.NameVersion(testModel, 2, true, time.Now())
+	r, _ := w.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK, "no engine holds it yet")
 
-	w = newWorld(t)
+	w = newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(last, last))
-	w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: model, Version: 1}, 0)
-	w.endpoint("b", "engine", events(last, last))
-	w.server.Heard(fleet.Report{Address: w.records["b"].Address, Model: model, Version: 2}, 0)
-	w.server.NameVersion(model, 2, true, time.Now().Add(-time.Millisecond))
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1}, 0)
+	w.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
+	w.server.Heard(fleet.Report{Address: w.records["b"].Address, Model: testModel, Version: 2}, 0)
+	w.server.NameVersion(testModel, 2, true, time.Now().Add(-time.Millisecond))
 	for range 5 {
-		w.get("POST", "/stream/1", "x")
+		w.do("POST", "/stream/1", "x")
 	}
 	for _, got := range w.requests() {
 		assert.Equal(t, got.endpoint, "b")
@@ -183,61 +183,61 @@
 }
 
 // Waiting requests are served by rank as soon as there is room.
-func TestWaitingRequestGetsRoom(t *testing.T) {
-	w := newWorld(t)
+func TestWaiterIsServedWhenLoadDrops(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(last, last))
-	full := fleet.Report{Address: w.records["a"].Address, Model: model, Version: 1, Running: 5}
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	full := fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1, Running: 5}
 	w.server.Heard(full, 0)
 	time.AfterFunc(40*time.Millisecond, func() {
 		full.Running = 1
 		w.server.Heard(full, 0)
 	})
-	r, body := w.get("POST", "/stream/1", "x")
+	r, body := w.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
-	assert.Equal(t, body, wholeStream(last))
+	assert.Equal(t, body, eventsText(lastEvent))
 }
 
 // A version that comes due while a request waits is heeded: the request
 // does not go to an engine that holds an older one.
-func TestVersionComesDueDuringAWait(t *testing.T) {
-	w := newWorld(t)
+func TestVersionCutoffDuringAWait(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("a", "engine", events(last, last))
-	full := fleet.Report{Address: w.records["a"].Address, Model: model, Version: 1, Running: 5}
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	full := fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1, Running: 5}
 	w.server.Heard(full, 0)
-	dueSoon := time.Now().Add(150*time.Millisecond + versionMargin - w.server.settings.VersionDeadline)
-	w.server.NameVersion(model, 2, false, dueSoon)
+	learnedAt := time.Now().Add(150*time.Millisecond + maxVersionMargin - w.server.settings.VersionDeadline)
+	w.server.NameVersion(testModel, 2, false, learnedAt)
 	time.AfterFunc(250*time.Millisecond, func() {
 		full.Running = 0
 		w.server.Heard(full, 0)
 	})
-	r, _ := w.get("POST", "/stream/1", "x", with(names.Deadline, "1700"))
+	r, _ := w.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "1700"))
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, len(w.requests()), 0)
 }
 
 // A gateway that started after a version was named does not know for how
 // long older ones may go on: as soon as an engine serves it they may not.
-func TestVersionOfUnknownAgeIsServed(t *testing.T) {
-	w := newWorld(t)
+func TestVersionOfUnknownAgeCutsOffOlderOnes(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("old", "engine", events(2, 2))
-	w.endpoint("new", "engine", events(2, 2))
+	w.startEndpoint("old", "engine", respondEvents(2, 2))
+	w.startEndpoint("new", "engine", respondEvents(2, 2))
 	report := func(id string, version int) {
-		w.server.Heard(fleet.Report{Address: w.records[id].Address, Model: model, Version: version}, -1)
+		w.server.Heard(fleet.Report{Address: w.records[id].Address, Model: testModel, Version: version}, -1)
 	}
-	w.server.NameVersion(model, 2, true, time.Now())
+	w.server.NameVersion(testModel, 2, true, time.Now())
 	report("old", 1)
 	report("new", 1)
-	r, _ := w.get("POST", "/stream/1", "x")
+	r, _ := w.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK, "nobody serves the version yet")
 	report("new", 2)
 	time.Sleep(2 * time.Millisecond)
 	for range 8 {
 		report("old", 1)
 		report("new", 2)
-		r, _ = w.get("POST", "/stream/1", "x")
+		r, _ = w.do("POST", "/stream/1", "x")
 		assert.Equal(t, r.StatusCode, http.StatusOK)
 	}
 	for _, s := range w.requests()[1:] {
@@ -248,18 +248,18 @@
 // A request that will be late does not join a queue ahead of requests that
 // can still be in time.
 func TestLateRequestDoesNotQueueAhead(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	quick := route(routing.Streaming, "/quick/", "engine", 2)
 	quick.TargetLatency = 150 * time.Millisecond
 	w.configure(1, quick)
 	// A prompt is read in 5 s, so that reports which a busy machine sends late
 	// do not look like prompts that have been read.
 	w.server.Apply(routing.New(2, []*routing.Route{quick},
-		[]*routing.Service{{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: model, ReadRate: 200, UsualPrompt: 1000}}},
-		[]*routing.Workspace{{Name: "w", Keys: []string{key}, Priority: 1}}, routing.Limits{BodyBytes: 1 << 20}))
-	w.endpoint("a", "engine", events(last, last))
+		[]*routing.Service{{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, ReadRate: 200, UsualPrompt: 1000}}},
+		[]*routing.Workspace{{Name: "w", Keys: []string{testKey}, Priority: 1}}, routing.Limits{BodyBytes: 1 << 20}))
+	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	report := func(queued int) {
-		w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: model, Version: 1, Queued: queued}, 0)
+		w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1, Queued: queued}, 0)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -270,55 +270,55 @@
 		}
 	}()
 	report(2)
-	returned := with(names.Deadline, "1700")
-	r, _ := w.get("POST", "/quick/1", "x", returned)
+	returned := withHeader(testHeaders.Deadline, "1700")
+	r, _ := w.do("POST", "/quick/1", "x", returned)
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, len(w.requests()), 0)
 	stop()
 	time.Sleep(40 * time.Millisecond)
 	report(0)
-	r, _ = w.get("POST", "/quick/1", "x", returned)
+	r, _ = w.do("POST", "/quick/1", "x", returned)
 	assert.Equal(t, r.StatusCode, http.StatusOK, "nothing waits there")
 }
 
 // A version that comes due between the choice of an engine and the moment at
 // which the request would be written is heeded: the request goes elsewhere.
-func TestVersionComesDueBeforeTheRequestIsWritten(t *testing.T) {
-	w := newWorld(t)
+func TestVersionCutoffBeforeWriting(t *testing.T) {
+	w := newTestGateway(t)
 	w.configure(1)
-	w.endpoint("old", "engine", events(last, last))
-	x := &exchange{server: w.server, model: model}
+	w.startEndpoint("old", "engine", respondEvents(lastEvent, lastEvent))
+	x := &exchange{server: w.server, model: testModel}
 	w.server.mu.Lock()
-	e := w.server.fleet.Choose(fleet.Query{Service: "engine", Model: model}, time.Now())
+	e := w.server.fleet.Choose(fleet.Query{Service: "engine", Model: testModel}, time.Now())
 	w.server.mu.Unlock()
-	assert.Assert(t, w.server.mayStill(x, e))
-	w.server.NameVersion(model, 2, false, time.Now().Add(-w.server.settings.VersionDeadline))
-	assert.Assert(t, !w.server.mayStill(x, e))
-	leaving := w.records["old"]
-	leaving.Draining = true
-	leaving.Models = map[string]int{model: 2}
-	w.server.PutEndpoint(leaving)
-	assert.Assert(t, !w.server.mayStill(x, e), "it leaves")
+	assert.Assert(t, w.server.stillEligible(x, e))
+	w.server.NameVersion(testModel, 2, false, time.Now().Add(-w.server.settings.VersionDeadline))
+	assert.Assert(t, !w.server.stillEligible(x, e))
+	draining := w.records["old"]
+	draining.Draining = true
+	draining.Models = map[string]int{testModel: 2}
+	w.server.PutEndpoint(draining)
+	assert.Assert(t, !w.server.stillEligible(x, e), "it leaves")
 }
 
 // A request of which a packet is lost on its way to an engine with an older
 // version, and that therefore arrives a second later, still begins there
 // before that version's time is over.
-func TestLostPacketNearADeadline(t *testing.T) {
-	const lost = firstRetransmit + 200*time.Millisecond
+func TestLostPacketNearVersionCutoff(t *testing.T) {
+	const retransmitDelay = initialRTO + 200*time.Millisecond
 	for _, before := range []time.Duration{1100 * time.Millisecond, 1300 * time.Millisecond, 1700 * time.Millisecond} {
-		w := newWorld(t)
+		w := newTestGateway(t)
 		w.configure(1)
 		deadline := time.Now().Add(before)
 		var began time.Time
-		w.endpoint("old", "engine", func(rw http.ResponseWriter, r *http.Request) {
-			time.Sleep(lost)
+		w.startEndpoint("old", "engine", func(rw http.ResponseWriter, r *http.Request) {
+			time.Sleep(retransmitDelay)
 			began = time.Now()
-			events(last, last)(rw, r)
+			respondEvents(lastEvent, lastEvent)(rw, r)
 		})
-		w.server.Heard(fleet.Report{Address: w.records["old"].Address, Model: model, Version: 1}, 0)
-		w.server.NameVersion(model, 2, false, deadline.Add(-w.server.settings.VersionDeadline))
-		w.get("POST", "/stream/1", "x", with(names.Deadline, "3000"))
+		w.server.Heard(fleet.Report{Address: w.records["old"].Address, Model: testModel, Version: 1}, 0)
+		w.server.NameVersion(testModel, 2, false, deadline.Add(-w.server.settings.VersionDeadline))
+		w.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "3000"))
 		assert.Assert(t, began.IsZero() || began.Before(deadline), "sent %s before the deadline, begun %s after it", before, began.Sub(deadline))
 	}
 }
