--- a/ingress/accept.go
+++ b/ingress/accept.go
@@ -12,24 +12,25 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// acceptPause is how long a gateway calls itself unready after it could not
-// take a connection: as long as the platform needs for its two misses, so that
-// new callers go elsewhere until there are descriptors again.
+// acceptFailureHold is how long a gateway reports itself unready after a failed
+// accept. It covers the two missed probes after which the platform sends new
+// callers elsewhere.
 const acceptFailureHold = 2500 * time.Millisecond
 
-// accepts is whether callers' connections can be taken.
+// acceptState records whether callers' connections can be accepted.
 type acceptState struct {
-	// failed is when one could not be taken last, in Unix nanoseconds.
+	// lastFailure is the time of the last failed accept, in Unix nanoseconds.
 	lastFailure atomic.Int64
 }
 
+// recentlyFailed reports whether an accept failed within acceptFailureHold.
 func (a *acceptState) recentlyFailed(now time.Time) bool {
 	return now.UnixNano()-a.lastFailure.Load() < int64(acceptFailureHold)
 }
 
-// Accepting watches the listener for callers: a gateway that cannot take a
-// connection, for want of descriptors, gives up the connections to endpoints
-// that rest, and calls itself unready.
+// WatchAccepts wraps the listener for callers. If accepting fails, such as when
+// file descriptors run out, the gateway closes its idle connections to endpoints
+// and becomes unready for acceptFailureHold.
 func (s *Server) Accepting(l net.Listener) net.Listener {
 	return &watchedListener{Listener: l, server: s}
 }
@@ -45,7 +46,7 @@
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		l.server.acceptState.lastFailure.Store(clock.Now().UnixNano())
 		l.server.pool.ForgetAll()
-		l.server.events.Error(err, "connection of a caller not taken")
+		l.server.events.Error(err, "cannot accept connection")
 	}
 	return c, err
 }
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -12,63 +12,64 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// Bounds of how much an endpoint is given.
+// Limits on the load of an endpoint.
 const (
-	// resumeExtra is how many streams that go on may wait at an engine
+	// retryExtraLoad is how many further attempts of requests may wait at an engine
 	// beyond its slots.
 	retryExtraLoad = 2
-	// plainFactor bounds a plain endpoint's load, in slots.
+	// plainLoadFactor limits the load of a plain endpoint, in multiples of
+	// defaultSlots.
 	plainLoadFactor = 3
-	// defaultSlots is assumed where the list tells none.
+	// defaultSlots is the number of slots assumed for a plain endpoint.
 	defaultSlots = 8
 )
 
-// Bounds of waiting for an endpoint.
+// Limits on waiting for an endpoint.
 const (
-	// holdShare is the part of the target latency that a request may wait
+	// maxWaitShare is the share of the target latency that a request may wait
 	// before it is refused.
 	maxWaitShare = 0.22
-	// holdMax bounds the wait where no target is known.
+	// defaultMaxWait limits the wait if the route has no target latency.
 	defaultMaxWait = 200 * time.Millisecond
-	// lateWait and lateWaitShare bound how long a request waits that would
-	// otherwise be refused again, or broken off: a time, and a part of what
-	// the caller will wait.
+	// lateMaxWait and lateMaxWaitShare limit the wait of a request that accepts
+	// late endpoints and would otherwise be refused again or aborted: a time, and a
+	// share of the caller's remaining time.
 	lateMaxWait      = 1200 * time.Millisecond
 	lateMaxWaitShare = 0.3
-	// resumeWait is how long a stream that goes on waits for an engine that
-	// takes it up in time, before it takes what there is.
+	// retryOnTimeWait is how long a further attempt waits for an engine that meets
+	// the target before it accepts a late one.
 	retryOnTimeWait = 120 * time.Millisecond
-	// lateShare is the part of an engine's slots up to which it takes
-	// requests that will be answered late, and lateBacklog how much it may
-	// have to read before one, in usual prompts: what is late already must not
-	// make late what can still be in time.
+	// lateLoadShare is the share of an engine's slots up to which it takes requests
+	// that will be late, and lateBacklogPrompts the backlog it may have before one,
+	// in mean prompts. This keeps late requests from delaying ones that can still
+	// be on time.
 	lateLoadShare      = 0.8
 	lateBacklogPrompts = 1.0
-	// aimShare is the part of the target latency in which an engine must be
-	// expected to answer for a request to be sent there; the rest is for
-	// what cannot be foreseen.
+	// latencyTargetShare is the share of the target latency within which an engine
+	// must be expected to respond. The rest is a margin.
 	latencyTargetShare = 0.92
 )
 
-// When to come back after a refusal: later, and more spread, the more of
-// the service's requests are refused.
+// Retry-After of refusals. Delay and spread grow with the share of the service's
+// requests that are refused.
 const (
 	retryAfterMin           = 350 * time.Millisecond
 	retryAfterSpread        = 500 * time.Millisecond
 	retryAfterRefusedSpread = 1300 * time.Millisecond
-	// retryAfterNone is added when no endpoint could serve at all.
+	// retryAfterUnservable is added if no endpoint could serve the request at any
+	// load.
 	retryAfterUnservable = 600 * time.Millisecond
-	// maxRetryAfter bounds what is added while all endpoints rest: others may come
-	// meanwhile.
+	// maxRetryAfterClosed limits what is added while all endpoints are closed, as
+	// other endpoints may be added meanwhile.
 	maxRetryAfterClosed = 10 * time.Second
-	// retryAfterUnready and its range are for a gateway without a configuration:
-	// it may be seconds until the store answers. Callers wait no longer than a
-	// third of their time.
+	// retryAfterUnready and its spread apply while the gateway has no
+	// configuration, as the store may take seconds to respond. Callers wait at most
+	// a third of their time.
 	retryAfterUnready       = 1200 * time.Millisecond
 	retryAfterUnreadySpread = 800 * time.Millisecond
 )
 
-// query describes the next attempt of x.
+// attemptQuery returns the query for the next attempt of x. Server.mu must be held.
 func (s *Server) attemptQuery(x *exchange, now time.Time) fleet.Query {
 	q := fleet.Query{Service: x.service, Exclude: x.tried}
 	service := x.config.Services[x.service]
@@ -101,16 +102,16 @@
 	return q
 }
 
-// servable describes the next attempt of x as far as it is not a matter of time
-// that an endpoint can take it.
+// servableQuery is attemptQuery without the condition that lasts only until other
+// attempts end. Server.mu must be held.
 func (s *Server) servableQuery(x *exchange, now time.Time) fleet.Query {
 	q := s.attemptQuery(x, now)
 	q.Alone = false
 	return q
 }
 
-// widest describes an attempt that asks no more of an endpoint than any of a
-// service does, x's among them.
+// widestQuery returns a query that matches every endpoint which the attemptQuery of
+// some request for the service of x matches. Server.mu must be held.
 func (s *Server) widestQuery(x *exchange, now time.Time) fleet.Query {
 	q := s.attemptQuery(x, now)
 	q.Exclude, q.Alone = nil, false
@@ -121,8 +122,8 @@
 	return q
 }
 
-// within is the time in which an engine's first bytes should come for the
-// next attempt of x, in milliseconds, or 0 for no bound.
+// maxFirstByteMS returns the time within which an engine should send the first
+// bytes of the next attempt, in milliseconds, or 0 for no limit.
 func (x *exchange) maxFirstByteMS(now time.Time) float64 {
 	left := float64(0)
 	switch {
@@ -139,12 +140,12 @@
 	return max(left/float64(time.Millisecond), 1)
 }
 
-// connectionShare is the part of an endpoint's connections that all gateways
+// connectionShare is the share of an endpoint's connections that all gateways
 // together use.
 const connectionShare = 0.9
 
-// connections is this gateway's part of the connections that an endpoint of
-// the service accepts.
+// connectionLimit returns this gateway's share of the connections that an endpoint
+// of the service accepts, or 0 for no limit. Server.mu must be held.
 func (s *Server) connectionLimit(service *routing.Service) int {
 	if service.MaxConnections <= 0 {
 		return 0
@@ -152,10 +153,10 @@
 	return max(1, int(connectionShare*float64(service.MaxConnections)/float64(s.gateways)))
 }
 
-// admit waits for an endpoint for x, for at most hold. It returns nil if
-// none had room in time, or if ctx ended; a new request that no endpoint could
-// serve, whatever its load, does not wait: what is missing takes seconds to
-// come, and the caller is told when to come back.
+// waitForEndpoint waits for an endpoint for x, for at most maxWait. It returns nil
+// if none had capacity in time or ctx ended. A new request that no endpoint could
+// serve at any load does not wait, as this takes seconds to change; its caller is
+// told when to retry.
 func (s *Server) waitForEndpoint(ctx context.Context, x *exchange, maxWait time.Duration) *fleet.Endpoint {
 	now := clock.Now()
 	w := &waiter{
@@ -210,9 +211,9 @@
 	return nil
 }
 
-// acquire finds an endpoint for the next attempt of x, or returns nil if it
-// is to be refused. One that was refused before, or has begun, gets a second
-// wait in which it takes what there is.
+// acquireEndpoint returns an endpoint for the next attempt of x, or nil if x is to
+// be refused. A caller's retry and a further attempt get a second wait, in which
+// they accept late endpoints.
 func (s *Server) acquireEndpoint(ctx context.Context, x *exchange) *fleet.Endpoint {
 	if x.attempts > 0 && !x.acceptsLate {
 		if e := s.waitForEndpoint(ctx, x, min(retryOnTimeWait, clock.Until(x.expiresAt))); e != nil {
@@ -233,8 +234,8 @@
 	return s.waitForEndpoint(ctx, x, min(lateMaxWait, left))
 }
 
-// cannotBeInTime reports whether no engine could answer x in time, even one that
-// has nothing else to do: a refusal would only cost the caller a second try.
+// cannotMeetTarget reports whether even an idle engine could not respond to x in
+// time. Refusing x would only make its caller retry.
 func (x *exchange) cannotMeetTarget() bool {
 	s := x.server
 	now := clock.Now()
@@ -244,7 +245,7 @@
 	return q.Within > 0 && q.Work > 0 && q.AtBest() > q.Within
 }
 
-// queueTime is how long x may wait for an endpoint that answers in time.
+// queueTimeout returns how long x may wait for an endpoint that responds in time.
 func queueTimeout(x *exchange, now time.Time) time.Duration {
 	maxWait := defaultMaxWait
 	if x.route.TargetLatency > 0 {
@@ -253,8 +254,8 @@
 	return min(maxWait-now.Sub(x.start), x.expiresAt.Sub(now))
 }
 
-// whenToRetry is when a refused caller should try again, and whether that is because
-// all endpoints are closed by their own words.
+// retryAfter returns how long a refused caller should wait before it retries, and
+// why all endpoints are closed by their own signals, if they are.
 func (s *Server) retryAfter(x *exchange) (fleet.Closure, time.Duration) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -274,19 +275,20 @@
 	return closure, after
 }
 
-// retryAfterUnknown is when a caller should try again whom this gateway can
-// tell nothing yet.
+// retryAfterNotReady returns how long a caller should wait while the gateway has no
+// configuration.
 func retryAfterNotReady() time.Duration {
 	return retryAfterUnready + rand.N(retryAfterUnreadySpread)
 }
 
-// slotEvery is how often a full engine has a slot free, in milliseconds.
+// slotIntervalMS returns how often a full engine frees a slot, in milliseconds.
 func slotIntervalMS(e *routing.Engine) float64 {
 	decodeMS := float64(e.UsualAnswer) * float64(e.Step.Microseconds()) / 1000
 	return decodeMS/float64(max(e.Slots, 1)) + prefillMS(e, e.UsualPrompt)
 }
 
-// readMillis is how long an engine reads so many prompt tokens.
+// prefillMS returns the prefill time of a prompt in milliseconds, or 0 if the
+// engine's prefill rate is unknown.
 func prefillMS(e *routing.Engine, tokens int) float64 {
 	if e.ReadRate <= 0 {
 		return 0
@@ -294,7 +296,8 @@
 	return float64(tokens) / e.ReadRate * 1000
 }
 
-// engineOf returns the engine figures of a service, or nil.
+// engineConfig returns the engine configuration of a service, or nil if it is no
+// engine.
 func engineConfig(c *routing.Configuration, service string) *routing.Engine {
 	if s := c.Services[service]; s != nil {
 		return s.Engine
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -13,7 +13,8 @@
 	"github.com/mintlift/mintlift/upstream"
 )
 
-// send makes one attempt at e and reads the head of the answer.
+// send sends the request to e and reads the response header. If lastEvent is not
+// empty, it is sent as Last-Event-Id.
 func (x *exchange) send(ctx context.Context, e *fleet.Endpoint, lastEvent string) (*upstream.Response, error) {
 	names := &x.server.settings.Headers
 	h := x.header.Clone()
@@ -43,8 +44,9 @@
 	})
 }
 
-// mayStill reports whether e may get the request that it was chosen for: on a
-// busy box, a version may have come due or e have begun to leave meanwhile.
+// stillEligible reports whether e may still get the request for which it was
+// chosen. Since then a version's cutoff may have passed, or e may have started to
+// drain or asked for backoff.
 func (s *Server) stillEligible(x *exchange, e *fleet.Endpoint) bool {
 	now := clock.Now()
 	s.mu.Lock()
@@ -55,16 +57,17 @@
 	return x.model == "" || e.MayServe(e.Holds(x.model, now), s.minVersion(x.model, now), s.minVersion(x.model, now.Add(-scheduledUpdateLead)), now)
 }
 
-// verdict is what the head of an answer means.
+// verdict classifies the response to an attempt.
 type verdict int
 
 const (
-	verdictOK      verdict = iota // success, as far as the head tells
+	verdictOK      verdict = iota // success, as far as known from the response header
 	verdictNotRun                 // the endpoint did not run the request
-	verdictFailed                 // a failure of the endpoint's own
-	verdictInvalid                // no answer to this request
+	verdictFailed                 // error response of the endpoint
+	verdictInvalid                // no valid response to this request
 )
 
+// classify returns the verdict on a response by its header.
 func (x *exchange) classify(r *upstream.Response) verdict {
 	names := &x.server.settings.Headers
 	switch {
@@ -80,7 +83,8 @@
 	}
 }
 
-// mayRepeat asks for one more attempt after one that reached an endpoint.
+// mayRetry reports whether another attempt may follow one that may have reached an
+// endpoint, and charges the retry budget unless reserveRetry has done so.
 func (x *exchange) mayRetry(now time.Time) bool {
 	if x.retryReserved {
 		x.retryReserved = false
@@ -89,14 +93,16 @@
 	return x.takeRetry(now)
 }
 
-// grantRepeat asks for the attempt that follows one in progress, and keeps it
-// for mayRepeat: an attempt is broken off only if another may be made. A
-// breaker calls it beside the attempt, but not after its end.
+// reserveRetry charges the retry budget for the attempt that will follow the
+// current one, before that is canceled. An attemptCanceler calls it concurrently
+// with the attempt, but not after the attempt has ended.
 func (x *exchange) reserveRetry(now time.Time) bool {
 	x.retryReserved = x.takeRetry(now)
 	return x.retryReserved
 }
 
+// takeRetry charges the retry budget for one attempt, if one is left and the time
+// is not up.
 func (x *exchange) takeRetry(now time.Time) bool {
 	if x.attempts >= max(x.route.MaxAttempts, 1) || now.After(x.expiresAt) {
 		return false
@@ -107,7 +113,7 @@
 	return s.budget(x.service, now).Take(now)
 }
 
-// countRequest tells the service's budget of a new request.
+// countRequest counts a new request towards the service's retry budget.
 func (x *exchange) countRequest() {
 	s := x.server
 	s.mu.Lock()
@@ -115,7 +121,7 @@
 	s.budget(x.service, x.start).Request(x.start)
 }
 
-// finish tells the fleet how an attempt ended.
+// finishAttempt reports the result of an attempt to the fleet.
 func (x *exchange) finishAttempt(e *fleet.Endpoint, result fleet.Result) {
 	s := x.server
 	now := clock.Now()
@@ -128,7 +134,7 @@
 	s.mu.Unlock()
 }
 
-// endLocked ends the attempt of x at e; Server.mu is held.
+// endAttemptLocked ends the attempt of x at e. Server.mu must be held.
 func (s *Server) endAttemptLocked(x *exchange, e *fleet.Endpoint, result fleet.Result, now time.Time) {
 	s.fleet.End(e, result, now)
 	if x.isolated {
@@ -137,13 +143,14 @@
 	}
 }
 
-// unknownLate says that an attempt brought no bytes.
+// unknownLateness means that an attempt ended without receiving bytes.
 const unknownLateness = time.Duration(-1)
 
-// usualPass is what an engine takes for a pass beside reading prompts.
+// enginePassTime is the expected time of an engine pass, without prefill.
 const enginePassTime = 120 * time.Millisecond
 
-// begin tells the fleet that the attempt at e has brought bytes.
+// recordFirstBytes reports to the fleet that the attempt at e has received its
+// first bytes. Further calls for the same attempt have no effect.
 func (x *exchange) recordFirstBytes(e *fleet.Endpoint) {
 	if x.gotBytes {
 		return
@@ -157,14 +164,14 @@
 	s.mu.Unlock()
 }
 
-// note logs the choice of an endpoint.
+// recordAttempt records the time and expectations of the attempt at e and logs it.
 func (x *exchange) recordAttempt(e *fleet.Endpoint) {
 	s := x.server
 	now := clock.Now()
 	s.mu.Lock()
 	backlog, delay := e.Backlog(x.meanPrefillMS, now), e.Delay(now)
 	x.sentAt = now
-	x.startedMS = s.fleet.Life(e.Address)
+	x.endpointStartedMS = s.fleet.Life(e.Address)
 	x.expectedFirstByte = enginePassTime + time.Duration((backlog+x.prefillMS)*float64(time.Millisecond))
 	load, age, holds, lowest := e.Load(now), e.ReportAge(now), e.Holds(x.model, now), s.minVersion(x.model, now)
 	s.mu.Unlock()
--- a/ingress/caller.go
+++ b/ingress/caller.go
@@ -9,19 +9,18 @@
 	"github.com/mintlift/mintlift/internal/tcpconn"
 )
 
-// connKey is the key of a caller's connection in its requests' contexts.
+// connContextKey is the context key of the caller's connection.
 type connContextKey struct{}
 
-// ConnContext lets a request look at the connection on which it came; it is
-// an http.Server's ConnContext.
+// ConnContext makes the caller's connection available to its requests. Set it as
+// http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// callerLeft reports whether the caller has closed its connection. net/http
-// ends a request's context once it has noticed that, in a goroutine of its own:
-// a request that is read late, its caller's close right behind it, would reach
-// an endpoint first.
+// callerLeft reports whether the caller has closed its connection. It checks the
+// socket because net/http cancels the request's context from a separate goroutine,
+// possibly after the request would already have been sent to an endpoint.
 func (x *exchange) callerLeft() bool {
 	ctx := x.request.Context()
 	if ctx.Err() != nil {
@@ -31,6 +30,6 @@
 	return c != nil && tcpconn.Closed(c)
 }
 
-// over reports whether no further attempt is to be made: the time is up, or
-// the caller has left.
+// finished reports whether no further attempt may be made because the time is up or
+// the caller has disconnected.
 func (x *exchange) finished(ctx context.Context) bool { return ctx.Err() != nil || x.callerLeft() }
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	// crashProbe bounds the dial that tells a crash from a broken connection:
-	// a process that has ended refuses at once.
+	// crashProbeTimeout limits the dial that distinguishes a crash from a broken
+	// connection: after a crash the address refuses connections.
 	crashProbeTimeout = 150 * time.Millisecond
-	// crashSettles is for how long after a crash a request may still have been
-	// sent to the endpoint; it did not run there, so the crash says nothing of it.
+	// crashSettleTime is how long after a crash requests may still be sent to the
+	// endpoint. They did not run there, so the crash is not attributed to them.
 	crashSettleTime = 500 * time.Millisecond
-	// restAfter is after how many crashes a request is not taken up again
-	// within its try: its caller may try again, at one endpoint at a time.
+	// suspectCrashLimit is the number of a request's crashes from which an exchange
+	// makes no further attempt after a crash. The caller may retry.
 	suspectCrashLimit = 2
 )
 
-// checkCrash finds out whether an attempt broke off because its endpoint
-// crashed, and remembers that of the request. A cut link, a reset connection and
-// an answer that the endpoint broke off look alike; only a process that has ended
-// refuses connections.
+// checkCrash determines whether an attempt failed because its endpoint crashed, and
+// if so records the crash against the request. A cut link, a reset connection and a
+// truncated response look alike; only after a crash does the address refuse
+// connections or the process have a new start time.
 func (x *exchange) checkCrash(ctx context.Context, e *fleet.Endpoint, cause error) {
 	s := x.server
 	if !connectionLost(cause) {
@@ -47,18 +47,18 @@
 		}
 		return
 	}
-	if x.startedMS == 0 {
+	if x.endpointStartedMS == 0 {
 		return
 	}
-	address, startedMS := e.Address, x.startedMS
-	go func() { // the request goes on elsewhere meanwhile
+	address, startedMS := e.Address, x.endpointStartedMS
+	go func() { // does not delay the next attempt
 		if s.restartedSince(address, startedMS) {
 			s.recordCrash(c, clock.Now())
 		}
 	}()
 }
 
-// crashed is an attempt under which an endpoint crashed.
+// crashedAttempt describes an attempt whose endpoint crashed.
 type crashedAttempt struct {
 	endpoint, request string
 	identity          quarantine.ID
@@ -67,8 +67,8 @@
 	sentAt            time.Time
 }
 
-// noteCrash holds a crash against the request; it returns false for one that says
-// nothing of it.
+// recordCrash records a crash against the request. It returns false if the request
+// was sent after the crash, and so did not cause it.
 func (s *Server) recordCrash(c crashedAttempt, now time.Time) bool {
 	if s.crashedBeforeSend(c.endpoint, c.sentAt, now) {
 		return false
@@ -83,13 +83,14 @@
 	return true
 }
 
-// bornWithin is how long after an attempt broke off the endpoint's birth is looked
-// at: its sidecar reads it every 40 ms, and tells at once what has changed.
+// restartDetectTimeout is how long after a failed attempt a new start time of the
+// endpoint's process is awaited. Its sidecar reads the start time every 40 ms and
+// reports a change at once.
 const restartDetectTimeout = 300 * time.Millisecond
 
-// bornSince reports whether the process of the endpoint at an address has begun
-// anew since a life was noted: one that is back within milliseconds accepts
-// connections as if it had not ended.
+// restartedSince reports whether the process of the endpoint at address has
+// restarted since startedMS. A process that restarts within milliseconds accepts
+// connections as if it had not crashed. It blocks for up to restartDetectTimeout.
 func (s *Server) restartedSince(address string, startedMS int64) bool {
 	const pollInterval = 20 * time.Millisecond
 	for began := clock.Now(); clock.Since(began) < restartDetectTimeout; time.Sleep(pollInterval) {
@@ -103,14 +104,15 @@
 	return false
 }
 
-// brokeOff reports whether a connection ended as it does with its process.
+// connectionLost reports whether err is one that the end of the peer's process
+// causes.
 func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// crashedBefore reports whether an endpoint had crashed when an attempt was sent
-// to it, and notes its crash if it is the first that is heard of.
+// crashedBeforeSend reports whether the endpoint had crashed before an attempt was
+// sent to it. The first report of a crash records its time.
 func (s *Server) crashedBeforeSend(endpoint string, sent, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,15 +125,18 @@
 	return sent.After(crashedAt)
 }
 
-// suspected and quarantined tell what is known of the request.
+// suspected reports whether endpoints crashed while running the request.
 func (x *exchange) suspected(now time.Time) bool { return x.suspectStatus(now).Suspected() }
 
+// quarantined reports whether the request must not be sent because it is in
+// quarantine.
 func (x *exchange) quarantined(now time.Time) bool {
 	return !x.trial && x.suspectStatus(now).Quarantined()
 }
 
-// keptOut reports whether a new try must be sent to no endpoint; one in a while
-// is let through, alone and once, to see whether it is to blame.
+// blockedByQuarantine reports whether a new request must not be sent to any
+// endpoint. From time to time a quarantined request is allowed to run once, as a
+// trial.
 func (x *exchange) blockedByQuarantine() bool {
 	now := x.start
 	if !x.quarantined(now) {
@@ -139,12 +144,13 @@
 	}
 	x.trial = x.server.suspects.Trial(x.identity, now)
 	if x.trial {
-		x.server.events.Info("request in quarantine runs once", "request", x.id, "identity", x.identity.String())
+		x.server.events.Info("quarantined request runs as a trial", "request", x.id, "identity", x.identity.String())
 	}
 	return !x.trial
 }
 
-// ClearSuspect lets a request out of quarantine, by an operator's word.
+// ClearSuspect removes a request from quarantine on behalf of an operator. It
+// reports whether the request was suspected.
 func (s *Server) ClearSuspect(id quarantine.ID, now time.Time) bool {
 	cleared := s.suspects.Clear(id, now)
 	s.events.Info("request cleared by an operator", "identity", id.String(), "known", cleared)
@@ -154,17 +160,19 @@
 	return cleared
 }
 
+// suspectStatus returns the quarantine status of the request.
 func (x *exchange) suspectStatus(now time.Time) quarantine.Standing {
 	return x.server.suspects.Standing(x.identity, now)
 }
 
-// mustRest reports whether an endpoint has crashed under this try of a request
-// that was suspected before.
+// crashLimitReached reports whether an endpoint crashed during this exchange and
+// the request has at least suspectCrashLimit crashes in all.
 func (x *exchange) crashLimitReached() bool {
 	return x.crashes > 0 && x.suspectStatus(clock.Now()).Crashes >= suspectCrashLimit
 }
 
-// endedWell clears the request of crashes that it was suspected of.
+// recordCompletion records that the request completed, which clears it of
+// suspicion.
 func (x *exchange) recordCompletion() {
 	if !x.server.suspects.EndedWell(x.identity, clock.Now()) {
 		return
@@ -172,12 +180,12 @@
 	x.server.events.Info("request cleared", "request", x.id, "identity", x.identity.String())
 }
 
-// rejectQuarantined answers a request that is kept from endpoints. A try that has
-// reached none has not run: its caller is told so, and to come back when the request
-// is let in again at the latest, which for one that is to blame is in minutes. One
-// that was sent may have run, so the status promises nothing.
+// rejectQuarantined responds to a request in quarantine. If it was sent to no
+// endpoint, the response says that it has not run, and after which time it leaves
+// quarantine at the latest. If it was sent, it may have run, so the response is 502
+// without Retry-After.
 func (x *exchange) rejectQuarantined() {
-	cause := "in quarantine: endpoints crashed under request " + x.identity.String() + ", and it has ended well at none"
+	cause := "in quarantine: endpoints crashed while running request " + x.identity.String() + ", and none completed it"
 	if x.mayHaveRun {
 		x.respond(http.StatusBadGateway, outcomeQuarantined, cause)
 		return
@@ -187,21 +195,20 @@
 	x.respond(http.StatusServiceUnavailable, outcomeQuarantined, cause)
 }
 
-// Suspects returns what other gateways are to be told of requests under which
-// endpoints crashed.
+// Suspects returns the records of suspected requests to be sent to other gateways.
 func (s *Server) Suspects(now time.Time) []quarantine.Record { return s.suspects.Tell(now) }
 
-// HeardSuspects takes what another gateway told.
+// MergeSuspects merges records of suspected requests from another gateway.
 func (s *Server) HeardSuspects(records []quarantine.Record, now time.Time) {
 	if len(records) == 0 || !s.suspects.Merge(records, now) {
 		return
 	}
 	suspected, quarantined := s.suspects.Len(now)
-	s.events.Info("suspects heard", "suspected", suspected, "quarantined", quarantined)
+	s.events.Info("suspects merged", "suspected", suspected, "quarantined", quarantined)
 }
 
-// Relays returns the addresses of the endpoints of a service whose sidecars pass
-// on what gateways tell each other.
+// Relays returns the addresses of the endpoints of a service whose sidecars relay
+// messages between gateways.
 func (s *Server) Relays(service string, now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ingress/endpoints.go
+++ b/ingress/endpoints.go
@@ -9,7 +9,7 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// SetEndpoints replaces the list of endpoints.
+// SetEndpoints replaces the endpoint list.
 func (s *Server) SetEndpoints(records []fleet.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,8 +48,8 @@
 	s.putLocked(r)
 }
 
-// putLocked adds or changes an endpoint of a service that the configuration
-// names; Server.mu is held.
+// putLocked adds or changes an endpoint of a configured service. Server.mu must be
+// held.
 func (s *Server) putLocked(r fleet.Record) {
 	added := !s.fleet.Has(r.ID)
 	if !s.fleet.Put(r) {
@@ -63,19 +63,21 @@
 	s.dispatch(r.Service, clock.Now())
 }
 
-// setAside keeps an entry whose service the configuration does not name: it may
-// be named later, and until then it must not take the place of an endpoint that
-// has the same address. Server.mu is held.
+// putUnconfigured keeps the entry of an endpoint whose service the configuration
+// lacks, apart from the fleet: the service may be configured later, and until then
+// the entry must not replace an endpoint with the same address. Server.mu must be
+// held.
 func (s *Server) putUnconfigured(r fleet.Record) {
 	_, known := s.unconfigured[r.ID]
 	s.unconfigured[r.ID] = r
 	if s.fleet.Remove(r.ID) || !known {
 		s.list.markChanged()
-		s.events.Info("endpoint unnamed", "endpoint", r.ID, "address", r.Address, "service", r.Service)
+		s.events.Info("endpoint of unconfigured service", "endpoint", r.ID, "address", r.Address, "service", r.Service)
 	}
 }
 
-// putNamed takes the endpoints whose services a new configuration names.
+// putConfigured moves the endpoints whose services a new configuration contains to
+// the fleet.
 func (s *Server) putConfigured() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,28 +89,29 @@
 	}
 }
 
-// names reports whether the configuration in force names a service.
+// isConfigured reports whether the configuration in force contains a service; true
+// if there is no configuration yet.
 func (s *Server) isConfigured(service string) bool {
 	c := s.routes.Get()
 	return c == nil || c.Services[service] != nil
 }
 
-// RemoveEndpoint forgets an endpoint.
+// RemoveEndpoint removes an endpoint.
 func (s *Server) RemoveEndpoint(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.unconfigured, id)
 	if s.removeLocked(id, clock.Now()) {
-		s.events.Info("endpoint gone", "endpoint", id)
+		s.events.Info("endpoint removed", "endpoint", id)
 	}
 }
 
-// removeLocked forgets an endpoint; it returns false for one that is not known.
-// Server.mu is held.
+// removeLocked removes an endpoint from the fleet and records its removal. It
+// returns false if the endpoint is not in the fleet. Server.mu must be held.
 func (s *Server) removeLocked(id string, now time.Time) bool {
 	e := s.fleet.ByID(id)
 	if e == nil {
-		// Another endpoint may have taken its address before its entry ended.
+		// Another endpoint may have replaced it at its address before.
 		s.recordRemoval(fleet.Record{ID: id, Born: anyIncarnation}, now)
 		return false
 	}
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -17,7 +17,7 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// exchange is one request of a caller, from its admission to its answer.
+// exchange is the state of one caller's request, from arrival to response.
 type exchange struct {
 	server  *Server
 	writer  http.ResponseWriter
@@ -25,62 +25,64 @@
 	config  *routing.Configuration
 	route   *routing.Route
 	service string
-	model   string
-	id      string
-	// identity is the same for each try of one request.
+	model   string // requested model, or empty for plain services
+	id      string // the caller's request ID, or empty
+	// identity is the same for all tries of one request, by whichever gateway.
 	identity quarantine.ID
-	// trial says that this try runs although the request is in quarantine.
+	// trial reports that the request runs although it is in quarantine.
 	trial bool
-	// life is that of the endpoint when the attempt was sent, as fleet.Life.
-	startedMS int64
-	body      []byte
-	header    http.Header // for the endpoint, without what each attempt adds
-	start     time.Time
-	// configAge is how long before start config was last known to be the
+	// startedMS is the start time of the endpoint's process when the attempt was
+	// sent, in Unix milliseconds, or 0 if unknown.
+	endpointStartedMS int64
+	body              []byte
+	header            http.Header // for the endpoint, without per-attempt headers
+	start             time.Time
+	// configAge is how long before start the configuration was last known to be the
 	// newest.
 	configAge time.Duration
-	// end is when the request is given up: the caller's deadline or the
-	// route's time-out, whichever is first.
+	// expiresAt is the earlier of the caller's deadline and the route's timeout.
 	expiresAt time.Time
-	// deadline is the caller's, handed on to endpoints; zero if none.
+	// callerDeadline is the caller's own deadline, or zero. If set, endpoints are
+	// sent the time left until expiresAt.
 	callerDeadline time.Time
 	priority       int
-	// returned says that the caller was refused before.
+	// callerRetry reports that the caller probably retries after a refusal.
 	callerRetry bool
 
-	// work is how long an engine reads the prompt, in milliseconds.
+	// prefillMS is the expected prefill time of the prompt, in milliseconds.
 	prefillMS float64
-	// usual is the same of a usual prompt.
+	// meanPrefillMS is the prefill time of a prompt of mean length.
 	meanPrefillMS float64
-	// sent is when the attempt in progress was sent, and expected how long it
-	// should take to its first bytes.
+	// sentAt is when the current attempt was sent, and expectedFirstByte the
+	// expected time from then to its first bytes.
 	sentAt            time.Time
 	expectedFirstByte time.Duration
-	// begun says that the attempt in progress has brought bytes.
+	// gotBytes reports that the current attempt has received bytes.
 	gotBytes bool
 
-	// late says that the request takes an endpoint that will be late.
+	// acceptsLate reports that the request also takes endpoints that miss the
+	// target latency.
 	acceptsLate   bool
-	attempts      int             // sent to an endpoint
-	tried         map[string]bool // ids of endpoints
-	mayHaveRun    bool            // an endpoint may have run, or may yet run it
-	retryReserved bool            // one more attempt is allowed already
-	// alone says that the attempt in progress was chosen with Query.Alone, and
-	// permitted that it has a permit of an endpoint with a limit.
+	attempts      int             // attempts that may have reached an endpoint
+	tried         map[string]bool // endpoint IDs
+	mayHaveRun    bool            // an endpoint may have run the request, or may yet run it
+	retryReserved bool            // the retry budget has been charged for the next attempt
+	// isolated reports that the current attempt was chosen with Query.Isolated.
+	// hasPermit reports that it holds a permit of an endpoint with a rate limit.
 	isolated, hasPermit bool
-	// crashes counts the endpoints that crashed under attempts of this try.
+	// crashes counts the endpoints that crashed during attempts of this exchange.
 	crashes   int
 	lastCause string
 }
 
-// Bounds of reading a request.
+// Limits on reading a request.
 const (
 	defaultMaxBodyBytes = 4 << 20
 	bodyReadTimeout     = 3 * time.Second
 	maxPriority         = 9
 )
 
-// ServeHTTP serves a caller's request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -111,8 +113,9 @@
 	x.servePlain(ctx)
 }
 
-// accept checks the request against the configuration in force and reads
-// its body; if it returns false, the answer has been given.
+// prepare matches the request against the configuration in force, sets the fields
+// derived from it and reads the body. If it returns false, the response has been
+// sent.
 func (x *exchange) prepare() bool {
 	x.config = x.server.routes.Get()
 	if age := x.server.settings.ConfigAge; age != nil {
@@ -152,7 +155,8 @@
 	return true
 }
 
-// target is the request target, as the caller wrote it where it is a path.
+// target returns the request target as the caller sent it if that is a path, or
+// else the URI without scheme and host.
 func (x *exchange) target() string {
 	if strings.HasPrefix(x.request.RequestURI, "/") {
 		return x.request.RequestURI
@@ -160,7 +164,7 @@
 	return x.request.URL.RequestURI()
 }
 
-// setTimes sets deadline and end.
+// setDeadlines sets expiresAt, callerDeadline and callerRetry.
 func (x *exchange) setDeadlines() {
 	timeout := x.route.Timeout
 	if timeout <= 0 {
@@ -179,12 +183,13 @@
 	x.callerRetry = x.server.isCallerRetry(x.route, x.service, left, timeout, x.start)
 }
 
-// connectionHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
+// buildHeader sets header, and for engines also model, prefillMS and meanPrefillMS.
 func (x *exchange) buildHeader(workspace string) {
 	names := &x.server.settings.Headers
 	h := x.request.Header.Clone()
@@ -221,6 +226,8 @@
 	}
 }
 
+// readBody reads the request body into x.body. If it returns false, the response has
+// been sent.
 func (x *exchange) readBody() bool {
 	if x.request.Body == nil || x.request.Body == http.NoBody {
 		return true
@@ -234,7 +241,7 @@
 		return false
 	}
 	control := http.NewResponseController(x.writer)
-	_ = control.SetReadDeadline(clock.Steady(x.start.Add(bodyReadTimeout))) // real connections support it
+	_ = control.SetReadDeadline(clock.Steady(x.start.Add(bodyReadTimeout))) // supported by network connections
 	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ingress serves callers on an entry box: it matches a request to
-// its route, checks the key, waits for an endpoint with room, sends the
-// request there, and passes the answer on.
+// Package ingress is the request path of a gateway. It matches a caller's request
+// to a route, authenticates its key, waits for an endpoint with spare capacity,
+// forwards the request there and relays the response.
 //
-// All tables (fleet, waiting requests, retry budgets, named versions) are
-// under Server.mu; nothing blocks while it is held, and no other lock is
-// taken under it but those inside telemetry and quarantine. The configuration
-// is read without a lock.
+// Server.mu guards all mutable tables: the fleet, queues of waiting requests, retry
+// budgets, named versions. Nothing blocks while it is held, and no other locks are
+// taken under it except those inside telemetry and quarantine. The configuration is
+// read without a lock.
 package ingress
 
 import (
@@ -29,95 +29,96 @@
 	"github.com/mintlift/mintlift/upstream"
 )
 
-// Headers are the names of the headers by which callers, gateways and
-// endpoints speak. The deployment's adapter sets them.
+// Headers are the names of the HTTP headers exchanged between callers, gateways and
+// endpoints. The platform adapter sets them.
 type Headers struct {
 	RequestID      string
-	Deadline       string // milliseconds that the sender will wait
-	Seal           string // the endpoint's signature
-	NotRun         string // the endpoint did not run the request
+	Deadline       string // remaining time in milliseconds until the sender gives up
+	Seal           string // the endpoint's signature of a successful response
+	NotRun         string // set if the endpoint did not run the request
 	ExpectEndpoint string
 	ExpectVersion  string
 	Workspace      string
 	Priority       string
 	Model          string
-	TokenUsage     string // "IN,OUT", the prompt's and the most of the answer
+	TokenUsage     string // "IN,OUT": prompt tokens and the maximum of generated tokens
 }
 
-// Settings of a Server.
+// Settings configures a Server.
 type Settings struct {
-	// Place is where the gateway is.
+	// Place is the location of the gateway.
 	Place   fleet.Place
 	Headers Headers
-	// Signal decodes what the head of an answer says of its endpoint; nil is
-	// nothing.
+	// DecodeSignal decodes the signals that an endpoint sends about itself in
+	// response headers. If nil, responses carry no signals.
 	Signal func(status int, head http.Header) backpressure.Signal
 	Budget retrybudget.Params
-	// VersionDeadline is how long after a version was named older ones may
+	// VersionDeadline is how long after a version was named older versions may
 	// still start requests.
 	VersionDeadline time.Duration
-	// Current reports whether the configuration in force is known to be the
-	// newest; nil stands for always. While it is not, what the configuration
-	// does not know is not denied but refused: the caller may be right.
+	// Current reports whether the configuration in force is known to be the newest;
+	// nil means always. While it returns false, a request for a route or key that
+	// the configuration lacks gets a retryable refusal instead of a denial.
 	Current func() bool
-	// ConfigAge is how long ago the configuration in force was last known to
-	// be the newest; nil if nobody knows.
+	// ConfigAge returns the time since the configuration in force was last known to
+	// be the newest; nil if unknown.
 	ConfigAge func() time.Duration
 }
 
-// Server is the request path of one gateway. It is an http.Handler.
+// Server is the request path of one gateway. It implements http.Handler.
 type Server struct {
 	settings              Settings
-	log                   logr.Logger // lines about single requests
-	events                logr.Logger // lines about what the process believes
+	log                   logr.Logger // per request
+	events                logr.Logger // state changes of the gateway
 	metrics               *telemetry.Metrics
 	routes                routing.Table
 	pool                  *upstream.Pool
-	stopping              atomic.Bool
-	refusing              atomic.Bool
+	stopping              atomic.Bool // set by StartStopping
+	refusing              atomic.Bool // set by Refuse
 	inFlight              atomic.Int64
-	noticeDue             chan struct{} // holds one
-	permitRequestsPending chan struct{} // holds one
+	noticeDue             chan struct{} // capacity 1
+	permitRequestsPending chan struct{} // capacity 1
 	acceptState           acceptState
-	// suspects are the requests under which endpoints crashed.
+	// suspects holds the requests during which endpoints crashed.
 	suspects *quarantine.Table
 
-	mu            sync.Mutex
+	mu sync.Mutex
+	// Maps without a comment are keyed by service name.
 	fleet         *fleet.Fleet
 	queues        map[string]*queue
 	budgets       map[string]*retrybudget.Budget
-	namedVersions map[string][]NamedVersion
+	namedVersions map[string][]NamedVersion // by model, oldest first
 	stats         map[string]*requestStats
 	timeouts      map[string]*timeoutHistogram // by route
-	// gateways is the number that shares what all may do together.
+	// gateways is the number of gateways among which shared limits are divided.
 	gateways  int
-	listKnown bool // the list of endpoints is known
+	listKnown bool // the endpoint list has been read at least once
 	list      listState
 	rollback  storeRollback
-	// unnamed are endpoints on the list whose service the configuration does
-	// not name, by id.
+	// unconfigured holds the listed endpoints whose service the configuration
+	// lacks, by endpoint ID.
 	unconfigured map[string]fleet.Record
-	// crashedAt is when endpoints crashed lately, by id.
+	// crashedAt holds the times of recent endpoint crashes, by endpoint ID.
 	crashedAt map[string]time.Time
-	// asks are what is to be asked of sidecars.
+	// permitRequests holds the permit requests not yet sent to sidecars.
 	permitRequests []PermitRequest
 }
 
-// Naming is a version of a model that the operator named.
+// NamedVersion is a version of a model that the operator named.
 type NamedVersion struct {
 	Version int
-	// Learned is when this gateway heard of it. First says that it was named
-	// before, at an unknown time.
+	// LearnedAt is when this gateway read the version. AgeUnknown reports that the
+	// version had already been named, at an unknown time, when the process started.
 	Learned time.Time
 	First   bool
-	// due is from when on older versions may start no requests.
+	// cutoff is the time from which older versions may start no requests.
 	cutoff time.Time
 }
 
-// Overdue reports whether older versions get no requests any more.
+// Overdue reports whether older versions may start no more requests.
 func (n NamedVersion) Overdue(now time.Time) bool { return !now.Before(n.cutoff) }
 
-// New returns a server that knows nothing yet.
+// New returns a server without configuration and endpoints.
 func New(s Settings, log, events logr.Logger, m *telemetry.Metrics) *Server {
 	server := &Server{
 		settings: s,
@@ -156,14 +157,15 @@
 	return server
 }
 
-// Connections to endpoints.
+// Parameters of the connection pool to endpoints.
 const (
 	dialTimeout = 350 * time.Millisecond
 	idleTimeout = 5 * time.Second
 	maxIdle     = 24
 )
 
-// Apply takes a configuration; an older one than held is left alone.
+// Apply puts a configuration in force. One that is not newer than the current
+// configuration is ignored.
 func (s *Server) Apply(c *routing.Configuration) {
 	if !s.routes.Apply(c) {
 		return
@@ -172,11 +174,12 @@
 	s.putConfigured()
 }
 
-// Configuration returns the configuration in force, or nil.
+// Configuration returns the configuration in force, or nil if there is none yet.
 func (s *Server) Configuration() *routing.Configuration { return s.routes.Get() }
 
-// NameVersion takes a model's newest named version. first says that the
-// version was found when the process started, so that its age is unknown.
+// NameVersion records a newly named version of a model; one that is not newer than
+// the last is ignored. first means that the version already existed when the
+// process started, so that its age is unknown.
 func (s *Server) NameVersion(model string, version int, first bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +196,8 @@
 	s.sendNoticeLocked()
 }
 
-// tellSoonLocked asks for a round of notices to sidecars; Server.mu is held.
+// sendNoticeLocked requests an immediate notice to sidecars. Server.mu must be
+// held.
 func (s *Server) sendNoticeLocked() {
 	select {
 	case s.noticeDue <- struct{}{}:
@@ -201,9 +205,9 @@
 	}
 }
 
-// overdue leaves older versions at once where a version of unknown age is
-// seen to be served: by then it has been named for seconds, and for how many
-// nobody here knows. Server.mu is held.
+// cutOffOlderVersions moves the cutoff of named versions of unknown age up to now
+// once an endpoint reports them or a newer one: loading a version takes seconds, so
+// its deadline may be close. Server.mu must be held.
 func (s *Server) cutOffOlderVersions(model string, reported int, now time.Time) {
 	list := s.namedVersions[model]
 	for i := range list {
@@ -212,16 +216,17 @@
 			continue
 		}
 		n.cutoff = now
-		s.events.Info("version overdue", "model", model, "version", n.Version, "served", reported)
+		s.events.Info("older versions cut off", "model", model, "version", n.Version, "served", reported)
 	}
 }
 
-// versionMargin is how long before the deadline older versions are left: a
-// request of which a packet is lost arrives after firstRetransmit, and an
-// engine that begins it at once, which is all that it gets then, has begun it
-// after beginTime. versionMarginShare bounds it for short deadlines.
+// maxVersionMargin is how long before the deadline of a version older ones are cut
+// off, so that a request sent just before still starts in time: its packet may be
+// retransmitted once, after initialRTO, and the engine then takes up to
+// engineStartTime to start it. maxVersionMarginShare limits the margin to a share
+// of VersionDeadline.
 const (
-	// firstRetransmit is the initial retransmission time of TCP (RFC 6298).
+	// initialRTO is the initial retransmission timeout of TCP (RFC 6298).
 	initialRTO            = time.Second
 	engineStartTime       = 900 * time.Millisecond
 	maxVersionMargin      = initialRTO + engineStartTime
@@ -247,19 +252,19 @@
 	return false
 }
 
-// cautionLead is how long before a version is due older ones get only what
-// they can begin at once.
+// nextVersionLead is how long before a cutoff engines with older versions get only
+// requests that they can start at once.
 const nextVersionLead = 1700 * time.Millisecond
 
-// promiseLead is for how much longer an engine with an older version gets what
-// it begins at once, if its sidecar promises to drain it in time. The sidecar
-// does so 1.2 s before the deadline; the gateway's own bound holds also if its
-// word of that is late, and leaves an engine that is not drained after all
-// beginTime and 100 ms more.
+// scheduledUpdateLead is how long after the cutoff an engine with an older version
+// still gets requests that it can start at once, if its sidecar has scheduled an
+// update before the deadline. Sidecars drain such engines 1.2 s before the
+// deadline. If a sidecar fails to do so, engineStartTime and 100 ms remain until
+// the deadline.
 const scheduledUpdateLead = maxVersionMargin - engineStartTime - 100*time.Millisecond
 
-// minVersion is the lowest version of model that may start a request at a
-// time.
+// minVersion returns the lowest version of model that may start a request at time
+// at, or 0 for any. Server.mu must be held.
 func (s *Server) minVersion(model string, at time.Time) int {
 	lowest := 0
 	for _, n := range s.namedVersions[model] {
@@ -270,7 +275,9 @@
 	return lowest
 }
 
-// Heard takes an engine's report; roundTrip is as for fleet.Fleet.
+// HandleReport processes an engine's load report. roundTrip is the measured round
+// trip to the sidecar, or negative if there is none. Reports of endpoints not on
+// the list are ignored.
 func (s *Server) Heard(r fleet.Report, roundTrip time.Duration) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -287,8 +294,8 @@
 	s.dispatch(e.Service, now)
 }
 
-// countGateways takes the number of gateways that a sidecar knows; what is
-// shared between them is shared by the most that were ever seen.
+// raiseGateways processes the number of gateways known to a sidecar. Shared limits
+// are divided by the largest number ever reported. Server.mu must be held.
 func (s *Server) raiseGateways(n int) {
 	if n <= s.gateways {
 		return
@@ -298,14 +305,15 @@
 	for _, b := range s.budgets {
 		b.Share(n)
 	}
-	s.events.Info("more gateways seen", "gateways", n)
+	s.events.Info("gateway count increased", "gateways", n)
 }
 
-// TellSoon tells that sidecars should hear something at once: a version has
-// been named, or an engine was added.
+// NoticeDue returns a channel that receives when sidecars should be notified at
+// once: a version has been named, an endpoint was added, or suspects have changed.
 func (s *Server) TellSoon() <-chan struct{} { return s.noticeDue }
 
-// Named returns the last named versions of a model, the newest last.
+// NamedVersions returns the most recently named versions of a model, newest last,
+// at most maxNamedVersions.
 func (s *Server) Named(model string) []NamedVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -313,19 +321,22 @@
 	return slices.Clone(list[max(0, len(list)-maxNamedVersions):])
 }
 
-// namedTold is how many named versions are told: the deadline of one may
-// come before the next is served.
+// maxNamedVersions is how many named versions sidecars are notified of. It exceeds
+// 1 because the deadline of a version may pass before the next one is served.
 const maxNamedVersions = 2
 
-// EngineAddresses returns the addresses of a service's endpoints, apart those
-// whose sidecars know weights with the checksum sum.
+// EngineAddresses returns the addresses of a service's endpoints, divided into
+// those whose sidecars have the weights configuration with the given checksum and
+// all others.
 func (s *Server) EngineAddresses(service string, checksum uint32, now time.Time) (upToDate, others []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fleet.Addresses(service, checksum, now)
 }
 
-// Ready reports whether the gateway can serve new connections.
+// Ready reports whether the gateway can serve new connections: it has a
+// configuration and endpoints, is not stopping, and has not recently failed to
+// accept a connection.
 func (s *Server) Ready() bool {
 	if s.stopping.Load() || s.routes.Get() == nil || s.acceptState.recentlyFailed(clock.Now()) {
 		return false
@@ -335,7 +346,7 @@
 	return s.listKnown && s.fleet.Len() > 0
 }
 
-// ServeReady answers the readiness probe.
+// ServeReady handles the readiness probe: status 200 if Ready, else 503.
 func (s *Server) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	if s.Ready() {
 		w.WriteHeader(http.StatusOK)
@@ -344,18 +355,18 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// StartStopping makes the gateway unready. It goes on serving; each answer
-// asks the caller to use another connection.
+// StartStopping makes the gateway unready. It continues to serve, but closes
+// callers' connections after each response.
 func (s *Server) StartStopping() { s.stopping.Store(true) }
 
-// Refuse turns away every request from now on.
+// Refuse makes the gateway refuse all new requests.
 func (s *Server) Refuse() { s.refusing.Store(true) }
 
-// InFlight is the number of requests in progress.
+// InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Maintain closes connections that have rested too long; call it every
-// second or so.
+// Maintain closes expired idle connections and removes outdated state. Call it
+// about once per second.
 func (s *Server) Maintain(now time.Time) {
 	s.pool.Sweep(now)
 	s.mu.Lock()
@@ -364,10 +375,10 @@
 	s.fleet.Forget(now)
 }
 
-// Close closes connections to endpoints that rest.
+// Close closes the idle connections to endpoints.
 func (s *Server) Close() { s.pool.ForgetAll() }
 
-// budget returns the account of a service.
+// budget returns the retry budget of a service. Server.mu must be held.
 func (s *Server) budget(service string, now time.Time) *retrybudget.Budget {
 	b := s.budgets[service]
 	if b == nil {
--- a/ingress/list.go
+++ b/ingress/list.go
@@ -10,17 +10,18 @@
 	"github.com/mintlift/mintlift/fleet"
 )
 
-// listState says which state of the list of endpoints a gateway has.
+// listState identifies the version of the endpoint list that a gateway holds.
 type listState struct {
-	// life tells the states of one process from those of another.
+	// instance is a random number that identifies the process. generation counts
+	// the changes of the list within it.
 	instance   uint64
 	generation int64
-	// era is that of the store that the list was told of.
+	// era is the store's era of the list; see SetEra.
 	era int64
-	// changed is closed, and made anew, when the list changes.
+	// changed is closed and replaced when the list changes.
 	changed chan struct{}
-	// confirmed is when the store was read last, by this gateway or by the
-	// one from which it has the list.
+	// confirmedAt is when the store was last read, by this gateway or by the
+	// gateway from which it has the list.
 	confirmedAt time.Time
 }
 
@@ -28,33 +29,34 @@
 	return listState{instance: rand.Uint64(), changed: make(chan struct{})}
 }
 
-// change notes that the list has changed; Server.mu is held.
+// markChanged records that the list has changed. Server.mu must be held.
 func (l *listState) markChanged() {
 	l.generation++
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// List is the list of endpoints as a gateway knows it.
+// List is a snapshot of a gateway's endpoint list.
 type List struct {
-	// State differs from that of any other list, also of another gateway.
+	// State identifies this snapshot; it is unique across gateways.
 	State string
-	// Era of the store that it was read in.
-	Era       int64
-	Records   []fleet.Record
+	// Era is the store's era in which the list was read.
+	Era     int64
+	Records []fleet.Record
+	// Confirmed is when the list was last known to be current.
 	Confirmed time.Time
-	// Changed is closed when the gateway knows another list.
+	// Changed is closed when the gateway's list changes.
 	Changed <-chan struct{}
 }
 
-// Listed notes that the list was read at now.
+// ConfirmList records that the list was current at now.
 func (s *Server) Listed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.confirmedAt = now
 }
 
-// List returns the list of endpoints, and whether it has been read.
+// List returns a snapshot of the endpoint list, and whether the list has been read.
 func (s *Server) List() (List, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -17,30 +17,31 @@
 	"github.com/mintlift/mintlift/upstream"
 )
 
-// maxAnswer bounds an answer that is held until it is whole.
+// maxResponseBytes limits the body of a plain response, which is buffered until it
+// is complete.
 const maxResponseBytes = 8 << 20
 
-// errSilent ends an attempt whose endpoint has been silent for too long.
-const errStalled = errors.ConstError("the endpoint has fallen silent")
+// errStalled cancels an attempt whose endpoint has sent nothing for too long.
+const errStalled = errors.ConstError("the endpoint sent nothing within the time limit")
 
-// attemptShare is the part of the time left that an attempt may take while
-// another endpoint could still answer: one that hangs, or whose connection went
-// silent, would else take all of it, and the caller get nothing.
+// attemptTimeShare is the share of the remaining time that an attempt may take
+// while another endpoint could still be tried. It leaves time for a retry if an
+// endpoint or its connection hangs.
 const attemptTimeShare = 0.5
 
-// errLarge says that an answer is larger than maxAnswer.
-const errResponseTooLarge = errors.ConstError("the answer is too large")
+// errResponseTooLarge reports a response larger than maxResponseBytes.
+const errResponseTooLarge = errors.ConstError("the response is too large")
 
-// reply is a whole answer of an endpoint.
+// reply is a complete response of an endpoint.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// plain serves a request that is answered at once. The answer is read to
-// its end before the caller gets any of it, so that one that breaks off is
-// never taken for whole and can be asked for again where that is allowed.
+// servePlain serves a request that gets a single response. The response is buffered
+// until complete, so that a truncated one never reaches the caller and the request
+// can be retried if the route allows it.
 func (x *exchange) servePlain(ctx context.Context) {
 	x.countRequest()
 	answer, v := x.runAttempts(ctx, x.attempt)
@@ -54,8 +55,8 @@
 	}
 }
 
-// try makes attempts until one is good or no more may be made. It returns the
-// answer of the good one, or the last failure of an endpoint's own, if any.
+// runAttempts makes attempts until one succeeds or no more are allowed. It returns
+// the successful reply, or the last error response of an endpoint, if any.
 func (x *exchange) runAttempts(ctx context.Context, attempt func(context.Context, *fleet.Endpoint) (*reply, verdict)) (*reply, verdict) {
 	var failure *reply
 	for {
@@ -78,7 +79,8 @@
 	}
 }
 
-// next waits for the endpoint of the next attempt and counts the attempt.
+// nextEndpoint waits for the endpoint of the next attempt and counts the attempt.
+// It returns nil if there is none or the request is in quarantine.
 func (x *exchange) nextEndpoint(ctx context.Context) *fleet.Endpoint {
 	if x.quarantined(clock.Now()) {
 		return nil
@@ -97,28 +99,29 @@
 	return e
 }
 
-// movable reports whether the attempt in progress may be broken off and made
-// elsewhere.
+// canFailOver reports whether the current attempt may be canceled and retried at
+// another endpoint.
 func (x *exchange) canFailOver() bool {
 	return x.route.Idempotent() && x.attempts < max(x.route.MaxAttempts, 1)
 }
 
-// breaker breaks off an attempt in favour of another one, unless it has ended.
+// attemptCanceler cancels an attempt that has not ended, if it can be retried.
 type attemptCanceler struct {
 	exchange *exchange
 	cancel   context.CancelCauseFunc
-	mu       sync.Mutex
+	mu       sync.Mutex // guards ended
 	ended    bool
 }
 
-// breakable returns a context for an attempt that its breaker ends.
+// withCanceler returns a context for an attempt, and its canceler. The caller must
+// call end.
 func (x *exchange) withCanceler(ctx context.Context) (context.Context, *attemptCanceler) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return ctx, &attemptCanceler{exchange: x, cancel: cancel}
 }
 
-// breakOff ends the attempt if the budget allows another; it reports whether
-// that is all there is to do.
+// cancelForRetry cancels the attempt if the retry budget allows another. It returns
+// true if the attempt has ended, by this call or before.
 func (b *attemptCanceler) cancelForRetry(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -133,7 +136,7 @@
 	return true
 }
 
-// end says that the attempt has ended.
+// end records that the attempt has ended and cancels its context.
 func (b *attemptCanceler) end() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,7 +144,8 @@
 	b.cancel(nil)
 }
 
-// limitAttempt bounds an attempt that may be repeated elsewhere.
+// withAttemptTimeout returns a context that limits an attempt to attemptTimeShare
+// of the remaining time if it can be retried elsewhere.
 func (x *exchange) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, b := x.withCanceler(ctx)
 	if !x.canFailOver() {
@@ -156,17 +160,17 @@
 	}
 }
 
-// silent takes an attempt whose endpoint fell silent. Its other connections
-// may have done so too.
+// attemptStalled ends an attempt at an endpoint that stalled. The idle connections
+// to the endpoint are closed, as they may be stalled as well.
 func (x *exchange) attemptStalled(e *fleet.Endpoint) verdict {
 	x.lastCause = errStalled.Error()
 	x.server.pool.Forget(e.Address)
 	x.finishAttempt(e, fleet.Broken)
-	x.server.log.Info("attempt silent", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "begun", x.gotBytes, "ms", clock.Since(x.sentAt).Milliseconds())
+	x.server.log.Info("attempt stalled", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "begun", x.gotBytes, "ms", clock.Since(x.sentAt).Milliseconds())
 	return verdictInvalid
 }
 
-// attempt sends the request to e and reads the whole answer.
+// attempt sends the request to e and reads the complete response.
 func (x *exchange) attempt(ctx context.Context, e *fleet.Endpoint) (*reply, verdict) {
 	ctx, cancel := x.withAttemptTimeout(ctx)
 	defer cancel()
@@ -186,8 +190,8 @@
 		return nil, x.attemptStalled(e)
 	}
 	if err != nil {
-		x.lastCause = "answer broke off: " + err.Error()
-		x.server.log.Info("answer broken", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "error", err.Error())
+		x.lastCause = "response broke off: " + err.Error()
+		x.server.log.Info("response incomplete", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "error", err.Error())
 		if ctx.Err() != nil {
 			x.finishAttempt(e, fleet.Abandoned)
 		} else {
@@ -200,14 +204,14 @@
 	if v == verdictOK {
 		x.finishAttempt(e, fleet.Answered)
 	} else {
-		x.lastCause = "endpoint failed"
+		x.lastCause = "endpoint answered with an error"
 		x.finishAttempt(e, fleet.Failed)
 	}
 	return &reply{status: response.Status, header: response.Header, body: body}, v
 }
 
-// discard takes an answer that the caller does not get: a refusal of the
-// endpoint, or one that is no answer to the request.
+// discardResponse ends an attempt whose response the caller does not get: the
+// endpoint did not run the request, or the response is invalid.
 func (x *exchange) discardResponse(e *fleet.Endpoint, response *upstream.Response, v verdict) {
 	if v == verdictNotRun {
 		x.lastCause = "endpoint refused"
@@ -216,12 +220,13 @@
 		x.finishAttempt(e, rejectionResult(response.Status))
 		return
 	}
-	x.lastCause = "answer without seal"
-	x.server.log.Info("answer spoilt", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "status", response.Status)
+	x.lastCause = "response without seal, or encoded"
+	x.server.log.Info("response invalid", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "status", response.Status)
 	x.finishAttempt(e, fleet.Failed)
 }
 
-// rejection is what a refusal says of the endpoint.
+// rejectionResult maps the status of a response to a request that was not run to
+// its fleet result.
 func rejectionResult(status int) fleet.Result {
 	if status == http.StatusMisdirectedRequest {
 		return fleet.Misdirected
@@ -229,7 +234,7 @@
 	return fleet.Rejected
 }
 
-// broken takes an attempt without an answer.
+// attemptFailed ends an attempt that got no response.
 func (x *exchange) attemptFailed(ctx context.Context, e *fleet.Endpoint, err error) verdict {
 	if errors.Is(context.Cause(ctx), errStalled) {
 		return x.attemptStalled(e)
@@ -246,15 +251,16 @@
 		}
 		x.finishAttempt(e, fleet.Broken)
 	}
-	x.server.log.Info("attempt broken", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "sent", sent, "error", err.Error())
+	x.server.log.Info("attempt failed", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "sent", sent, "error", err.Error())
 	if !sent {
-		x.attempts-- // no endpoint saw it
+		x.attempts-- // no endpoint received it
 		return verdictNotRun
 	}
 	return verdictInvalid
 }
 
-// drop reads a refusal to its end, so that the connection can be kept.
+// drainBody reads a short response to its end, so that the connection can be
+// reused.
 func (x *exchange) drainBody(response *upstream.Response) {
 	const maxDrained = 4 << 10
 	if response.Length < 0 || response.Length > maxDrained {
@@ -265,6 +271,7 @@
 	}
 }
 
+// readResponseBody reads a body of at most maxResponseBytes.
 func readResponseBody(response *upstream.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	if err != nil {
@@ -276,12 +283,13 @@
 	return body, nil
 }
 
-// pass gives the caller an endpoint's whole answer.
+// sendReply sends an endpoint's complete response to the caller.
 func (x *exchange) sendReply(r *reply, outcome string) {
 	x.copyHeader(r.header)
 	h := x.writer.Header()
 	if r.status == http.StatusServiceUnavailable && h.Get("Retry-After") != "" {
-		// The endpoint's own is for this gateway; another endpoint may serve the caller.
+		// The endpoint's Retry-After applies to this gateway; another endpoint may
+		// serve the caller sooner.
 		_, after := x.server.retryAfter(x)
 		setRetryAfter(h, after)
 	}
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -15,22 +15,23 @@
 type waiter struct {
 	exchange *exchange
 	rank     rank
-	deadline time.Time // it is refused then
-	// granted holds one: the endpoint, or nil if it is refused.
+	deadline time.Time // when it is refused
+	// assigned has capacity 1 and receives the endpoint, or nil if the request is
+	// refused.
 	assigned chan *fleet.Endpoint
 }
 
-// rank orders waiters: the lower goes first.
+// rank orders waiters. Lower ranks are served first.
 type rank struct {
 	priority int
 	stage    stage
-	// due is when the answer should begin: who has less time left goes first.
+	// answerDue is when the response should start; the earliest goes first.
 	answerDue time.Time
 }
 
-// stage orders waiters of one priority. A new request that is answered in time
-// is worth more than one that comes back after a refusal, and either may be
-// refused; a stream that goes on has been promised.
+// stage orders waiters of the same priority. Further attempts of a request go
+// first, because its stream may already have started; new requests go before
+// callers' retries, because they can still meet their target latency.
 type stage int
 
 const (
@@ -39,6 +40,7 @@
 	stageCallerRetry
 )
 
+// stage returns the stage of the next attempt.
 func (x *exchange) stage() stage {
 	switch {
 	case x.attempts > 0:
@@ -54,10 +56,11 @@
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.answerDue.Compare(b.answerDue))
 }
 
-// queue are the waiters of a service, by rank.
+// queue holds the waiters of a service, ordered by rank. Server.mu guards it.
 type queue struct {
 	waiters []*waiter
-	// wakeAt is when the queue is looked at again by itself, or zero.
+	// nextDispatch is the time of the scheduled dispatch, or zero if none was
+	// scheduled.
 	nextDispatch time.Time
 }
 
@@ -72,14 +75,13 @@
 	}
 }
 
-// dispatch gives room at endpoints to the waiters of a service, in their
-// order. What each may get is worked out anew: while it waited, a version
-// may have come due. Server.mu is held.
+// dispatch assigns endpoints with spare capacity to the waiters of a service, by
+// rank. Each waiter's query is built anew, because a version's cutoff may have
+// passed meanwhile. Server.mu must be held.
 //
-// Endpoints without room for anybody are sorted out first, once for all
-// waiters: when many wait hardly any has room, and a walk over all endpoints for
-// each waiter, at each report, is more than a gateway has when engines change
-// their version and report a thousand times a second.
+// Endpoints without capacity for any waiter are filtered out once. Searching all
+// endpoints for each waiter, on each load report, costs too much when many requests
+// wait.
 func (s *Server) dispatch(service string, now time.Time) {
 	q := s.queues[service]
 	if q == nil || len(q.waiters) == 0 {
@@ -114,8 +116,8 @@
 	q.waiters = kept
 }
 
-// refuseClosed refuses the waiters for which all endpoints are closed, by their own
-// words, for longer than they wait. Server.mu is held.
+// refuseClosed refuses the waiters for which all endpoints are closed by their own
+// signals until after the waiter's deadline. Server.mu must be held.
 func (s *Server) refuseClosed(q *queue, now time.Time) {
 	if s.fleet.Closed(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
 		return
@@ -130,8 +132,8 @@
 	})
 }
 
-// wakeLater lets the waiters of a service be looked at again when the next endpoint
-// may get a request: nothing else happens then. Server.mu is held.
+// scheduleDispatch schedules a dispatch for when the next endpoint opens, as no
+// other event may trigger one then. Server.mu must be held.
 func (s *Server) scheduleDispatch(service string, q *queue, now time.Time) {
 	if len(q.waiters) == 0 {
 		return
@@ -148,6 +150,7 @@
 	})
 }
 
+// dispatchAll dispatches the waiters of all services. Server.mu must be held.
 func (s *Server) dispatchAll(now time.Time) {
 	for service := range s.queues {
 		s.dispatch(service, now)
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -13,11 +13,11 @@
 	"github.com/mintlift/mintlift/upstream"
 )
 
-// observe takes what an answer of e says of it.
+// recordSignals records the signals in a response of e.
 func (x *exchange) recordSignals(e *fleet.Endpoint, r *upstream.Response) {
 	s := x.server
 	if s.settings.Signal == nil || r.Status == http.StatusMisdirectedRequest {
-		return // another endpoint may have the address, and mean itself
+		return // may come from another endpoint at the same address
 	}
 	signal := s.settings.Signal(r.Status, r.Header)
 	now := clock.Now()
@@ -30,8 +30,8 @@
 	}
 }
 
-// noteSignals logs news of what an endpoint says; request is empty if another process
-// told it. Server.mu is held.
+// logSignalChanges logs and counts changes of an endpoint's signals. request is
+// empty if another process reported them. Server.mu must be held.
 func (s *Server) logSignalChanges(endpoint, request string, changes []backpressure.Change) {
 	for _, c := range changes {
 		s.metrics.Counter("mintlift_ingress_endpoint_signals_total", "signal", c.Kind.String()).Inc()
@@ -39,7 +39,7 @@
 	}
 }
 
-// gaugeSignals shows how many endpoints have said what.
+// registerSignalGauges registers the gauges of endpoints by signal.
 func (s *Server) registerSignalGauges(m *telemetry.Metrics) {
 	of := func(read func(w fleet.Signals) float64) func() float64 {
 		return func() float64 {
@@ -54,8 +54,9 @@
 	m.Gauge("mintlift_ingress_limits_allowed", of(func(w fleet.Signals) float64 { return w.Allowed }))
 }
 
-// permit reports whether x may be sent to e as far as its limit goes: one that was
-// named since e was chosen counts, too. Server.mu is held.
+// takePermit reports whether the rate limit of e, if any, allows x to be sent
+// there. It takes a permit if x has none, as when the limit was set after e was
+// chosen. Server.mu must be held.
 func (x *exchange) takePermit(e *fleet.Endpoint, now time.Time) bool {
 	if x.hasPermit || !e.Signals.Limited() {
 		return true
@@ -68,17 +69,19 @@
 	return true
 }
 
-// PermitAsk is what is to be asked of the sidecar beside an endpoint.
+// PermitRequest is a request for permits to the sidecar that issues them for an
+// endpoint.
 type PermitRequest struct {
 	backpressure.Ask
-	// Address is that of the endpoint beside which the sidecar is.
+	// Address is the address of the endpoint next to the sidecar.
 	Address string
 }
 
-// AskSoon tells that Asks has something.
+// PermitRequestsPending returns a channel that receives when TakePermitRequests has
+// something to return.
 func (s *Server) AskSoon() <-chan struct{} { return s.permitRequestsPending }
 
-// Asks returns what is to be asked of sidecars, once.
+// TakePermitRequests returns and clears the permit requests that are due.
 func (s *Server) Asks() []PermitRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,11 +90,12 @@
 	return asks
 }
 
-// maxAsks bounds the asks that wait to be sent; what is lost is asked again.
+// maxPermitRequests limits the permit requests that wait to be sent. Dropped ones
+// are made again later.
 const maxPermitRequests = 256
 
-// askPermits notes what is to be asked for the endpoints of a service. Server.mu is
-// held.
+// queuePermitRequests queues the permit requests that are due for the endpoints of
+// a service. Server.mu must be held.
 func (s *Server) queuePermitRequests(service string, now time.Time) {
 	s.fleet.Asks(service, now, func(e *fleet.Endpoint, a backpressure.Ask) {
 		address := s.permitIssuer(e, now)
@@ -112,9 +116,9 @@
 	}
 }
 
-// dealer returns the address of the endpoint whose sidecar deals out the limit of e:
-// its own if it has one, else one that all gateways choose alike, or none. Server.mu
-// is held.
+// permitIssuer returns the address of the endpoint whose sidecar issues the permits
+// of e: of e itself if it has a sidecar, or else one that all gateways choose
+// alike. It is empty if there is none. Server.mu must be held.
 func (s *Server) permitIssuer(e *fleet.Endpoint, now time.Time) string {
 	c := s.routes.Get()
 	if c == nil {
@@ -132,7 +136,7 @@
 	return fleet.Dealer(relays, e.ID)
 }
 
-// Granted takes permits that a sidecar dealt out.
+// HandleGrant processes permits that a sidecar issued.
 func (s *Server) Granted(g backpressure.Grant) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -143,7 +147,7 @@
 	}
 }
 
-// HeardEndpoints takes what other gateways heard of endpoints.
+// MergeEndpointSignals merges signals of endpoints that other gateways received.
 func (s *Server) HeardEndpoints(records []backpressure.Record) {
 	now := clock.Now()
 	s.mu.Lock()
--- a/ingress/pressure.go
+++ b/ingress/stats.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// pressureLife is the time constant of a pressure.
+// statsDecay is the time constant of requestStats.
 const statsDecay = 1500 * time.Millisecond
 
-// pressure is the share of a service's requests that have been refused
-// lately, smoothed. It is safe for concurrent use.
+// requestStats counts a service's requests and refusals with exponential decay. It
+// is safe for concurrent use.
 type requestStats struct {
-	mu                sync.Mutex
+	mu                sync.Mutex // guards all fields
 	requests, refused float64
 	updatedAt         time.Time
 }
 
-// decay lets what is past count less; pressure.mu is held.
+// decay reduces the counts by the time since the last update. requestStats.mu must
+// be held.
 func (p *requestStats) decay(now time.Time) {
 	keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(statsDecay))
 	p.requests *= keep
@@ -27,7 +28,7 @@
 	p.updatedAt = now
 }
 
-// count notes a request.
+// record counts a request.
 func (p *requestStats) record(refused bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +39,8 @@
 	}
 }
 
-// share is the part that has been refused, from 0 to 1.
+// refusedShare returns the share of recent requests that were refused, from 0 to 1;
+// 0 while there are too few.
 func (p *requestStats) refusedShare(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +51,7 @@
 	return p.refused / p.requests
 }
 
-// demand is how many requests a second came lately.
+// requestRate returns the recent requests per second.
 func (p *requestStats) requestRate(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,12 +59,12 @@
 	return p.requests / statsDecay.Seconds()
 }
 
-// Demand is how many requests a second for a service came lately.
+// Demand returns the recent requests per second for a service.
 func (s *Server) Demand(service string, now time.Time) float64 {
 	return s.statsOf(service).requestRate(now)
 }
 
-// pressureOf returns the pressure of a service.
+// statsOf returns the request counts of a service.
 func (s *Server) statsOf(service string) *requestStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ingress/storereturn.go
+++ b/ingress/storerollback.go
@@ -10,55 +10,57 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// The store may come back from a copy that is some seconds old, with entries of
-// endpoints that have left since, and without those of endpoints that came.
-// Until they have written again, what this gateway knew goes before the copy.
+// The store may be restored from a replica that lags by some seconds. Its endpoint
+// list then contains endpoints that have been removed since and lacks endpoints
+// that were added. Until the endpoints have rewritten their entries, the gateway's
+// own state takes precedence over the list.
 const (
-	// returnWait is how long after the return an endpoint counts that the copy
-	// lacks: one that lives has written again within about two seconds.
+	// rewriteTimeout is how long after a rollback an endpoint missing from the list
+	// is kept. Running endpoints rewrite their entries within about two seconds.
 	rewriteTimeout = 2500 * time.Millisecond
-	// lapseWait is how long after the return an entry may stand whose endpoint
-	// has left: three heartbeats of 1.2 s, and a look at the list.
+	// staleEntryTimeout is how long after a rollback the list may contain entries
+	// of removed endpoints: three heartbeats of 1.2 s and one read of the list.
 	staleEntryTimeout = 4600 * time.Millisecond
-	// departedKept is how long it is remembered that an endpoint has left: longer
-	// than a copy is old.
+	// removalRetention is how long removals are kept. It exceeds the lag of a
+	// replica.
 	removalRetention = time.Minute
 )
 
-// storeReturn is what a gateway remembers for when the store comes back from an
-// older copy.
+// storeRollback is the state needed to handle a rollback of the store. Server.mu
+// guards it.
 type storeRollback struct {
-	// at is when this gateway heard of the return, or zero.
+	// startedAt is when this gateway detected the last rollback, or zero.
 	startedAt time.Time
-	// departed are endpoints that have left, by id.
+	// removed holds recent removals by endpoint ID.
 	removed map[string]removal
-	// awaited are endpoints that the copy lacks.
+	// unconfirmed holds the IDs of the endpoints kept although the list lacks them.
 	unconfirmed map[string]bool
 }
 
-// departure is the end of an endpoint's entry; born is that of the life that
-// ended, or anyLife.
+// removal records the removal of an endpoint's entry. startedMS is the start time
+// of the removed process, in Unix milliseconds, or anyIncarnation.
 type removal struct {
 	startedMS int64
 	removedAt time.Time
 }
 
-// anyLife is later than all births.
+// anyIncarnation exceeds every start time.
 const anyIncarnation = math.MaxInt64
 
 func newStoreRollback() storeRollback {
 	return storeRollback{removed: make(map[string]removal), unconfirmed: make(map[string]bool)}
 }
 
-// SetEra says of which era of the store the list is that is told next. It
-// returns false for one that has passed.
+// SetEra sets the era of the store from which the next list is read; the era
+// increases with each rollback. It returns false if era is older than the current
+// one.
 func (s *Server) SetEra(era int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if era <= s.list.era {
 		return era == s.list.era
 	}
-	s.events.Info("list comes from an older copy", "era", s.list.era, "new_era", era, "endpoints", s.fleet.Len())
+	s.events.Info("endpoint list restored from an older copy", "era", s.list.era, "new_era", era, "endpoints", s.fleet.Len())
 	s.list.era = era
 	if s.listKnown {
 		s.rollback.startedAt = clock.Now()
@@ -67,14 +69,16 @@
 	return true
 }
 
-// leftBefore notes that an endpoint's entry has ended. Server.mu is held.
+// recordRemoval records that an endpoint's entry was removed. Server.mu must be
+// held.
 func (s *Server) recordRemoval(r fleet.Record, now time.Time) {
 	s.rollback.removed[r.ID] = removal{r.Born, now}
 	delete(s.rollback.unconfirmed, r.ID)
 }
 
-// reconcile puts what is known in the place of what a list says that may come from
-// an older copy. Server.mu is held.
+// reconcile corrects a list that may come from a lagging replica: it drops removed
+// endpoints, preserves draining, and adds the endpoints that the list lacks.
+// Server.mu must be held.
 func (s *Server) reconcile(records []fleet.Record, now time.Time) []fleet.Record {
 	since := now.Sub(s.rollback.startedAt)
 	if s.rollback.startedAt.IsZero() || since >= staleEntryTimeout {
@@ -86,7 +90,7 @@
 		listed[r.ID] = true
 		delete(s.rollback.unconfirmed, r.ID)
 		if d, wasRemoved := s.rollback.removed[r.ID]; wasRemoved && d.removedAt.Before(s.rollback.startedAt) && r.Born <= d.startedMS {
-			s.events.Info("entry of an endpoint that has left", "endpoint", r.ID, "born", r.Born)
+			s.events.Info("stale entry of a removed endpoint ignored", "endpoint", r.ID, "born", r.Born)
 			continue
 		}
 		if e := s.fleet.ByID(r.ID); e != nil && e.Born == r.Born {
@@ -106,8 +110,9 @@
 	return out
 }
 
-// endReturn forgets endpoints that have not written again since the store came
-// back, and departures of long ago. Server.mu is held.
+// expireRollback drops endpoints that have not rewritten their entries within
+// rewriteTimeout of a rollback, and removals older than removalRetention. Server.mu
+// must be held.
 func (s *Server) expireRollback(now time.Time) {
 	for id, d := range s.rollback.removed {
 		if now.Sub(d.removedAt) > removalRetention {
@@ -119,7 +124,7 @@
 	}
 	for id := range s.rollback.unconfirmed {
 		if s.removeLocked(id, now) {
-			s.events.Info("endpoint has not written again", "endpoint", id)
+			s.events.Info("endpoint not rewritten after store rollback, removed", "endpoint", id)
 		}
 	}
 	clear(s.rollback.unconfirmed)
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -17,45 +17,46 @@
 	"github.com/mintlift/mintlift/upstream"
 )
 
-// Silence of a stream.
+// Timeouts after which a stream without new events is resumed at another endpoint.
 const (
-	// silentBox is how long nothing may come from an endpoint's box before
-	// its streams go on elsewhere.
+	// boxSilenceTimeout applies if nothing at all arrives from the endpoint's box.
 	boxSilenceTimeout = 900 * time.Millisecond
-	// silentStream is the same for one stream of a box that is heard, and
-	// silentBegun for one that has brought events: an engine that waits for a
-	// slot may take seconds to begin, but one that writes does not pause for
-	// so long, and callers leave after two seconds of silence.
+	// firstEventTimeout applies to a stream that has no events yet while its box is
+	// reachable; an engine may take seconds until it has a free slot.
+	// nextEventTimeout applies after the first event. Callers disconnect after two
+	// seconds without events.
 	firstEventTimeout = 2200 * time.Millisecond
 	nextEventTimeout  = 1200 * time.Millisecond
-	// watchEvery is how often that is looked at.
+	// idleCheckInterval is how often the timeouts are checked.
 	idleCheckInterval = 300 * time.Millisecond
 )
 
-// errOrder says that an endpoint's events do not follow the last one.
-const errEventGap = errors.ConstError("events do not follow")
+// errEventGap reports an event whose ID does not follow the last one.
+const errEventGap = errors.ConstError("event IDs are not consecutive")
 
-// streaming is the state of a stream's answer.
+// streamExchange is an exchange whose response is a stream of events.
 type streamExchange struct {
 	*exchange
 	control *http.ResponseController
-	// started says that the head and an event have gone to the caller.
+	// started reports that the response header and an event have been sent to the
+	// caller.
 	started bool
-	// last is the number of the last event that went to the caller, or what
-	// the caller had before; none is -1.
+	// lastID is the ID of the last event that the caller has, from this stream or
+	// an earlier one; -1 if none.
 	lastID int64
-	// lastSent is last in the caller's own words.
+	// lastEventID is the Last-Event-Id of the next attempt: lastID, or the caller's
+	// header as it was received.
 	lastEventID string
-	eventCount  int
-	// first is when the first event went to the caller, lastAt the last, and
-	// gap the longest pause between two.
+	eventCount  int // events sent to the caller
+	// firstAt and lastAt are the times of the first and last event sent to the
+	// caller, and maxGap is the longest pause between two.
 	firstAt, lastAt time.Time
 	maxGap          time.Duration
 }
 
-// stream serves a request that is answered by events. They are passed on as
-// they come; where the route allows it, a stream that breaks off goes on at
-// another endpoint within the same answer.
+// serveStream serves a request with a stream of events. Events are forwarded as
+// they arrive. If the route allows it, a broken stream is resumed at another
+// endpoint within the same response.
 func (x *exchange) serveStream(ctx context.Context) {
 	x.countRequest()
 	t := &streamExchange{exchange: x, control: http.NewResponseController(x.writer), lastID: -1, lastEventID: x.request.Header.Get("Last-Event-Id")}
@@ -70,7 +71,8 @@
 	t.failStream(ctx, failure)
 }
 
-// end closes a stream that could not be completed.
+// failStream ends a stream that could not be completed. If the response has
+// started, it aborts the connection.
 func (t *streamExchange) failStream(ctx context.Context, failure *reply) {
 	if t.started {
 		outcome := outcomeBrokenOff
@@ -87,7 +89,7 @@
 	t.respondUnanswered(ctx)
 }
 
-// attempt sends the request to e and passes its events on.
+// attempt sends the request to e and forwards its events.
 func (t *streamExchange) attempt(ctx context.Context, e *fleet.Endpoint) (*reply, verdict) {
 	ctx, b := t.withCanceler(ctx)
 	defer b.end()
@@ -105,7 +107,7 @@
 		t.discardResponse(e, response, v)
 		return nil, v
 	case verdictFailed:
-		t.lastCause = "endpoint failed"
+		t.lastCause = "endpoint answered with an error"
 		t.finishAttempt(e, fleet.Failed)
 		body, err := readResponseBody(response)
 		if err != nil {
@@ -117,7 +119,7 @@
 	return nil, t.relayEvents(ctx, e, response, watch)
 }
 
-// pump passes events on until the stream ends.
+// relayEvents forwards events until the stream ends.
 func (t *streamExchange) relayEvents(ctx context.Context, e *fleet.Endpoint, response *upstream.Response, watch *idleWatch) verdict {
 	events := eventstream.NewReader(response.Body)
 	for {
@@ -146,12 +148,12 @@
 		}
 		t.checkCrash(ctx, e, readErr)
 		t.finishAttempt(e, fleet.Failed)
-		t.server.log.Info("stream broken", "request", t.id, "attempt", t.attempts, "endpoint", e.ID, "events", t.eventCount, "error", err.Error())
+		t.server.log.Info("stream interrupted", "request", t.id, "attempt", t.attempts, "endpoint", e.ID, "events", t.eventCount, "error", err.Error())
 		return verdictInvalid
 	}
 }
 
-// passOn gives the caller one event; one that it has is left out.
+// forwardEvent sends an event to the caller, unless the caller already has it.
 func (t *streamExchange) forwardEvent(response *upstream.Response, event eventstream.Event) error {
 	if event.HasID {
 		if event.ID <= t.lastID {
@@ -177,7 +179,7 @@
 	return t.control.Flush()
 }
 
-// pace notes that an event goes to the caller.
+// recordEvent updates the event times and count.
 func (t *streamExchange) recordEvent(now time.Time) {
 	if t.eventCount == 0 {
 		t.firstAt = now
@@ -188,7 +190,7 @@
 	t.eventCount++
 }
 
-// ended logs the stream's times and ends the request.
+// finishStream logs the stream's times and records the outcome of the request.
 func (t *streamExchange) finishStream(outcome string, status int) {
 	firstDelay := time.Duration(-1)
 	if t.eventCount > 0 {
@@ -198,13 +200,14 @@
 	t.recordOutcome(outcome, t.lastCause, status)
 }
 
-// watch ends an attempt whose endpoint has been silent for too long, but
-// only where another endpoint may go on with it.
+// idleWatch cancels an attempt whose endpoint has sent no events for too long, if
+// the attempt can be retried at another endpoint.
 type idleWatch struct {
-	activity chan struct{}
+	activity chan struct{} // capacity 1
 	done     chan struct{}
 }
 
+// touch records that an event has arrived.
 func (w *idleWatch) touch() {
 	select {
 	case w.activity <- struct{}{}:
@@ -214,6 +217,7 @@
 
 func (w *idleWatch) stop() { close(w.done) }
 
+// startIdleWatch starts the watch of an attempt at e. The caller must call stop.
 func (t *streamExchange) startIdleWatch(e *fleet.Endpoint, b *attemptCanceler) *idleWatch {
 	w := &idleWatch{activity: make(chan struct{}, 1), done: make(chan struct{})}
 	if !t.canFailOver() {
@@ -240,8 +244,8 @@
 	return w
 }
 
-// silenceLimit is how long one stream of a box that is heard may be silent;
-// begun says that it has brought events.
+// eventTimeout returns the timeout until the next event while the box is reachable;
+// started reports whether the attempt has received events.
 func eventTimeout(started bool) time.Duration {
 	if started {
 		return nextEventTimeout
@@ -249,8 +253,9 @@
 	return firstEventTimeout
 }
 
-// fellSilent reports whether a stream that has been silent for some time
-// should go on elsewhere: in any case after limit.
+// streamStalled reports whether a stream without events for the time idle should be
+// resumed elsewhere: after limit, or sooner if nothing arrives from the endpoint's
+// box.
 func (s *Server) streamStalled(e *fleet.Endpoint, idle, limit time.Duration, now time.Time) bool {
 	if idle < boxSilenceTimeout {
 		return false
--- a/ingress/patience.go
+++ b/ingress/timeouts.go
@@ -9,44 +9,42 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// Callers state how long they will wait. A caller that was refused and comes
-// back has less of its time left than one that asks for the first time; but
-// those, too, give different times, at some deployments 0.85 to 1 of the
-// route's time-out, at others all the same. Where the usual ends is learned
-// from the times that most callers give.
+// Callers send the time that they will wait. A caller that retries after a refusal
+// has less time left than at its first try, but first tries may send different
+// times as well, from 0.85 of the route's timeout on at some deployments. The lower
+// end of the usual range is learned from the times that most callers send.
 const (
-	// patienceBins divide the part of the time-out that callers give.
+	// timeoutBins is the number of bins into which the route's timeout is divided.
 	timeoutBins = 100
-	// patienceLife is the time constant of what is learned.
+	// timeoutDecay is the time constant of the histogram.
 	timeoutDecay = 20 * time.Second
-	// returnedShare is the share of callers below the usual part: in calm few
-	// come back, and while many do for a short time, they come with all kinds of
-	// times left.
+	// firstTryQuantile is the share of callers below the usual range. Few callers
+	// retry while few are refused, and their remaining times vary.
 	firstTryQuantile = 0.03
-	// calmShare is the share of refusals up to which a gateway learns: amid an
-	// outage those that come back would pass for usual.
+	// maxRefusedToLearn is the share of refused requests up to which times are
+	// recorded. Above it, retries are so many that they would count as usual.
 	maxRefusedToLearn = 0.01
-	// patienceRoutes bounds the routes that are learned of, each of which takes
-	// 0.8 KB; callers of others count as asking for the first time.
+	// maxTimeoutRoutes limits the number of histograms, of 0.8 KB each. Callers on
+	// other routes count as first tries.
 	maxTimeoutRoutes = 64
-	// patienceMin is how many callers must have asked before the usual part
-	// counts as learned.
+	// minTimeoutSamples is the decayed number of callers from which on the
+	// histogram is used.
 	minTimeoutSamples = 20
 )
 
-// returnedLess is how much less than usual a caller has left that is taken for
-// one that was refused: it has waited for retryAfterMin, less a margin.
+// callerRetryMargin is how far below the usual range a caller's time must be to
+// count as a retry: retryAfterMin, less a margin.
 const callerRetryMargin = 200 * time.Millisecond
 
-// patience is the distribution of the parts of a route's time-out that its
-// callers give. Server.mu guards it.
+// timeoutHistogram is the decaying distribution of the times that a route's callers
+// send, as shares of the route's timeout. Server.mu guards it.
 type timeoutHistogram struct {
 	bins      [timeoutBins + 1]float64
 	total     float64
 	updatedAt time.Time
 }
 
-// note adds a caller's part.
+// add adds a caller's share of the timeout.
 func (p *timeoutHistogram) add(part float64, now time.Time) {
 	keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(timeoutDecay))
 	p.updatedAt = now
@@ -57,8 +55,8 @@
 	p.bins[int(math.Round(min(max(part, 0), 1)*timeoutBins))]++
 }
 
-// usual is the least part that callers usually give; all of it while too few
-// have asked.
+// firstTryMin returns the lower end of the usual range, as a share of the timeout;
+// 1 while there are too few samples.
 func (p *timeoutHistogram) firstTryMin() float64 {
 	if p.total < minTimeoutSamples {
 		return 1
@@ -73,8 +71,9 @@
 	return 1
 }
 
-// hasReturned reports whether a caller that has so much time left was refused
-// before, as far as one can tell, and learns from it.
+// isCallerRetry reports whether a caller with the time left is likely to retry
+// after a refusal, and adds its time to the route's histogram. Only streaming
+// routes are considered.
 func (s *Server) isCallerRetry(r *routing.Route, service string, left, timeout time.Duration, now time.Time) bool {
 	if r.Kind != routing.Streaming || timeout <= 0 {
 		return false
