--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -110,8 +110,8 @@
 	return q
 }
 
-// widestQuery returns a query that matches every endpoint which the attemptQuery of
-// some request for the service of x matches. Server.mu must be held.
+// widestQuery returns a query that is no stricter than the attemptQuery of any
+// request for the service of x. Server.mu must be held.
 func (s *Server) widestQuery(x *exchange, now time.Time) fleet.Query {
 	q := s.attemptQuery(x, now)
 	q.Exclude, q.Alone = nil, false
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -78,7 +78,7 @@
 	s.events.Info("endpoint crashed", "endpoint", c.endpoint, "request", c.request, "identity", c.identity.String(), "attempt", c.attempt,
 		"ms", now.Sub(c.sentAt).Milliseconds(), "crashes", status.Crashes, "quarantined", status.Quarantined())
 	s.mu.Lock()
-	s.sendNoticeLocked()
+	s.requestNoticeLocked()
 	s.mu.Unlock()
 	return true
 }
@@ -155,7 +155,7 @@
 	cleared := s.suspects.Clear(id, now)
 	s.events.Info("request cleared by an operator", "identity", id.String(), "known", cleared)
 	s.mu.Lock()
-	s.sendNoticeLocked()
+	s.requestNoticeLocked()
 	s.mu.Unlock()
 	return cleared
 }
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -21,18 +21,18 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// mortal starts an endpoint whose process a handler can end; it does not come
-// back.
-func (w *testGateway) startCrashableEndpoint(id, service string, h func(rw http.ResponseWriter, r *http.Request, body string, crash func())) {
-	w.t.Helper()
+// startCrashableEndpoint starts an endpoint whose handler can crash it, after which
+// its address refuses connections.
+func (g *testGateway) startCrashableEndpoint(id, service string, h func(rw http.ResponseWriter, r *http.Request, body string, crash func())) {
+	g.t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	assert.NilError(w.t, err)
+	assert.NilError(g.t, err)
 	server := &http.Server{}
 	server.Handler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		w.mu.Lock()
-		w.received = append(w.received, receivedRequest{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
-		w.mu.Unlock()
+		g.mu.Lock()
+		g.received = append(g.received, receivedRequest{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
+		g.mu.Unlock()
 		rw.Header().Set(testHeaders.RequestID, r.Header.Get(testHeaders.RequestID))
 		rw.Header().Set(testHeaders.Seal, "seal")
 		h(rw, r, string(body), func() {
@@ -41,29 +41,29 @@
 		})
 	})
 	go func() { _ = server.Serve(listener) }()
-	w.t.Cleanup(func() { _ = server.Close() })
+	g.t.Cleanup(func() { _ = server.Close() })
 	r := fleet.Record{ID: id, Service: service, Address: listener.Addr().String(), Zone: "z"}
 	if service == "engine" {
 		r.Models = map[string]int{testModel: 1}
 	}
-	w.server.PutEndpoint(r)
+	g.server.PutEndpoint(r)
 }
 
-// killer is the body of a request that crashes its endpoint.
+// crashBody is the body of a request that crashes its endpoint.
 const crashBody = "killer"
 
+// crashOnCrashBody crashes the endpoint on crashBody, and else responds.
 func crashOnCrashBody(rw http.ResponseWriter, _ *http.Request, body string, crash func()) {
 	if body == crashBody {
-		time.Sleep(40 * time.Millisecond) // it has begun to run
+		time.Sleep(40 * time.Millisecond) // the request has started to run
 		crash()
 	}
 	_, _ = io.WriteString(rw, "id: 1\ndata: token\n\n")
 }
 
-// keptFromEndpoints checks the answer to a try of a request in quarantine: one that
-// reached an endpoint may have run, and is told nothing that promises otherwise or
-// invites it back; one that reached none has not run, and is told when it may come
-// back.
+// assertQuarantineResponse checks the response to a request in quarantine. If it
+// was sent to an endpoint, it may have run, and the response must not invite a
+// retry. Otherwise the response must say when to retry.
 func assertQuarantineResponse(t *testing.T, r *http.Response, sent bool) {
 	t.Helper()
 	if sent {
@@ -77,8 +77,8 @@
 	assert.Assert(t, time.Duration(after)*time.Second > quarantine.Life-time.Minute && time.Duration(after)*time.Second <= quarantine.Life, "%d s", after)
 }
 
-// A request that has crashed three endpoints is sent to no more, whichever way
-// it comes again; its caller hears that at once. Others are served.
+// A request that has crashed three endpoints is not sent again, whichever request
+// ID it has, and is rejected at once. Other requests are served.
 func TestRequestThatCrashesEndpointsIsRejected(t *testing.T) {
 	for _, test := range []struct{ path, service string }{
 		{"/safe/1", "plain"},
@@ -86,34 +86,34 @@
 		{"/stream/1", "engine"},
 	} {
 		t.Run(test.path, func(t *testing.T) {
-			w := newTestGateway(t)
-			w.configure(1)
+			g := newTestGateway(t)
+			g.configure(1)
 			for n := range 8 {
-				w.startCrashableEndpoint(fmt.Sprint("e", n), test.service, crashOnCrashBody)
+				g.startCrashableEndpoint(fmt.Sprint("e", n), test.service, crashOnCrashBody)
 			}
 			for try := range 6 {
-				before := len(w.requests())
-				r, _ := w.do("POST", test.path, crashBody, withHeader(testHeaders.RequestID, fmt.Sprint("try-", try)))
-				assertQuarantineResponse(t, r, len(w.requests()) > before)
+				before := len(g.requests())
+				r, _ := g.do("POST", test.path, crashBody, withHeader(testHeaders.RequestID, fmt.Sprint("try-", try)))
+				assertQuarantineResponse(t, r, len(g.requests()) > before)
 			}
-			assert.Equal(t, len(w.requests()), quarantine.Threshold)
+			assert.Equal(t, len(g.requests()), quarantine.Threshold)
 			began := time.Now()
-			r, body := w.do("POST", test.path, crashBody, withHeader(testHeaders.RequestID, "last"), withHeader("X-Other", "value"))
+			r, body := g.do("POST", test.path, crashBody, withHeader(testHeaders.RequestID, "last"), withHeader("X-Other", "value"))
 			assertQuarantineResponse(t, r, false)
 			assert.Assert(t, strings.Contains(body, "quarantine"), body)
 			assert.Assert(t, time.Since(began) < time.Second)
-			assert.Equal(t, len(w.requests()), quarantine.Threshold)
-			r, _ = w.do("POST", test.path, "other")
+			assert.Equal(t, len(g.requests()), quarantine.Threshold)
+			r, _ = g.do("POST", test.path, "other")
 			assert.Equal(t, r.StatusCode, http.StatusOK)
 		})
 	}
 }
 
-// Requests beside one that crashes their endpoint go on elsewhere, and are
-// suspected no more once they have ended well.
+// Requests that run on an endpoint while another request crashes it are retried
+// elsewhere, and are cleared of suspicion when they complete.
 func TestConcurrentRequestsSurviveACrash(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	var mu sync.Mutex
 	running := 0
 	allRunning := make(chan struct{})
@@ -131,50 +131,49 @@
 		}
 		mu.Unlock()
 		if firstEndpoint {
-			select {} // until the process ends
+			select {} // until the endpoint crashes
 		}
 		_, _ = io.WriteString(rw, "id: 1\ndata: token\n\n")
 	}
-	w.startCrashableEndpoint("first", "engine", handler)
+	g.startCrashableEndpoint("first", "engine", handler)
 	var answers sync.WaitGroup
 	for n := range concurrent {
 		answers.Go(func() {
-			r, _ := w.do("POST", fmt.Sprint("/stream/", n), "text")
+			r, _ := g.do("POST", fmt.Sprint("/stream/", n), "text")
 			assert.Check(t, r.StatusCode == http.StatusOK, "%d", r.StatusCode)
 		})
 	}
-	answers.Go(func() { _, _ = w.send(context.Background(), "POST", "/stream/x", crashBody) })
+	answers.Go(func() { _, _ = g.send(context.Background(), "POST", "/stream/x", crashBody) })
 	<-allRunning
 	for n := range 4 {
-		w.startCrashableEndpoint(fmt.Sprint("e", n), "engine", crashOnCrashBody)
+		g.startCrashableEndpoint(fmt.Sprint("e", n), "engine", crashOnCrashBody)
 	}
 	answers.Wait()
-	suspected, quarantined := w.server.suspects.Len(time.Now())
-	assert.Equal(t, suspected, 1, "the one to blame")
+	suspected, quarantined := g.server.suspects.Len(time.Now())
+	assert.Equal(t, suspected, 1, "only the request that crashed the endpoint")
 	assert.Equal(t, quarantined, 0)
 }
 
-// Endpoints that break off answers, but live, say nothing of the request.
+// Aborted responses of running endpoints do not count as crashes.
 func TestBrokenResponsesAreNotCrashes(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	for n := range 2 {
-		w.startEndpoint(fmt.Sprint("e", n), "plain", abortConnection)
+		g.startEndpoint(fmt.Sprint("e", n), "plain", abortConnection)
 	}
 	for range 4 {
-		_, _ = w.do("GET", "/safe/1", "")
+		_, _ = g.do("GET", "/safe/1", "")
 	}
-	assert.Equal(t, w.server.suspects.Standing(quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: "/safe/1", Workspace: "w"}), time.Now()).Crashes, 0)
-	suspected, _ := w.server.suspects.Len(time.Now())
+	assert.Equal(t, g.server.suspects.Standing(quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: "/safe/1", Workspace: "w"}), time.Now()).Crashes, 0)
+	suspected, _ := g.server.suspects.Len(time.Now())
 	assert.Equal(t, suspected, 0)
 }
 
-// What other gateways have seen counts here, also for a request that waits for
-// an endpoint already.
+// Crashes and completions that other gateways recorded count as well.
 func TestQuarantineFromOtherGateways(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startCrashableEndpoint("e", "engine", crashOnCrashBody)
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startCrashableEndpoint("e", "engine", crashOnCrashBody)
 	id := quarantine.Identify(quarantine.Request{Method: "POST", Host: "h.example", Target: "/stream/1", Workspace: "w", Body: []byte("text")})
 	other := quarantine.New()
 	now := time.Now()
@@ -182,18 +181,18 @@
 		sent := now.Add(time.Duration(n-quarantine.Threshold) * time.Second)
 		other.Crashed(id, sent, sent.Add(50*time.Millisecond))
 	}
-	w.server.HeardSuspects(other.Tell(now), now)
-	r, _ := w.do("POST", "/stream/1", "text")
+	g.server.HeardSuspects(other.Tell(now), now)
+	r, _ := g.do("POST", "/stream/1", "text")
 	assertQuarantineResponse(t, r, false)
-	assert.Equal(t, len(w.requests()), 0)
+	assert.Equal(t, len(g.requests()), 0)
 	other.EndedWell(id, now)
-	w.server.HeardSuspects(other.Tell(now), now)
-	r, _ = w.do("POST", "/stream/1", "text")
+	g.server.HeardSuspects(other.Tell(now), now)
+	r, _ = g.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
-// Two requests under which an endpoint crashed are not sent to one endpoint at
-// the same time, while there are others: one would take the other along.
+// Two suspected requests are not sent to the same endpoint at the same time while
+// there are others, so that a crash is attributed to one of them.
 func TestSuspectsRunOnSeparateEndpoints(t *testing.T) {
 	for _, service := range []string{"engine", "plain"} {
 		t.Run(service, func(t *testing.T) { testSuspectsRunApart(t, service) })
@@ -201,12 +200,12 @@
 }
 
 func testSuspectsRunApart(t *testing.T, service string) {
-	w := newTestGateway(t)
+	g := newTestGateway(t)
 	kind := routing.Streaming
 	if service == "plain" {
 		kind = routing.Safe
 	}
-	w.configure(1, route(kind, "/slow/", service, 1))
+	g.configure(1, route(kind, "/slow/", service, 1))
 	release := make(chan struct{})
 	slow := func(rw http.ResponseWriter, _ *http.Request, _ string, _ func()) {
 		<-release
@@ -214,43 +213,44 @@
 	}
 	const count = 3
 	for n := range count {
-		w.startCrashableEndpoint(fmt.Sprint("e", n), service, slow)
+		g.startCrashableEndpoint(fmt.Sprint("e", n), service, slow)
 	}
-	// One is so much nearer that all would be sent there.
-	list, _ := w.server.List()
+	// Without isolation all requests would go to the endpoint in the gateway's
+	// zone.
+	list, _ := g.server.List()
 	for _, r := range list.Records {
 		if r.ID != "e0" {
 			r.Zone = "far"
-			w.server.RemoveEndpoint(r.ID)
-			w.server.PutEndpoint(r)
+			g.server.RemoveEndpoint(r.ID)
+			g.server.PutEndpoint(r)
 		}
 	}
 	var answers sync.WaitGroup
 	for n := range count {
 		target := fmt.Sprint("/slow/", n)
 		id := quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: target, Workspace: "w"})
-		w.server.suspects.Crashed(id, time.Now().Add(-time.Second), time.Now())
+		g.server.suspects.Crashed(id, time.Now().Add(-time.Second), time.Now())
 		answers.Go(func() {
-			r, _ := w.do("GET", target, "")
+			r, _ := g.do("GET", target, "")
 			assert.Check(t, r.StatusCode == http.StatusOK, "%d", r.StatusCode)
 		})
 	}
-	for began := time.Now(); len(w.requests()) < count; time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); len(g.requests()) < count; time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 5*time.Second)
 	}
 	used := make(map[string]bool)
-	for _, r := range w.requests() {
+	for _, r := range g.requests() {
 		used[r.endpoint] = true
 	}
 	close(release)
 	answers.Wait()
 	assert.Equal(t, len(used), count)
-	suspected, _ := w.server.suspects.Len(time.Now())
-	assert.Equal(t, suspected, 0, "all have ended well")
+	suspected, _ := g.server.suspects.Len(time.Now())
+	assert.Equal(t, suspected, 0, "all have completed")
 }
 
-// quarantinedElsewhere is what another gateway tells of a request that crashed
-// three endpoints.
+// quarantineRecords returns another gateway's records of a request that crashed
+// enough endpoints to be in quarantine.
 func quarantineRecords(target, body string, now time.Time) []quarantine.Record {
 	other := quarantine.New()
 	id := requestIdentity(target, body)
@@ -261,75 +261,77 @@
 	return other.Tell(now)
 }
 
+// requestIdentity returns the identity of a POST request of the test workspace.
 func requestIdentity(target, body string) quarantine.ID {
 	return quarantine.Identify(quarantine.Request{Method: "POST", Host: "h.example", Target: target, Workspace: "w", Body: []byte(body)})
 }
 
-// A request in quarantine runs once after a while, at the gateway that saw its
-// first crash: a good one is out then, one to blame stays.
+// A quarantined request runs once as a trial, at the gateway that recorded its
+// first crash. If it completes, it leaves quarantine; if it crashes another
+// endpoint, it stays.
 func TestQuarantineTrialRunsOnce(t *testing.T) {
 	for _, body := range []string{"good", crashBody} {
 		t.Run(body, func(t *testing.T) {
-			w := newTestGateway(t)
-			w.configure(1)
+			g := newTestGateway(t)
+			g.configure(1)
 			for n := range 3 {
-				w.startCrashableEndpoint(fmt.Sprint("e", n), "engine", crashOnCrashBody)
+				g.startCrashableEndpoint(fmt.Sprint("e", n), "engine", crashOnCrashBody)
 			}
 			began := time.Now().Add(-quarantine.TrialAfter - 5*time.Second)
 			for n := range quarantine.Threshold {
 				sent := began.Add(time.Duration(n) * time.Second)
-				w.server.suspects.Crashed(requestIdentity("/stream/1", body), sent, sent.Add(50*time.Millisecond))
+				g.server.suspects.Crashed(requestIdentity("/stream/1", body), sent, sent.Add(50*time.Millisecond))
 			}
-			r, _ := w.do("POST", "/stream/1", body)
-			assert.Equal(t, len(w.requests()), 1, "it runs once")
+			r, _ := g.do("POST", "/stream/1", body)
+			assert.Equal(t, len(g.requests()), 1, "the trial runs once")
 			if body == crashBody {
 				assert.Equal(t, r.StatusCode, http.StatusBadGateway)
-				r, _ = w.do("POST", "/stream/1", body)
+				r, _ = g.do("POST", "/stream/1", body)
 				assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
-				assert.Equal(t, len(w.requests()), 1)
+				assert.Equal(t, len(g.requests()), 1)
 				return
 			}
 			assert.Equal(t, r.StatusCode, http.StatusOK)
-			r, _ = w.do("POST", "/stream/1", body)
+			r, _ = g.do("POST", "/stream/1", body)
 			assert.Equal(t, r.StatusCode, http.StatusOK)
 		})
 	}
 }
 
-// An operator lets a request out.
+// An operator can remove a request from quarantine.
 func TestOperatorClearsASuspect(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startCrashableEndpoint("e", "engine", crashOnCrashBody)
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startCrashableEndpoint("e", "engine", crashOnCrashBody)
 	now := time.Now()
-	w.server.HeardSuspects(quarantineRecords("/stream/1", "text", now), now)
-	r, _ := w.do("POST", "/stream/1", "text")
+	g.server.HeardSuspects(quarantineRecords("/stream/1", "text", now), now)
+	r, _ := g.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
-	assert.Assert(t, w.server.ClearSuspect(requestIdentity("/stream/1", "text"), time.Now()))
-	assert.Assert(t, !w.server.ClearSuspect(requestIdentity("/stream/1", "none"), time.Now()))
-	r, _ = w.do("POST", "/stream/1", "text")
+	assert.Assert(t, g.server.ClearSuspect(requestIdentity("/stream/1", "text"), time.Now()))
+	assert.Assert(t, !g.server.ClearSuspect(requestIdentity("/stream/1", "none"), time.Now()))
+	r, _ = g.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
-// An endpoint that is back at once accepts connections; its birth tells that it
-// ended.
+// An endpoint that restarts at once accepts connections; its new start time reveals
+// the crash.
 func TestCrashDetectedByRestart(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("e", "engine", func(_ http.ResponseWriter, r *http.Request) {
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("e", "engine", func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			w.server.Heard(fleet.Report{Address: w.records["e"].Address, Model: testModel, Version: 1, Born: 2}, -1)
+			g.server.Heard(fleet.Report{Address: g.records["e"].Address, Model: testModel, Version: 1, Born: 2}, -1)
 		}()
 		panic(http.ErrAbortHandler)
 	})
-	record := w.records["e"]
+	record := g.records["e"]
 	record.Born = 1
-	w.server.RemoveEndpoint("e")
-	w.server.PutEndpoint(record)
-	_, _ = w.do("POST", "/stream/1", "text")
-	for began := time.Now(); w.server.suspects.Standing(requestIdentity("/stream/1", "text"), time.Now()).Crashes == 0; time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 2*time.Second, "no crash is held against it")
+	g.server.RemoveEndpoint("e")
+	g.server.PutEndpoint(record)
+	_, _ = g.do("POST", "/stream/1", "text")
+	for began := time.Now(); g.server.suspects.Standing(requestIdentity("/stream/1", "text"), time.Now()).Crashes == 0; time.Sleep(5 * time.Millisecond) {
+		assert.Assert(t, time.Since(began) < 2*time.Second, "no crash recorded against the request")
 	}
 }
--- a/ingress/dispatch_test.go
+++ b/ingress/dispatch_test.go
@@ -13,11 +13,11 @@
 	"github.com/mintlift/mintlift/fleet"
 )
 
-// crowded is a gateway whose engines are all full, and requests that wait
-// there.
+// newFullServer returns a server whose engines are all at capacity, with waiting
+// requests, and the engines' load reports.
 func newFullServer(t testing.TB, engines, waiters int) (*Server, []fleet.Report) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	reports := make([]fleet.Report, engines)
 	records := make([]fleet.Record, engines)
 	for n := range engines {
@@ -25,7 +25,7 @@
 		records[n] = fleet.Record{ID: fmt.Sprint("e", n), Service: "engine", Address: address, Zone: "z", Models: map[string]int{testModel: 1}}
 		reports[n] = fleet.Report{Address: address, Model: testModel, Version: 1, Running: 4, Queued: 3, Gateways: 13}
 	}
-	s := w.server
+	s := g.server
 	s.SetEndpoints(records)
 	for _, r := range reports {
 		s.Heard(r, -1)
@@ -40,8 +40,8 @@
 	return s, reports
 }
 
-// BenchmarkHeardWhileRequestsWait is what a report costs a gateway whose
-// callers wait for room.
+// BenchmarkReportWhileRequestsWait measures the processing of a load report while
+// requests wait.
 func BenchmarkReportWhileRequestsWait(b *testing.B) {
 	for _, waiters := range []int{0, 10, 100} {
 		b.Run(fmt.Sprint(waiters, " wait"), func(b *testing.B) {
@@ -55,14 +55,13 @@
 	}
 }
 
-// BenchmarkStream is what a stream of 21 events costs, endpoint and caller
-// included.
+// BenchmarkStream measures a stream of 21 events, including endpoint and caller.
 func BenchmarkStream(b *testing.B) {
-	w := newTestGateway(b)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(21, 21))
+	g := newTestGateway(b)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(21, 21))
 	for b.Loop() {
-		response, err := w.send(b.Context(), "POST", "/stream/1", "x")
+		response, err := g.send(b.Context(), "POST", "/stream/1", "x")
 		assert.NilError(b, err)
 		_, err = io.Copy(io.Discard, response.Body)
 		assert.NilError(b, err)
--- a/ingress/endpoints.go
+++ b/ingress/endpoints.go
@@ -30,7 +30,7 @@
 	s.listKnown = true
 	s.list.markChanged()
 	s.events.Info("endpoints listed", "count", len(configured), "unnamed", len(s.unconfigured))
-	s.sendNoticeLocked()
+	s.requestNoticeLocked()
 	s.dispatchAll(now)
 }
 
@@ -57,7 +57,7 @@
 	}
 	s.list.markChanged()
 	if added {
-		s.sendNoticeLocked()
+		s.requestNoticeLocked()
 	}
 	s.events.Info("endpoint changed", "endpoint", r.ID, "address", r.Address, "service", r.Service, "draining", r.Draining, "models", r.Models, "born", r.Born)
 	s.dispatch(r.Service, clock.Now())
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -22,7 +22,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// names of headers in these tests; the product does not care which.
+// testHeaders are the header names in these tests.
 var testHeaders = Headers{
 	RequestID: "Test-Id", Deadline: "Test-Deadline", Seal: "Test-Seal", NotRun: "Test-Not-Run",
 	ExpectEndpoint: "Test-Expect", ExpectVersion: "Test-Version", Workspace: "Test-Workspace",
@@ -34,7 +34,7 @@
 	testModel = "m"
 )
 
-// seen is a request as an endpoint got it.
+// receivedRequest is a request as an endpoint received it.
 type receivedRequest struct {
 	endpoint string
 	method   string
@@ -43,34 +43,34 @@
 	body     string
 }
 
-// world is a gateway with endpoints.
+// testGateway is a gateway with test endpoints.
 type testGateway struct {
 	t        testing.TB
 	server   *Server
 	address  string
 	client   *http.Client
-	mu       sync.Mutex
+	mu       sync.Mutex // guards received
 	received []receivedRequest
-	records  map[string]fleet.Record
+	records  map[string]fleet.Record // by endpoint ID
 }
 
 type handler func(w http.ResponseWriter, r *http.Request)
 
 func newTestGateway(t testing.TB) *testGateway {
 	t.Helper()
-	w := &testGateway{t: t, records: make(map[string]fleet.Record)}
-	w.server = New(Settings{
+	g := &testGateway{t: t, records: make(map[string]fleet.Record)}
+	g.server = New(Settings{
 		Place:           fleet.Place{Zone: "z"},
 		Headers:         testHeaders,
 		Budget:          retrybudget.Params{Ratio: 0.2, Slack: 200, Window: 10 * time.Second, Gateways: 1},
 		VersionDeadline: 8 * time.Second,
 	}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
-	front := httptest.NewServer(w.server)
+	front := httptest.NewServer(g.server)
 	t.Cleanup(front.Close)
-	w.address = front.URL
-	w.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
-	t.Cleanup(w.client.CloseIdleConnections)
-	return w
+	g.address = front.URL
+	g.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
+	t.Cleanup(g.client.CloseIdleConnections)
+	return g
 }
 
 func route(kind routing.Kind, prefix, service string, attempts int) *routing.Route {
@@ -81,13 +81,15 @@
 	}
 }
 
-func (w *testGateway) configure(version int64, extra ...*routing.Route) {
+// configure puts a configuration with routes for plain and streaming requests, and
+// with extra routes, in force.
+func (g *testGateway) configure(version int64, extra ...*routing.Route) {
 	routes := append([]*routing.Route{
 		route(routing.Safe, "/safe/", "plain", 2),
 		route(routing.Unsafe, "/unsafe/", "plain", 1),
 		route(routing.Streaming, "/stream/", "engine", 2),
 	}, extra...)
-	w.server.Apply(routing.New(version, routes,
+	g.server.Apply(routing.New(version, routes,
 		[]*routing.Service{
 			{Name: "plain"},
 			{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, ReadRate: 20000, UsualPrompt: 1000}},
@@ -96,30 +98,31 @@
 		routing.Limits{BodyBytes: 1 << 20}))
 }
 
-// endpoint starts an endpoint and puts it on the list.
-func (w *testGateway) startEndpoint(id, service string, h handler) {
-	w.t.Helper()
+// startEndpoint starts an endpoint that is served by h and adds it to the list.
+func (g *testGateway) startEndpoint(id, service string, h handler) {
+	g.t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		w.mu.Lock()
-		w.received = append(w.received, receivedRequest{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
-		w.mu.Unlock()
+		g.mu.Lock()
+		g.received = append(g.received, receivedRequest{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
+		g.mu.Unlock()
 		rw.Header().Set(testHeaders.RequestID, r.Header.Get(testHeaders.RequestID))
 		h(rw, r)
 	}))
-	w.t.Cleanup(s.Close)
+	g.t.Cleanup(s.Close)
 	r := fleet.Record{ID: id, Service: service, Address: strings.TrimPrefix(s.URL, "http://"), Zone: "z"}
 	if service == "engine" {
 		r.Models = map[string]int{testModel: 1}
 	}
-	w.records[id] = r
-	w.server.PutEndpoint(r)
+	g.records[id] = r
+	g.server.PutEndpoint(r)
 }
 
-func (w *testGateway) requests() []receivedRequest {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]receivedRequest(nil), w.received...)
+// requests returns the requests that endpoints have received.
+func (g *testGateway) requests() []receivedRequest {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return append([]receivedRequest(nil), g.received...)
 }
 
 type requestOption func(*http.Request)
@@ -128,10 +131,10 @@
 	return func(r *http.Request) { r.Header.Set(name, value) }
 }
 
-// ask sends a request; the answer's body is not read yet.
-func (w *testGateway) send(ctx context.Context, method, path, body string, options ...requestOption) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, method, w.address+path, strings.NewReader(body))
-	assert.NilError(w.t, err)
+// send sends a request and returns the response, whose body the caller must close.
+func (g *testGateway) send(ctx context.Context, method, path, body string, options ...requestOption) (*http.Response, error) {
+	r, err := http.NewRequestWithContext(ctx, method, g.address+path, strings.NewReader(body))
+	assert.NilError(g.t, err)
 	r.Host = "h.example"
 	r.Header.Set("Authorization", "Bearer "+testKey)
 	r.Header.Set(testHeaders.RequestID, "id-"+path)
@@ -139,17 +142,17 @@
 	for _, o := range options {
 		o(r)
 	}
-	return w.client.Do(r)
+	return g.client.Do(r)
 }
 
-// get asks and reads the whole answer.
-func (w *testGateway) do(method, path, body string, options ...requestOption) (*http.Response, string) {
-	w.t.Helper()
-	response, err := w.send(context.Background(), method, path, body, options...)
-	assert.NilError(w.t, err)
+// do sends a request and reads the complete response.
+func (g *testGateway) do(method, path, body string, options ...requestOption) (*http.Response, string) {
+	g.t.Helper()
+	response, err := g.send(context.Background(), method, path, body, options...)
+	assert.NilError(g.t, err)
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	assert.NilError(w.t, err)
+	assert.NilError(g.t, err)
 	return response, string(text)
 }
 
@@ -167,6 +170,7 @@
 	}
 }
 
+// respondNotRun responds that the request was not run.
 func respondNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(testHeaders.NotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
@@ -174,8 +178,8 @@
 
 func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// events answers with events after the last one that the caller has, up to
-// upTo, and then breaks off unless upTo is the last.
+// respondEvents sends the events from the caller's Last-Event-Id up to upTo. If
+// upTo is less than lastEvent, it aborts the connection within the next event.
 func respondEvents(upTo, lastEvent int) handler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testHeaders.Seal, "seal-"+r.Header.Get(testHeaders.ExpectEndpoint))
@@ -189,13 +193,14 @@
 			w.(http.Flusher).Flush()
 		}
 		if upTo < lastEvent {
-			_, _ = io.WriteString(w, "id: 99\nda") // within an event
+			_, _ = io.WriteString(w, "id: 99\nda") // truncated event
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
+// eventsText returns the complete stream of events up to lastEvent.
 func eventsText(lastEvent int) string {
 	var b strings.Builder
 	for n := 1; n <= lastEvent; n++ {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -193,12 +193,12 @@
 	}
 	s.namedVersions[model] = append(list, NamedVersion{Version: version, Learned: now, First: first, cutoff: cutoff})
 	s.events.Info("version named", "model", model, "version", version, "age_unknown", first, "due", cutoff)
-	s.sendNoticeLocked()
+	s.requestNoticeLocked()
 }
 
-// sendNoticeLocked requests an immediate notice to sidecars. Server.mu must be
+// requestNoticeLocked requests an immediate notice to sidecars. Server.mu must be
 // held.
-func (s *Server) sendNoticeLocked() {
+func (s *Server) requestNoticeLocked() {
 	select {
 	case s.noticeDue <- struct{}{}:
 	default:
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -18,19 +18,19 @@
 )
 
 func TestRefusedWithoutConfiguration(t *testing.T) {
-	w := newTestGateway(t)
-	r, _ := w.do("GET", "/safe/1", "")
+	g := newTestGateway(t)
+	r, _ := g.do("GET", "/safe/1", "")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, r.Header.Get("Retry-After") != "")
-	assert.Assert(t, !w.server.Ready())
+	assert.Assert(t, !g.server.Ready())
 }
 
 func TestRouteAndKeyMatching(t *testing.T) {
-	w := newTestGateway(t)
+	g := newTestGateway(t)
 	public := route(routing.Safe, "/public/", "plain", 1)
 	public.Public = true
-	w.configure(1, public)
-	w.startEndpoint("a", "plain", respondOK("body"))
+	g.configure(1, public)
+	g.startEndpoint("a", "plain", respondOK("body"))
 	for _, test := range []struct {
 		path   string
 		option requestOption
@@ -42,56 +42,56 @@
 		{"/safe/1", withHeader("X", "y"), http.StatusOK},
 		{"/public/1", withHeader("Authorization", ""), http.StatusOK},
 	} {
-		r, _ := w.do("GET", test.path, "", test.option)
+		r, _ := g.do("GET", test.path, "", test.option)
 		assert.Equal(t, r.StatusCode, test.want, test.path)
 		assert.Equal(t, r.Header.Get(testHeaders.RequestID), "id-"+test.path)
 	}
 }
 
-// While there may be a newer configuration, what this one does not know is
-// refused as not run, not denied: it may be allowed.
+// While the configuration may be outdated, requests for routes and keys that it
+// lacks are refused as retryable instead of denied.
 func TestStaleConfigurationRefusesInsteadOfDenying(t *testing.T) {
-	w := newTestGateway(t)
+	g := newTestGateway(t)
 	current := false
-	w.server.settings.Current = func() bool { return current }
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondOK("body"))
-	r, _ := w.do("GET", "/none/", "")
+	g.server.settings.Current = func() bool { return current }
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondOK("body"))
+	r, _ := g.do("GET", "/none/", "")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, r.Header.Get("Retry-After") != "")
-	r, _ = w.do("GET", "/safe/1", "", withHeader("Authorization", "Bearer other"))
+	r, _ = g.do("GET", "/safe/1", "", withHeader("Authorization", "Bearer other"))
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
-	r, _ = w.do("GET", "/safe/1", "")
-	assert.Equal(t, r.StatusCode, http.StatusOK, "what it knows is served")
+	r, _ = g.do("GET", "/safe/1", "")
+	assert.Equal(t, r.StatusCode, http.StatusOK, "configured requests are served")
 	current = true
-	r, _ = w.do("GET", "/none/", "")
+	r, _ = g.do("GET", "/none/", "")
 	assert.Equal(t, r.StatusCode, http.StatusNotFound)
 }
 
-// A key that is taken away is refused, a new route is served, and an older
-// configuration that comes late changes nothing.
+// A removed key is rejected, a new route is served, and an older configuration that
+// arrives late is ignored.
 func TestNewerConfigurationAppliesAtOnce(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(5, route(routing.Safe, "/new/", "plain", 1))
-	w.startEndpoint("a", "plain", respondOK("body"))
-	w.configure(4)
-	r, _ := w.do("GET", "/new/1", "")
+	g := newTestGateway(t)
+	g.configure(5, route(routing.Safe, "/new/", "plain", 1))
+	g.startEndpoint("a", "plain", respondOK("body"))
+	g.configure(4)
+	r, _ := g.do("GET", "/new/1", "")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
-	w.server.Apply(routing.New(6, []*routing.Route{route(routing.Safe, "/new/", "plain", 1)}, nil, []*routing.Workspace{{Name: "x", Keys: []string{"k"}}}, routing.Limits{}))
-	r, _ = w.do("GET", "/new/1", "")
+	g.server.Apply(routing.New(6, []*routing.Route{route(routing.Safe, "/new/", "plain", 1)}, nil, []*routing.Workspace{{Name: "x", Keys: []string{"k"}}}, routing.Limits{}))
+	r, _ = g.do("GET", "/new/1", "")
 	assert.Equal(t, r.StatusCode, http.StatusUnauthorized)
 }
 
 func TestRequestIsForwardedUnaltered(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondOK("body"))
-	r, body := w.do("POST", "/unsafe//%2Fx?a=b&&c", "text",
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondOK("body"))
+	r, body := g.do("POST", "/unsafe//%2Fx?a=b&&c", "text",
 		withHeader("X-Other", "kept"), withHeader(testHeaders.Workspace, "forged"), withHeader(testHeaders.ExpectEndpoint, "forged"), withHeader("Connection", "X-Hop"), withHeader("X-Hop", "gone"))
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "body")
 	assert.Equal(t, r.Header.Get(testHeaders.Seal), "seal")
-	got := w.requests()[0]
+	got := g.requests()[0]
 	assert.Equal(t, got.method+" "+got.uri+" "+got.body, "POST /unsafe//%2Fx?a=b&&c text")
 	assert.Equal(t, got.header.Get("X-Other"), "kept")
 	assert.Equal(t, got.header.Get(testHeaders.Workspace), "w")
@@ -104,17 +104,17 @@
 }
 
 func TestDeadlineIsCappedByRouteTimeout(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondOK("body"))
-	w.do("GET", "/safe/1", "", withHeader(testHeaders.Deadline, "60000"))
-	left, err := strconv.Atoi(w.requests()[0].header.Get(testHeaders.Deadline))
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondOK("body"))
+	g.do("GET", "/safe/1", "", withHeader(testHeaders.Deadline, "60000"))
+	left, err := strconv.Atoi(g.requests()[0].header.Get(testHeaders.Deadline))
 	assert.NilError(t, err)
 	assert.Assert(t, left <= 2000, "deadline %d", left)
 }
 
-// What may not be repeated is sent once, whatever comes back; only a
-// refusal that is certain is told as one.
+// An unsafe request is sent once, whatever the response. Only a certain "not run"
+// becomes a retryable refusal.
 func TestUnsafeIsSentOnce(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -131,7 +131,7 @@
 		{"foreign", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(testHeaders.RequestID, "other")
 			respondOK("x")(w, r)
-		}, http.StatusGatewayTimeout}, // its own answer may still come
+		}, http.StatusGatewayTimeout}, // the response to this request may still arrive
 		{"short", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			respondOK("x")(w, r)
@@ -141,28 +141,28 @@
 		{"slow", func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, http.StatusGatewayTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newTestGateway(t)
-			w.configure(1)
-			w.startEndpoint("a", "plain", test.h)
-			w.startEndpoint("b", "plain", test.h)
-			r, _ := w.do("POST", "/unsafe/1", "x")
+			g := newTestGateway(t)
+			g.configure(1)
+			g.startEndpoint("a", "plain", test.h)
+			g.startEndpoint("b", "plain", test.h)
+			r, _ := g.do("POST", "/unsafe/1", "x")
 			assert.Equal(t, r.StatusCode, test.want)
-			assert.Equal(t, len(w.requests()), 1)
+			assert.Equal(t, len(g.requests()), 1)
 			assert.Equal(t, r.Header.Get("Retry-After") != "", test.want == http.StatusServiceUnavailable)
 			assert.Equal(t, r.Header.Get(testHeaders.Seal) != "", test.want == 500)
 		})
 	}
 }
 
-// The same where attempts are left: only a refusal that is certain is
-// followed by another endpoint.
+// Even if the route allows more attempts, an unsafe request is retried only if it
+// has certainly not run.
 func TestUnsafeIsRetriedOnlyIfNotRun(t *testing.T) {
 	const attempts = 3
 	for _, test := range []struct {
 		name string
 		path string
 		h    handler
-		want int // requests that endpoints got
+		want int // requests that endpoints received
 	}{
 		{"breaks", "/several/1", abortConnection, 1},
 		{"fails", "/several/1", respondStatus(500), 1},
@@ -176,27 +176,27 @@
 		{"stream is rejected", "/once/1", respondNotRun, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newTestGateway(t)
+			g := newTestGateway(t)
 			once := route(routing.Streaming, "/once/", "engine", attempts)
 			once.Resumable = false
-			w.configure(1, route(routing.Unsafe, "/several/", "plain", attempts), once)
+			g.configure(1, route(routing.Unsafe, "/several/", "plain", attempts), once)
 			for _, id := range []string{"a", "b"} {
-				w.startEndpoint(id, "plain", test.h)
-				w.startEndpoint(id+"-engine", "engine", test.h)
+				g.startEndpoint(id, "plain", test.h)
+				g.startEndpoint(id+"-engine", "engine", test.h)
 			}
-			_, _ = w.do("POST", test.path, "x")
-			assert.Equal(t, len(w.requests()), test.want)
+			_, _ = g.do("POST", test.path, "x")
+			assert.Equal(t, len(g.requests()), test.want)
 		})
 	}
 }
 
-// A request that no engine can begin in time is served late, at its first try.
+// A request that no engine can start in time is served late, at its first try.
 func TestLargePromptIsServedLate(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(3, 3))
-	large := withHeader(testHeaders.TokenUsage, "60000,10") // read in 3 s
-	r, body := w.do("POST", "/stream/1", "x", large)
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(3, 3))
+	large := withHeader(testHeaders.TokenUsage, "60000,10") // prefill takes 3 s
+	r, body := g.do("POST", "/stream/1", "x", large)
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 	assert.Equal(t, body, eventsText(3))
 }
@@ -204,12 +204,12 @@
 func TestSafeIsRetriedElsewhere(t *testing.T) {
 	for name, h := range map[string]handler{"breaks": abortConnection, "fails": respondStatus(500), "rejects": respondNotRun} {
 		t.Run(name, func(t *testing.T) {
-			w := newTestGateway(t)
-			w.configure(1)
-			w.startEndpoint("a", "plain", h)
-			w.startEndpoint("b", "plain", respondOK("body"))
+			g := newTestGateway(t)
+			g.configure(1)
+			g.startEndpoint("a", "plain", h)
+			g.startEndpoint("b", "plain", respondOK("body"))
 			for range 6 {
-				r, body := w.do("GET", "/safe/1", "")
+				r, body := g.do("GET", "/safe/1", "")
 				assert.Equal(t, r.StatusCode, http.StatusOK)
 				assert.Equal(t, body, "body")
 			}
@@ -218,143 +218,143 @@
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	for _, id := range []string{"a", "b", "c"} {
-		w.startEndpoint(id, "plain", respondStatus(500))
+		g.startEndpoint(id, "plain", respondStatus(500))
 	}
-	r, _ := w.do("GET", "/safe/1", "")
+	r, _ := g.do("GET", "/safe/1", "")
 	assert.Equal(t, r.StatusCode, 500)
-	assert.Equal(t, len(w.requests()), 2)
+	assert.Equal(t, len(g.requests()), 2)
 }
 
 func TestRetriesAreBounded(t *testing.T) {
-	w := newTestGateway(t)
-	w.server.settings.Budget.Slack = 8
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondStatus(500))
-	w.startEndpoint("b", "plain", respondStatus(500))
+	g := newTestGateway(t)
+	g.server.settings.Budget.Slack = 8
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondStatus(500))
+	g.startEndpoint("b", "plain", respondStatus(500))
 	const requests = 60
 	for range requests {
-		w.do("GET", "/safe/1", "")
+		g.do("GET", "/safe/1", "")
 	}
-	retries := len(w.requests()) - requests
+	retries := len(g.requests()) - requests
 	assert.Assert(t, retries > 0 && retries <= requests/5+8, "repeats %d", retries)
 }
 
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondOK("a"))
-	w.startEndpoint("b", "plain", respondOK("b"))
-	draining := w.records["a"]
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondOK("a"))
+	g.startEndpoint("b", "plain", respondOK("b"))
+	draining := g.records["a"]
 	draining.Draining = true
-	w.server.PutEndpoint(draining)
+	g.server.PutEndpoint(draining)
 	for range 5 {
-		_, body := w.do("GET", "/safe/1", "")
+		_, body := g.do("GET", "/safe/1", "")
 		assert.Equal(t, body, "b")
 	}
-	w.server.RemoveEndpoint("b")
-	r, _ := w.do("GET", "/safe/1", "")
+	g.server.RemoveEndpoint("b")
+	r, _ := g.do("GET", "/safe/1", "")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 }
 
 func TestRefusalIsNotDelayed(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	began := time.Now()
-	r, _ := w.do("POST", "/stream/1", "x")
+	r, _ := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	assert.Assert(t, after > 0 && after < 3)
-	assert.Assert(t, time.Since(began) < 1900*time.Millisecond, "held for %s", time.Since(began))
+	assert.Assert(t, time.Since(began) < 1900*time.Millisecond, "refused after %s", time.Since(began))
 }
 
-// A new request that no endpoint could serve whatever its load is not held
-// until its time to wait is over.
+// A new request that no endpoint could serve at any load is refused without
+// waiting.
 func TestUnservableIsRefusedAtOnce(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	draining := w.records["a"]
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	draining := g.records["a"]
 	draining.Draining = true
-	w.server.PutEndpoint(draining)
+	g.server.PutEndpoint(draining)
 	maxWait := time.Duration(maxWaitShare * float64(1500*time.Millisecond))
 	shortest := time.Hour
-	for range 5 { // one of several tries shows it, also on a busy machine
+	for range 5 { // the shortest of several tries, as the machine may be busy
 		began := time.Now()
-		r, _ := w.do("POST", "/stream/1", "x")
+		r, _ := g.do("POST", "/stream/1", "x")
 		assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 		shortest = min(shortest, time.Since(began))
 	}
-	assert.Assert(t, shortest < maxWait/2, "held for %s", shortest)
+	assert.Assert(t, shortest < maxWait/2, "refused after %s", shortest)
 }
 
 func TestBodyTooLarge(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	r, _ := w.do("POST", "/unsafe/1", strings.Repeat("x", 1<<20+1))
+	g := newTestGateway(t)
+	g.configure(1)
+	r, _ := g.do("POST", "/unsafe/1", strings.Repeat("x", 1<<20+1))
 	assert.Equal(t, r.StatusCode, http.StatusRequestEntityTooLarge)
 }
 
-// A caller that leaves stops the endpoint's work.
+// If the caller disconnects, the attempt at the endpoint is canceled.
 func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	for _, path := range []string{"/safe/1", "/stream/1"} {
-		w := newTestGateway(t)
-		w.configure(1)
+		g := newTestGateway(t)
+		g.configure(1)
 		stopped := make(chan struct{})
 		h := func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			close(stopped)
 		}
-		w.startEndpoint("a", "plain", h)
-		w.startEndpoint("b", "engine", h)
+		g.startEndpoint("a", "plain", h)
+		g.startEndpoint("b", "engine", h)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
-		_, err := w.send(ctx, "GET", path, "")
+		_, err := g.send(ctx, "GET", path, "")
 		cancel()
 		assert.Assert(t, err != nil)
 		select {
 		case <-stopped:
 		case <-time.After(time.Second):
-			t.Fatalf("%s: the endpoint works on", path)
+			t.Fatalf("%s: the endpoint still runs the request", path)
 		}
 	}
 }
 
 func TestStopping(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondOK("body"))
-	w.server.SetEndpoints([]fleet.Record{w.records["a"]})
-	assert.Assert(t, w.server.Ready())
-	w.server.StartStopping()
-	assert.Assert(t, !w.server.Ready())
-	r, _ := w.do("GET", "/safe/1", "")
-	assert.Equal(t, r.StatusCode, http.StatusOK, "it goes on serving")
-	assert.Assert(t, r.Close, "and asks for another connection")
-	w.server.Refuse()
-	r, _ = w.do("POST", "/unsafe/1", "x")
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondOK("body"))
+	g.server.SetEndpoints([]fleet.Record{g.records["a"]})
+	assert.Assert(t, g.server.Ready())
+	g.server.StartStopping()
+	assert.Assert(t, !g.server.Ready())
+	r, _ := g.do("GET", "/safe/1", "")
+	assert.Equal(t, r.StatusCode, http.StatusOK, "a stopping gateway still serves")
+	assert.Assert(t, r.Close, "it closes the connection")
+	g.server.Refuse()
+	r, _ = g.do("POST", "/unsafe/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, len(w.requests()), 1)
+	assert.Equal(t, len(g.requests()), 1)
 }
 
-// After a restart the list may still name what was there before: it costs
-// one attempt, not one of each request.
+// An endpoint that answers 421, because the list is outdated, costs one attempt in
+// total, not one for each request.
 func TestMisdirectedEndpointIsAvoided(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "plain", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusMisdirectedRequest) })
-	w.startEndpoint("b", "plain", respondOK("b"))
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "plain", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusMisdirectedRequest) })
+	g.startEndpoint("b", "plain", respondOK("b"))
 	for range 8 {
-		r, _ := w.do("GET", "/safe/1", "")
+		r, _ := g.do("GET", "/safe/1", "")
 		assert.Equal(t, r.StatusCode, http.StatusOK)
 	}
 	misdirected := 0
-	for _, got := range w.requests() {
+	for _, got := range g.requests() {
 		if got.endpoint == "a" {
 			misdirected++
 		}
 	}
-	assert.Assert(t, misdirected <= 1, "%d attempts at an endpoint that is another", misdirected)
+	assert.Assert(t, misdirected <= 1, "%d attempts at a misdirected endpoint", misdirected)
 }
--- a/ingress/signals_test.go
+++ b/ingress/signals_test.go
@@ -16,16 +16,16 @@
 	"github.com/mintlift/mintlift/fleet"
 )
 
-// Headers by which endpoints of these tests speak of themselves.
+// Headers with which the test endpoints send signals.
 const (
 	drainingHeader = "Test-Draining"
 	backoffHeader  = "Test-Backoff" // seconds
 	limitHeader    = "Test-Limit"   // requests a second
 )
 
-// listen lets the gateway understand what endpoints say of themselves.
-func (w *testGateway) decodeSignals() {
-	w.server.settings.Signal = func(_ int, h http.Header) backpressure.Signal {
+// decodeSignals makes the gateway decode the signals of the test endpoints.
+func (g *testGateway) decodeSignals() {
+	g.server.settings.Signal = func(_ int, h http.Header) backpressure.Signal {
 		signal := backpressure.Signal{Draining: h.Get(drainingHeader) != ""}
 		if s, err := strconv.ParseFloat(h.Get(backoffHeader), 64); err == nil {
 			signal.Backoff = time.Duration(s * float64(time.Second))
@@ -37,7 +37,7 @@
 	}
 }
 
-// says answers as h does, with one more header.
+// addHeader responds as h does, with an additional header.
 func addHeader(name, value string, h handler) handler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(name, value)
@@ -45,10 +45,10 @@
 	}
 }
 
-// to counts the requests that an endpoint got.
-func (w *testGateway) requestsTo(id string) int {
+// requestsTo counts the requests that an endpoint received.
+func (g *testGateway) requestsTo(id string) int {
 	count := 0
-	for _, s := range w.requests() {
+	for _, s := range g.requests() {
 		if s.endpoint == id {
 			count++
 		}
@@ -56,31 +56,32 @@
 	return count
 }
 
-// An endpoint of which another one at its address says something is not meant.
+// Signals in a 421 response come from another endpoint at the same address and are
+// ignored.
 func TestMisdirectedResponseSignalsAreIgnored(t *testing.T) {
-	w := newTestGateway(t)
-	w.decodeSignals()
-	w.configure(1)
+	g := newTestGateway(t)
+	g.decodeSignals()
+	g.configure(1)
 	misdirected := true
-	w.startEndpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
+	g.startEndpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
 		if misdirected {
 			addHeader(drainingHeader, "1", respondStatus(http.StatusMisdirectedRequest))(rw, r)
 			return
 		}
 		respondOK("body")(rw, r)
 	})
-	w.do("GET", "/safe/1", "")
+	g.do("GET", "/safe/1", "")
 	misdirected = false
-	r := w.records["a"]
+	r := g.records["a"]
 	r.Slots++
-	r.Models = map[string]int{"other": 1} // the list tells something new of it
-	w.server.PutEndpoint(r)
-	got, _ := w.do("GET", "/safe/1", "")
+	r.Models = map[string]int{"other": 1} // the changed entry makes the endpoint eligible again
+	g.server.PutEndpoint(r)
+	got, _ := g.do("GET", "/safe/1", "")
 	assert.Equal(t, got.StatusCode, http.StatusOK)
 }
 
-// Where all endpoints drain or backoff, callers observe so at once, and when one may take
-// requests again; also those that were refused before.
+// If all endpoints drain or ask for backoff, callers, including ones that retry,
+// are refused at once with the time until an endpoint may accept requests again.
 func TestClosedServicesRefuseAtOnce(t *testing.T) {
 	const backoff = 30.0
 	for _, test := range []struct {
@@ -96,20 +97,20 @@
 		for _, path := range []string{"/safe/", "/unsafe/", "/stream/"} {
 			t.Run(test.signal+test.value+path, func(t *testing.T) {
 				t.Parallel()
-				w := newTestGateway(t)
-				w.decodeSignals()
-				w.configure(1)
+				g := newTestGateway(t)
+				g.decodeSignals()
+				g.configure(1)
 				for n := range 2 {
-					w.startEndpoint(fmt.Sprint("p", n), "plain", addHeader(test.signal, test.value, test.h))
-					w.startEndpoint(fmt.Sprint("e", n), "engine", addHeader(test.signal, test.value, test.h))
+					g.startEndpoint(fmt.Sprint("p", n), "plain", addHeader(test.signal, test.value, test.h))
+					g.startEndpoint(fmt.Sprint("e", n), "engine", addHeader(test.signal, test.value, test.h))
 				}
-				for n := range 4 { // until both have said it
-					w.do("POST", path+strconv.Itoa(n), "")
+				for n := range 4 { // until both endpoints have sent the signal
+					g.do("POST", path+strconv.Itoa(n), "")
 				}
-				before := len(w.requests())
-				for _, deadline := range []string{"2000", "900"} { // the second has come back
+				before := len(g.requests())
+				for _, deadline := range []string{"2000", "900"} { // the second looks like a caller's retry
 					began := time.Now()
-					r, body := w.do("POST", path+"x", "", withHeader(testHeaders.Deadline, deadline))
+					r, body := g.do("POST", path+"x", "", withHeader(testHeaders.Deadline, deadline))
 					assert.Assert(t, time.Since(began) < 50*time.Millisecond, "after %s", time.Since(began))
 					assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 					assert.Assert(t, len(body) > 0 && strings.HasPrefix(body, "all endpoints "+test.cause+": "), body)
@@ -117,27 +118,27 @@
 					assert.NilError(t, err)
 					assert.Assert(t, after >= test.minRetryAfter && after <= test.maxRetryAfter, "%f s", after)
 				}
-				assert.Equal(t, len(w.requests()), before)
+				assert.Equal(t, len(g.requests()), before)
 			})
 		}
 	}
 }
 
-// The time for which an endpoint wants backoff of this gateway is not told to a caller
-// who gets that endpoint's answer: another endpoint may serve the next try.
+// An endpoint's Retry-After applies to this gateway and is not forwarded to the
+// caller, whose next try another endpoint may serve.
 func TestEndpointBackoffIsNotPassedToCallers(t *testing.T) {
-	w := newTestGateway(t)
-	w.decodeSignals()
-	w.configure(1)
+	g := newTestGateway(t)
+	g.decodeSignals()
+	g.configure(1)
 	failing := addHeader("Retry-After", "600", addHeader(backoffHeader, "600", respondStatus(http.StatusServiceUnavailable)))
-	w.startEndpoint("a", "plain", failing)
-	r, _ := w.do("POST", "/unsafe/1", "")
+	g.startEndpoint("a", "plain", failing)
+	r, _ := g.do("POST", "/unsafe/1", "")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, r.Header.Get(testHeaders.Seal), "seal")
-	w.startEndpoint("b", "plain", respondOK("body"))
-	w.startEndpoint("c", "plain", failing)
-	for n := 0; w.requestsTo("c") == 0; n++ {
-		r, _ = w.do("POST", fmt.Sprint("/unsafe/x", n), "")
+	g.startEndpoint("b", "plain", respondOK("body"))
+	g.startEndpoint("c", "plain", failing)
+	for n := 0; g.requestsTo("c") == 0; n++ {
+		r, _ = g.do("POST", fmt.Sprint("/unsafe/x", n), "")
 	}
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64)
@@ -145,32 +146,32 @@
 	assert.Assert(t, after < 5, "%f s", after)
 }
 
-// A request that waits when the last endpoint closes is refused then.
+// A waiting request is refused when the last endpoint closes.
 func TestWaitersAreRefusedWhenAllClose(t *testing.T) {
-	w := newTestGateway(t)
-	w.decodeSignals()
-	w.configure(1)
-	w.startEndpoint("e", "engine", respondOK("body"))
-	w.server.Heard(fleet.Report{Address: w.records["e"].Address, Model: testModel, Version: 1, Running: 100}, 0)
+	g := newTestGateway(t)
+	g.decodeSignals()
+	g.configure(1)
+	g.startEndpoint("e", "engine", respondOK("body"))
+	g.server.Heard(fleet.Report{Address: g.records["e"].Address, Model: testModel, Version: 1, Running: 100}, 0)
 	const closeDelay = 60 * time.Millisecond
 	time.AfterFunc(closeDelay, func() {
-		w.server.HeardEndpoints([]backpressure.Record{{ID: "e", Draining: true, LimitAgeMS: -1}})
+		g.server.HeardEndpoints([]backpressure.Record{{ID: "e", Draining: true, LimitAgeMS: -1}})
 	})
 	began := time.Now()
-	r, body := w.do("POST", "/stream/1", "")
+	r, body := g.do("POST", "/stream/1", "")
 	took := time.Since(began)
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, body, "all endpoints are draining: for example e\n")
 	assert.Assert(t, took > closeDelay && took < closeDelay+50*time.Millisecond, "after %s", took)
 }
 
-// A backoff that ends while a request waits lets it through.
+// A waiting request is served when an endpoint's backoff ends.
 func TestWaiterIsServedWhenBackoffEnds(t *testing.T) {
-	w := newTestGateway(t)
-	w.decodeSignals()
-	w.configure(1)
+	g := newTestGateway(t)
+	g.decodeSignals()
+	g.configure(1)
 	backingOff := true
-	w.startEndpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
+	g.startEndpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
 		if backingOff {
 			backingOff = false
 			addHeader(backoffHeader, "0.15", respondNotRun)(rw, r)
@@ -178,27 +179,27 @@
 		}
 		respondOK("body")(rw, r)
 	})
-	w.do("GET", "/unsafe/1", "")
+	g.do("GET", "/unsafe/1", "")
 	began := time.Now()
-	r, _ := w.do("GET", "/safe/1", "")
+	r, _ := g.do("GET", "/safe/1", "")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 	assert.Assert(t, time.Since(began) > 50*time.Millisecond && time.Since(began) < time.Second, "after %s", time.Since(began))
-	assert.Equal(t, w.requestsTo("a"), 2)
+	assert.Equal(t, g.requestsTo("a"), 2)
 }
 
-// While a request waits for its connection its endpoint may say that it drains or
-// backoffs: it is not sent there then.
+// An endpoint that starts to drain, asks for backoff or sets a limit of 0 while the
+// request waits for its connection gets no request.
 func TestSignalsAreCheckedBeforeWriting(t *testing.T) {
 	for _, signal := range []backpressure.Signal{{Draining: true}, {Backoff: time.Minute}, {Limit: backpressure.Limited(0)}} {
-		w := newTestGateway(t)
-		w.decodeSignals()
-		w.configure(1)
-		w.startEndpoint("a", "plain", respondOK("body"))
-		e := w.server.fleet.ByID("a")
-		x := &exchange{server: w.server}
-		assert.Assert(t, w.server.stillEligible(x, e))
+		g := newTestGateway(t)
+		g.decodeSignals()
+		g.configure(1)
+		g.startEndpoint("a", "plain", respondOK("body"))
+		e := g.server.fleet.ByID("a")
+		x := &exchange{server: g.server}
+		assert.Assert(t, g.server.stillEligible(x, e))
 		now := time.Now()
 		e.Signals.Observe(signal, now, now)
-		assert.Assert(t, !w.server.stillEligible(x, e), "%+v", signal)
+		assert.Assert(t, !g.server.stillEligible(x, e), "%+v", signal)
 	}
 }
--- a/ingress/stall_test.go
+++ b/ingress/stall_test.go
@@ -22,16 +22,16 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// stopBound is how long a request may go on at its endpoint after its caller
-// has left.
+// maxStopDelay is how long a request may still run at its endpoint after its caller
+// has disconnected.
 const maxStopDelay = 500 * time.Millisecond
 
-// muteProxy forwards connections to an endpoint until it is muted: from then
-// on open ones bring nothing either way, without being closed, while new ones
-// work.
+// stallProxy forwards connections to an endpoint. After stall, open connections
+// transfer nothing in either direction but stay open; new ones work.
 type stallProxy struct {
 	address string
-	// era counts the mutings; a connection forwards only in its own.
+	// stalls counts the calls of stall. A connection forwards only while the count
+	// is the same as when it was opened.
 	stalls atomic.Int64
 }
 
@@ -60,12 +60,13 @@
 	return p
 }
 
+// forward copies from one connection to the other until the connection is closed.
 func (p *stallProxy) forward(to, from net.Conn, stallsAtOpen int64) {
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := from.Read(buffer)
 		if p.stalls.Load() != stallsAtOpen {
-			continue // swallowed, also the end
+			continue // discarded, also EOF
 		}
 		if n > 0 {
 			_, _ = to.Write(buffer[:n])
@@ -79,37 +80,37 @@
 
 func (p *stallProxy) stall() { p.stalls.Add(1) }
 
-// behind puts an endpoint's address behind a proxy.
-func (w *testGateway) putBehindProxy(id string) *stallProxy {
-	r := w.records[id]
-	p := newStallProxy(w.t, r.Address)
-	w.server.RemoveEndpoint(id)
+// putBehindProxy replaces an endpoint's address by that of a proxy.
+func (g *testGateway) putBehindProxy(id string) *stallProxy {
+	r := g.records[id]
+	p := newStallProxy(g.t, r.Address)
+	g.server.RemoveEndpoint(id)
 	r.Address = p.address
-	w.records[id] = r
-	w.server.PutEndpoint(r)
+	g.records[id] = r
+	g.server.PutEndpoint(r)
 	return p
 }
 
-// prefer takes all endpoints but one off the list.
-func (w *testGateway) listOnly(id string) {
-	for other := range w.records {
+// listOnly removes all other endpoints from the list.
+func (g *testGateway) listOnly(id string) {
+	for other := range g.records {
 		if other != id {
-			w.server.RemoveEndpoint(other)
+			g.server.RemoveEndpoint(other)
 		}
 	}
 }
 
-// A connection that goes silent with a request on it is found, and a request
-// that may be repeated is answered by another endpoint in time.
+// A stalled connection is detected, and a request that may be retried is served by
+// another endpoint in time.
 func TestStalledConnectionIsDetected(t *testing.T) {
 	for _, kind := range []string{"safe", "stream"} {
 		t.Run(kind, func(t *testing.T) {
-			w := newTestGateway(t)
+			g := newTestGateway(t)
 			longRoutes := []*routing.Route{route(routing.Safe, "/patient-safe/", "plain", 2), route(routing.Streaming, "/patient-stream/", "engine", 2)}
 			for _, r := range longRoutes {
 				r.Timeout = 8 * time.Second
 			}
-			w.configure(1, longRoutes...)
+			g.configure(1, longRoutes...)
 			service, path, method := "plain", "/patient-safe/1", "GET"
 			if kind == "stream" {
 				service, path, method = "engine", "/patient-stream/1", "POST"
@@ -117,32 +118,32 @@
 			arrived := make(chan struct{}, 1)
 			release := make(chan struct{})
 			defer close(release)
-			w.startEndpoint("a", service, func(http.ResponseWriter, *http.Request) {
+			g.startEndpoint("a", service, func(http.ResponseWriter, *http.Request) {
 				arrived <- struct{}{}
 				<-release
 			})
-			proxy := w.putBehindProxy("a")
-			w.startEndpoint("b", service, respondEvents(lastEvent, lastEvent))
-			w.listOnly("a")
+			proxy := g.putBehindProxy("a")
+			g.startEndpoint("b", service, respondEvents(lastEvent, lastEvent))
+			g.listOnly("a")
 			go func() {
 				<-arrived
 				proxy.stall()
-				w.server.PutEndpoint(w.records["b"])
+				g.server.PutEndpoint(g.records["b"])
 			}()
-			response, body := w.do(method, path, "", withHeader(testHeaders.Deadline, "8000"))
+			response, body := g.do(method, path, "", withHeader(testHeaders.Deadline, "8000"))
 			assert.Equal(t, response.StatusCode, http.StatusOK)
 			assert.Equal(t, body, eventsText(lastEvent))
 		})
 	}
 }
 
-// A stream that has brought events and stops goes on elsewhere before its
-// caller leaves, also while its endpoint's box is heard.
+// A stream that stalls after its first event is resumed elsewhere before the caller
+// gives up, even while its endpoint's box still sends load reports.
 func TestStalledStreamResumesElsewhere(t *testing.T) {
-	w := newTestGateway(t)
+	g := newTestGateway(t)
 	longRoute := route(routing.Streaming, "/patient/", "engine", 2)
 	longRoute.Timeout = time.Minute
-	w.configure(1, longRoute)
+	g.configure(1, longRoute)
 	release := make(chan struct{})
 	defer close(release)
 	var first atomic.Value
@@ -156,46 +157,46 @@
 		}
 		respondEvents(lastEvent, lastEvent)(rw, r)
 	}
-	w.startEndpoint("a", "engine", h)
-	w.startEndpoint("b", "engine", h)
+	g.startEndpoint("a", "engine", h)
+	g.startEndpoint("b", "engine", h)
 	reporting := time.NewTicker(50 * time.Millisecond)
 	defer reporting.Stop()
 	go func() {
 		for range reporting.C {
-			for _, r := range w.records {
-				w.server.Heard(fleet.Report{Address: r.Address, Model: testModel, Version: 1, Running: 1}, -1)
+			for _, r := range g.records {
+				g.server.Heard(fleet.Report{Address: r.Address, Model: testModel, Version: 1, Running: 1}, -1)
 			}
 		}
 	}()
-	_, body := w.do("POST", "/patient/1", "x", withHeader(testHeaders.Deadline, "60000"))
+	_, body := g.do("POST", "/patient/1", "x", withHeader(testHeaders.Deadline, "60000"))
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// One that has brought events is moved sooner than one that has not, whose
-// engine may have no slot yet.
+// The timeout is shorter after the first event: before it, the engine may have no
+// free slot yet.
 func TestStreamStallTimeouts(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondOK(""))
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondOK(""))
 	now := time.Now()
-	w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1}, -1)
-	e := w.server.fleet.Endpoints("engine")[0]
+	g.server.Heard(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1}, -1)
+	e := g.server.fleet.Endpoints("engine")[0]
 	idle := nextEventTimeout + idleCheckInterval
 	assert.Assert(t, idle < firstEventTimeout)
-	assert.Assert(t, !w.server.streamStalled(e, idle, eventTimeout(false), now))
-	assert.Assert(t, w.server.streamStalled(e, idle, eventTimeout(true), now))
-	assert.Assert(t, w.server.streamStalled(e, idle, eventTimeout(false), now.Add(2*boxSilenceTimeout)), "the whole box is silent")
+	assert.Assert(t, !g.server.streamStalled(e, idle, eventTimeout(false), now))
+	assert.Assert(t, g.server.streamStalled(e, idle, eventTimeout(true), now))
+	assert.Assert(t, g.server.streamStalled(e, idle, eventTimeout(false), now.Add(2*boxSilenceTimeout)), "nothing arrives from the whole box")
 }
 
-// After one connection to an endpoint went silent, those that rest are not
-// used any more: each would hold up a request as long.
+// When one connection to an endpoint stalls, its idle connections are not reused,
+// as each would delay a request as much.
 func TestIdleConnectionsAreClosedAfterAStall(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	var stall atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
-	w.startEndpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
+	g.startEndpoint("a", "plain", func(rw http.ResponseWriter, r *http.Request) {
 		if stall.Load() {
 			<-release
 			return
@@ -203,13 +204,13 @@
 		time.Sleep(20 * time.Millisecond)
 		respondOK("x")(rw, r)
 	})
-	proxy := w.putBehindProxy("a")
-	w.startEndpoint("b", "plain", respondOK("x"))
-	w.listOnly("a")
+	proxy := g.putBehindProxy("a")
+	g.startEndpoint("b", "plain", respondOK("x"))
+	g.listOnly("a")
 	answered := make(chan struct{}, 4)
-	for n := range cap(answered) { // each on a connection of its own
+	for n := range cap(answered) { // concurrent, so each opens its own connection
 		go func() {
-			w.do("GET", fmt.Sprintf("/safe/%d", n), "")
+			g.do("GET", fmt.Sprintf("/safe/%d", n), "")
 			answered <- struct{}{}
 		}()
 	}
@@ -218,20 +219,20 @@
 	}
 	stall.Store(true)
 	proxy.stall()
-	w.server.PutEndpoint(w.records["b"])
-	w.listOnly("a")
-	w.do("GET", "/safe/silent", "")
+	g.server.PutEndpoint(g.records["b"])
+	g.listOnly("a")
+	g.do("GET", "/safe/silent", "")
 	stall.Store(false)
 	time.Sleep(failureBackoff)
-	response, _ := w.do("GET", "/safe/after", "")
+	response, _ := g.do("GET", "/safe/after", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-// openAgain is longer than an endpoint is left alone after one failure.
+// failureBackoff is longer than an endpoint is avoided after one failure.
 const failureBackoff = 600 * time.Millisecond
 
-// A caller that closes its connection stops its request at the endpoint. On a
-// machine that is busy with other things one of several tries shows it.
+// If the caller closes its connection, the request stops at the endpoint. The
+// shortest of several tries counts, as the machine may be busy.
 func TestCallerCloseStopsEndpoint(t *testing.T) {
 	for path, service := range map[string]string{"/safe/1": "plain", "/unsafe/1": "plain", "/stream/1": "engine"} {
 		t.Run(path, func(t *testing.T) {
@@ -245,14 +246,14 @@
 	}
 }
 
-// closeToStop is the time from a caller's close to the end of its request at
+// cancelDelay returns the time from the caller's close to the end of its request at
 // the endpoint.
 func cancelDelay(t *testing.T, path, service string) time.Duration {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	running := make(chan struct{})
 	ended := make(chan time.Time, 1)
-	w.startEndpoint("a", service, func(rw http.ResponseWriter, r *http.Request) {
+	g.startEndpoint("a", service, func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(testHeaders.Seal, "s")
 		if service == "engine" {
 			_, _ = io.WriteString(rw, "id: 1\ndata: x\n\n")
@@ -264,7 +265,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		if response, err := w.send(ctx, "POST", path, "x"); err == nil {
+		if response, err := g.send(ctx, "POST", path, "x"); err == nil {
 			_, _ = io.ReadAll(response.Body)
 			_ = response.Body.Close()
 		}
@@ -275,12 +276,12 @@
 	return (<-ended).Sub(closed)
 }
 
-// A request that is read after its caller has left reaches no endpoint.
+// A request that is read after its caller has disconnected reaches no endpoint.
 func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondOK("x"))
-	w.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondOK("x"))
+	g.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	const callers = 40
@@ -303,17 +304,17 @@
 				panic(p)
 			}
 		}()
-		w.server.ServeHTTP(rw, r)
+		g.server.ServeHTTP(rw, r)
 	})}
 	go func() { _ = front.Serve(l) }()
 	defer front.Close()
 	for range callers {
 		<-done
 	}
-	assert.Equal(t, len(w.requests()), 0)
+	assert.Equal(t, len(g.requests()), 0)
 }
 
-// scarceListener has no descriptors left for a while.
+// exhaustibleListener fails to accept with EMFILE while exhausted is set.
 type exhaustibleListener struct {
 	net.Listener
 	exhausted atomic.Bool
@@ -326,59 +327,59 @@
 	return l.Listener.Accept()
 }
 
-// A gateway that cannot take connections says that it is not ready, and is
-// ready again once it can.
+// A gateway is not ready while it fails to accept connections, and becomes ready
+// again afterwards.
 func TestNotReadyWhileAcceptFails(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "plain", respondOK("x"))
-	w.server.SetEndpoints([]fleet.Record{w.records["a"]})
-	assert.Assert(t, w.server.Ready())
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "plain", respondOK("x"))
+	g.server.SetEndpoints([]fleet.Record{g.records["a"]})
+	assert.Assert(t, g.server.Ready())
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	listener := &exhaustibleListener{Listener: l}
 	listener.exhausted.Store(true)
-	front := &http.Server{ConnContext: ConnContext, Handler: w.server}
-	go func() { _ = front.Serve(w.server.Accepting(listener)) }()
+	front := &http.Server{ConnContext: ConnContext, Handler: g.server}
+	go func() { _ = front.Serve(g.server.Accepting(listener)) }()
 	defer front.Close()
-	for began := time.Now(); w.server.Ready(); time.Sleep(time.Millisecond) {
+	for began := time.Now(); g.server.Ready(); time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 20*time.Second)
 	}
 	listener.exhausted.Store(false)
-	for began := time.Now(); !w.server.Ready(); time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); !g.server.Ready(); time.Sleep(10 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 30*time.Second)
 	}
 }
 
-// While many callers press and all endpoints are taken, a ready gateway takes
-// each new connection, and answers what it cannot serve.
+// With all endpoints at capacity and many callers, a ready gateway still accepts
+// each connection and answers.
 func TestConnectionsAreAcceptedUnderLoad(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	release := make(chan struct{})
 	defer close(release)
-	w.startEndpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
+	g.startEndpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
 		select {
 		case <-release:
 		case <-r.Context().Done():
 		}
 	})
-	w.server.SetEndpoints([]fleet.Record{w.records["a"]})
+	g.server.SetEndpoints([]fleet.Record{g.records["a"]})
 	const callers = 200
 	answered := make(chan error, callers)
 	for range callers {
-		go func() { answered <- w.sendOnce() }()
+		go func() { answered <- g.sendOnce() }()
 	}
 	for range callers {
 		assert.NilError(t, <-answered)
 	}
-	assert.Assert(t, w.server.Ready())
+	assert.Assert(t, g.server.Ready())
 }
 
-// askOnce asks for a stream on a new connection and reads the first line of
-// an answer.
-func (w *testGateway) sendOnce() error {
-	c, err := net.DialTimeout("tcp4", strings.TrimPrefix(w.address, "http://"), 10*time.Second)
+// sendOnce sends a streaming request on a new connection and reads the first line
+// of the response.
+func (g *testGateway) sendOnce() error {
+	c, err := net.DialTimeout("tcp4", strings.TrimPrefix(g.address, "http://"), 10*time.Second)
 	if err != nil {
 		return err
 	}
--- a/ingress/storerollback_test.go
+++ b/ingress/storerollback_test.go
@@ -13,17 +13,20 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
+// newListedServer returns a server with a list of endpoints.
 func newListedServer(records ...fleet.Record) *Server {
 	s := New(Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 	s.SetEndpoints(records)
 	return s
 }
 
-func testRecord(id string, born int64) fleet.Record {
-	return fleet.Record{ID: id, Service: "s", Address: id + ":1", Born: born}
+// testRecord returns the entry of an endpoint whose process started at startedMS.
+func testRecord(id string, startedMS int64) fleet.Record {
+	return fleet.Record{ID: id, Service: "s", Address: id + ":1", Born: startedMS}
 }
 
-// knownTo returns whether each endpoint is draining, by id.
+// drainingByID returns the endpoints of a server by ID, and whether each is
+// draining.
 func drainingByID(s *Server) map[string]bool {
 	out := make(map[string]bool)
 	for _, e := range s.fleet.All() {
@@ -32,8 +35,8 @@
 	return out
 }
 
-// An endpoint that the copy lacks is no word that it has left: it counts until it
-// had time to write again, and is gone then if it has not.
+// After a rollback an endpoint that the list lacks is kept until it had time to
+// rewrite its entry, and then removed if it has not done so.
 func TestRollbackKeepsMissingEndpoints(t *testing.T) {
 	s := newListedServer(testRecord("old", 1), testRecord("writes", 2), testRecord("silent", 3))
 	assert.Assert(t, s.SetEra(1))
@@ -41,15 +44,15 @@
 	assert.DeepEqual(t, drainingByID(s), map[string]bool{"old": false, "writes": false, "silent": false})
 	s.PutEndpoint(testRecord("writes", 2))
 	s.SetEndpoints([]fleet.Record{testRecord("old", 1), testRecord("writes", 2)})
-	assert.Equal(t, len(drainingByID(s)), 3, "the same list again")
+	assert.Equal(t, len(drainingByID(s)), 3, "the list again without one endpoint")
 	s.Maintain(s.rollback.startedAt.Add(rewriteTimeout - time.Millisecond))
 	assert.Equal(t, len(drainingByID(s)), 3)
 	s.Maintain(s.rollback.startedAt.Add(rewriteTimeout))
 	assert.DeepEqual(t, drainingByID(s), map[string]bool{"old": false, "writes": false})
 }
 
-// Endpoints that have left, or began anew, do not come back by the copy; one that
-// drains goes on draining. Each counts with its next entry.
+// A rollback does not restore endpoints that were removed or have restarted since,
+// and preserves draining. A new entry of an endpoint counts again.
 func TestRollbackDoesNotRestoreRemovedEndpoints(t *testing.T) {
 	s := newListedServer(testRecord("left", 1), testRecord("again", 1), testRecord("drains", 1), testRecord("moved", 1))
 	s.RemoveEndpoint("left")
@@ -69,14 +72,14 @@
 	assert.DeepEqual(t, drainingByID(s), want)
 	assert.Equal(t, s.fleet.ByID("again").Born, int64(2))
 	s.SetEndpoints(staleCopy)
-	assert.DeepEqual(t, drainingByID(s), want) // the list of a gateway that has just started
+	assert.DeepEqual(t, drainingByID(s), want) // the same list, as from a gateway that has just started
 
 	s.PutEndpoint(testRecord("left", 1))
-	assert.Assert(t, s.fleet.Has("left"), "it writes itself")
+	assert.Assert(t, s.fleet.Has("left"), "a new entry counts")
 }
 
-// The list of an era that has passed is not taken, and the first list of a process
-// is taken as it is, whatever its era.
+// The list of an older era is rejected. The first list of a process is accepted in
+// any era.
 func TestEraOfTheFirstList(t *testing.T) {
 	s := New(Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 	assert.Assert(t, s.SetEra(4))
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -18,43 +18,43 @@
 
 const lastEvent = 6
 
-// resumes serves the first request by one handler, and later ones by
-// another, whichever endpoint they reach.
-func serveInTurn(w *testGateway, first, later handler) {
+// serveInTurn starts two engines. The first request is handled by first and further
+// ones by later, whichever engine receives them.
+func serveInTurn(g *testGateway, first, later handler) {
 	h := func(rw http.ResponseWriter, r *http.Request) {
-		if len(w.requests()) == 1 {
+		if len(g.requests()) == 1 {
 			first(rw, r)
 			return
 		}
 		later(rw, r)
 	}
-	w.startEndpoint("a", "engine", h)
-	w.startEndpoint("b", "engine", h)
+	g.startEndpoint("a", "engine", h)
+	g.startEndpoint("b", "engine", h)
 }
 
 func TestStreamIsForwarded(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	r, body := w.do("POST", "/stream/1", "x", withHeader(testHeaders.TokenUsage, "1000,50"))
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	r, body := g.do("POST", "/stream/1", "x", withHeader(testHeaders.TokenUsage, "1000,50"))
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 	assert.Equal(t, r.Header.Get(testHeaders.Seal), "seal-a")
 	assert.Equal(t, body, eventsText(lastEvent))
-	assert.Equal(t, w.requests()[0].header.Get(testHeaders.Priority), "1")
+	assert.Equal(t, g.requests()[0].header.Get(testHeaders.Priority), "1")
 }
 
-// Events are passed on as they come.
+// Events are forwarded as they arrive.
 func TestEventsAreNotBuffered(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
+	g := newTestGateway(t)
+	g.configure(1)
 	release := make(chan struct{})
-	w.startEndpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
+	g.startEndpoint("a", "engine", func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(testHeaders.Seal, "s")
 		_, _ = io.WriteString(rw, "id: 1\ndata: x\n\n")
 		rw.(http.Flusher).Flush()
 		<-release
 	})
-	response, err := w.send(context.Background(), "POST", "/stream/1", "x")
+	response, err := g.send(context.Background(), "POST", "/stream/1", "x")
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	line, err := bufio.NewReader(response.Body).ReadString('\n')
@@ -63,16 +63,17 @@
 	close(release)
 }
 
-// A stream that breaks off, within an event or between two, goes on at
-// another endpoint: whole, once, and under the head of the first.
+// A stream that is interrupted, within an event or between two, is resumed at
+// another endpoint. The caller gets each event once, under the header of the first
+// response.
 func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	for _, upTo := range []int{0, 1, 3, lastEvent - 1} {
-		w := newTestGateway(t)
-		w.configure(1)
-		serveInTurn(w, respondEvents(upTo, lastEvent), respondEvents(lastEvent, lastEvent))
-		r, body := w.do("POST", "/stream/1", "x")
+		g := newTestGateway(t)
+		g.configure(1)
+		serveInTurn(g, respondEvents(upTo, lastEvent), respondEvents(lastEvent, lastEvent))
+		r, body := g.do("POST", "/stream/1", "x")
 		assert.Equal(t, body, eventsText(lastEvent))
-		got := w.requests()
+		got := g.requests()
 		assert.Equal(t, len(got), 2)
 		assert.Assert(t, got[0].endpoint != got[1].endpoint)
 		if upTo > 0 {
@@ -83,183 +84,182 @@
 }
 
 func TestCallerResumes(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	_, body := w.do("POST", "/stream/1", "x", withHeader("Last-Event-Id", "4"))
-	assert.Equal(t, w.requests()[0].header.Get("Last-Event-Id"), "4")
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	_, body := g.do("POST", "/stream/1", "x", withHeader("Last-Event-Id", "4"))
+	assert.Equal(t, g.requests()[0].header.Get("Last-Event-Id"), "4")
 	assert.Equal(t, body, "id: 5\ndata: token 5\n\nid: 6\ndata: token 6\n\n")
 }
 
-// A stream that cannot go on must not look complete.
+// A stream that cannot be resumed must not look complete.
 func TestUnresumableStreamIsAborted(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(3, lastEvent))
-	response, err := w.send(context.Background(), "POST", "/stream/1", "x")
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(3, lastEvent))
+	response, err := g.send(context.Background(), "POST", "/stream/1", "x")
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	_, err = io.ReadAll(response.Body)
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 }
 
-// Events that do not follow the last one are not passed on.
+// Events after a gap in the IDs are not forwarded.
 func TestEventGapIsNotForwarded(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	serveInTurn(w, func(rw http.ResponseWriter, r *http.Request) {
+	g := newTestGateway(t)
+	g.configure(1)
+	serveInTurn(g, func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(testHeaders.Seal, "s")
 		_, _ = io.WriteString(rw, "id: 1\ndata: token 1\n\nid: 3\ndata: token 3\n\n")
 	}, respondEvents(lastEvent, lastEvent))
-	_, body := w.do("POST", "/stream/1", "x")
+	_, body := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// An endpoint that sends again what the caller has does not double it.
+// Events that the caller already has are dropped.
 func TestDuplicateEventsAreDropped(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	serveInTurn(w, respondEvents(3, lastEvent), func(rw http.ResponseWriter, r *http.Request) {
+	g := newTestGateway(t)
+	g.configure(1)
+	serveInTurn(g, respondEvents(3, lastEvent), func(rw http.ResponseWriter, r *http.Request) {
 		r.Header.Del("Last-Event-Id")
 		respondEvents(lastEvent, lastEvent)(rw, r)
 	})
-	_, body := w.do("POST", "/stream/1", "x")
+	_, body := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// A stream whose endpoint is not heard of any more goes on elsewhere before
-// the caller gives it up.
+// A stream is resumed elsewhere if nothing arrives from its endpoint's box.
 func TestStreamOfUnreachableBoxResumesElsewhere(t *testing.T) {
-	w := newTestGateway(t)
+	g := newTestGateway(t)
 	long := route(routing.Streaming, "/long/", "engine", 2)
 	long.Timeout = time.Minute
-	w.configure(1, long)
-	serveInTurn(w, func(rw http.ResponseWriter, r *http.Request) {
+	g.configure(1, long)
+	serveInTurn(g, func(rw http.ResponseWriter, r *http.Request) {
 		respondEvents(3, 3)(rw, r)
 		<-r.Context().Done()
 	}, respondEvents(lastEvent, lastEvent))
-	_, body := w.do("POST", "/long/1", "x", withHeader(testHeaders.Deadline, "60000"))
+	_, body := g.do("POST", "/long/1", "x", withHeader(testHeaders.Deadline, "60000"))
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
 func TestVersionDeadline(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	now := time.Now()
-	w.server.NameVersion(testModel, 2, false, now.Add(-w.server.settings.VersionDeadline))
-	r, _ := w.do("POST", "/stream/1", "x")
+	g.server.NameVersion(testModel, 2, false, now.Add(-g.server.settings.VersionDeadline))
+	r, _ := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable, "the only engine holds an older version")
-	newer := w.records["a"]
+	newer := g.records["a"]
 	newer.Models = map[string]int{testModel: 2}
-	w.server.PutEndpoint(newer)
-	r, _ = w.do("POST", "/stream/1", "x")
+	g.server.PutEndpoint(newer)
+	r, _ = g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
-// A gateway that starts amid a rollout does not know how old the naming
-// is: where an engine holds the version, only such engines may start.
+// For a gateway started during a rollout the age of the named version is unknown.
+// If an engine holds the version, only engines with it get requests.
 func TestVersionOfUnknownAge(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	w.server.NameVersion(testModel, 2, true, time.Now())
-	r, _ := w.do("POST", "/stream/1", "x")
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	g.server.NameVersion(testModel, 2, true, time.Now())
+	r, _ := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK, "no engine holds it yet")
 
-	w = newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1}, 0)
-	w.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
-	w.server.Heard(fleet.Report{Address: w.records["b"].Address, Model: testModel, Version: 2}, 0)
-	w.server.NameVersion(testModel, 2, true, time.Now().Add(-time.Millisecond))
+	g = newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	g.server.Heard(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1}, 0)
+	g.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
+	g.server.Heard(fleet.Report{Address: g.records["b"].Address, Model: testModel, Version: 2}, 0)
+	g.server.NameVersion(testModel, 2, true, time.Now().Add(-time.Millisecond))
 	for range 5 {
-		w.do("POST", "/stream/1", "x")
+		g.do("POST", "/stream/1", "x")
 	}
-	for _, got := range w.requests() {
+	for _, got := range g.requests() {
 		assert.Equal(t, got.endpoint, "b")
 	}
 }
 
-// Waiting requests are served by rank as soon as there is room.
+// A waiting request is served as soon as an engine reports spare capacity.
 func TestWaiterIsServedWhenLoadDrops(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	full := fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1, Running: 5}
-	w.server.Heard(full, 0)
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	full := fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Running: 5}
+	g.server.Heard(full, 0)
 	time.AfterFunc(40*time.Millisecond, func() {
 		full.Running = 1
-		w.server.Heard(full, 0)
+		g.server.Heard(full, 0)
 	})
-	r, body := w.do("POST", "/stream/1", "x")
+	r, body := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// A version that comes due while a request waits is heeded: the request
-// does not go to an engine that holds an older one.
+// If a version's cutoff passes while a request waits, the request is not sent to an
+// engine with an older version.
 func TestVersionCutoffDuringAWait(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	full := fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1, Running: 5}
-	w.server.Heard(full, 0)
-	learnedAt := time.Now().Add(150*time.Millisecond + maxVersionMargin - w.server.settings.VersionDeadline)
-	w.server.NameVersion(testModel, 2, false, learnedAt)
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	full := fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Running: 5}
+	g.server.Heard(full, 0)
+	learnedAt := time.Now().Add(150*time.Millisecond + maxVersionMargin - g.server.settings.VersionDeadline)
+	g.server.NameVersion(testModel, 2, false, learnedAt)
 	time.AfterFunc(250*time.Millisecond, func() {
 		full.Running = 0
-		w.server.Heard(full, 0)
+		g.server.Heard(full, 0)
 	})
-	r, _ := w.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "1700"))
+	r, _ := g.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "1700"))
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, len(w.requests()), 0)
+	assert.Equal(t, len(g.requests()), 0)
 }
 
-// A gateway that started after a version was named does not know for how
-// long older ones may go on: as soon as an engine serves it they may not.
+// For a gateway started after a version was named, older versions are cut off as
+// soon as an engine reports the version.
 func TestVersionOfUnknownAgeCutsOffOlderOnes(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("old", "engine", respondEvents(2, 2))
-	w.startEndpoint("new", "engine", respondEvents(2, 2))
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("old", "engine", respondEvents(2, 2))
+	g.startEndpoint("new", "engine", respondEvents(2, 2))
 	report := func(id string, version int) {
-		w.server.Heard(fleet.Report{Address: w.records[id].Address, Model: testModel, Version: version}, -1)
+		g.server.Heard(fleet.Report{Address: g.records[id].Address, Model: testModel, Version: version}, -1)
 	}
-	w.server.NameVersion(testModel, 2, true, time.Now())
+	g.server.NameVersion(testModel, 2, true, time.Now())
 	report("old", 1)
 	report("new", 1)
-	r, _ := w.do("POST", "/stream/1", "x")
-	assert.Equal(t, r.StatusCode, http.StatusOK, "nobody serves the version yet")
+	r, _ := g.do("POST", "/stream/1", "x")
+	assert.Equal(t, r.StatusCode, http.StatusOK, "no engine serves the version yet")
 	report("new", 2)
 	time.Sleep(2 * time.Millisecond)
 	for range 8 {
 		report("old", 1)
 		report("new", 2)
-		r, _ = w.do("POST", "/stream/1", "x")
+		r, _ = g.do("POST", "/stream/1", "x")
 		assert.Equal(t, r.StatusCode, http.StatusOK)
 	}
-	for _, s := range w.requests()[1:] {
+	for _, s := range g.requests()[1:] {
 		assert.Equal(t, s.endpoint, "new")
 	}
 }
 
-// A request that will be late does not join a queue ahead of requests that
-// can still be in time.
+// A request that will be late does not queue at an engine ahead of requests that
+// can still be on time.
 func TestLateRequestDoesNotQueueAhead(t *testing.T) {
-	w := newTestGateway(t)
+	g := newTestGateway(t)
 	quick := route(routing.Streaming, "/quick/", "engine", 2)
 	quick.TargetLatency = 150 * time.Millisecond
-	w.configure(1, quick)
-	// A prompt is read in 5 s, so that reports which a busy machine sends late
-	// do not look like prompts that have been read.
-	w.server.Apply(routing.New(2, []*routing.Route{quick},
+	g.configure(1, quick)
+	// Prefill takes 5 s, so that delayed reports on a busy machine do not look like
+	// completed prefills.
+	g.server.Apply(routing.New(2, []*routing.Route{quick},
 		[]*routing.Service{{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, ReadRate: 200, UsualPrompt: 1000}}},
 		[]*routing.Workspace{{Name: "w", Keys: []string{testKey}, Priority: 1}}, routing.Limits{BodyBytes: 1 << 20}))
-	w.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
+	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	report := func(queued int) {
-		w.server.Heard(fleet.Report{Address: w.records["a"].Address, Model: testModel, Version: 1, Queued: queued}, 0)
+		g.server.Heard(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Queued: queued}, 0)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -271,54 +271,54 @@
 	}()
 	report(2)
 	returned := withHeader(testHeaders.Deadline, "1700")
-	r, _ := w.do("POST", "/quick/1", "x", returned)
+	r, _ := g.do("POST", "/quick/1", "x", returned)
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, len(w.requests()), 0)
+	assert.Equal(t, len(g.requests()), 0)
 	stop()
 	time.Sleep(40 * time.Millisecond)
 	report(0)
-	r, _ = w.do("POST", "/quick/1", "x", returned)
-	assert.Equal(t, r.StatusCode, http.StatusOK, "nothing waits there")
+	r, _ = g.do("POST", "/quick/1", "x", returned)
+	assert.Equal(t, r.StatusCode, http.StatusOK, "the engine's queue is empty")
 }
 
-// A version that comes due between the choice of an engine and the moment at
-// which the request would be written is heeded: the request goes elsewhere.
+// If a version's cutoff passes after an engine was chosen and before the request is
+// written, the request is not sent there.
 func TestVersionCutoffBeforeWriting(t *testing.T) {
-	w := newTestGateway(t)
-	w.configure(1)
-	w.startEndpoint("old", "engine", respondEvents(lastEvent, lastEvent))
-	x := &exchange{server: w.server, model: testModel}
-	w.server.mu.Lock()
-	e := w.server.fleet.Choose(fleet.Query{Service: "engine", Model: testModel}, time.Now())
-	w.server.mu.Unlock()
-	assert.Assert(t, w.server.stillEligible(x, e))
-	w.server.NameVersion(testModel, 2, false, time.Now().Add(-w.server.settings.VersionDeadline))
-	assert.Assert(t, !w.server.stillEligible(x, e))
-	draining := w.records["old"]
+	g := newTestGateway(t)
+	g.configure(1)
+	g.startEndpoint("old", "engine", respondEvents(lastEvent, lastEvent))
+	x := &exchange{server: g.server, model: testModel}
+	g.server.mu.Lock()
+	e := g.server.fleet.Choose(fleet.Query{Service: "engine", Model: testModel}, time.Now())
+	g.server.mu.Unlock()
+	assert.Assert(t, g.server.stillEligible(x, e))
+	g.server.NameVersion(testModel, 2, false, time.Now().Add(-g.server.settings.VersionDeadline))
+	assert.Assert(t, !g.server.stillEligible(x, e))
+	draining := g.records["old"]
 	draining.Draining = true
 	draining.Models = map[string]int{testModel: 2}
-	w.server.PutEndpoint(draining)
-	assert.Assert(t, !w.server.stillEligible(x, e), "it leaves")
+	g.server.PutEndpoint(draining)
+	assert.Assert(t, !g.server.stillEligible(x, e), "the endpoint drains")
 }
 
-// A request of which a packet is lost on its way to an engine with an older
-// version, and that therefore arrives a second later, still begins there
-// before that version's time is over.
+// A request whose packet is lost on the way to an engine with an older version
+// arrives one retransmission later and must still start before the version
+// deadline.
 func TestLostPacketNearVersionCutoff(t *testing.T) {
 	const retransmitDelay = initialRTO + 200*time.Millisecond
 	for _, before := range []time.Duration{1100 * time.Millisecond, 1300 * time.Millisecond, 1700 * time.Millisecond} {
-		w := newTestGateway(t)
-		w.configure(1)
+		g := newTestGateway(t)
+		g.configure(1)
 		deadline := time.Now().Add(before)
 		var began time.Time
-		w.startEndpoint("old", "engine", func(rw http.ResponseWriter, r *http.Request) {
+		g.startEndpoint("old", "engine", func(rw http.ResponseWriter, r *http.Request) {
 			time.Sleep(retransmitDelay)
 			began = time.Now()
 			respondEvents(lastEvent, lastEvent)(rw, r)
 		})
-		w.server.Heard(fleet.Report{Address: w.records["old"].Address, Model: testModel, Version: 1}, 0)
-		w.server.NameVersion(testModel, 2, false, deadline.Add(-w.server.settings.VersionDeadline))
-		w.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "3000"))
-		assert.Assert(t, began.IsZero() || began.Before(deadline), "sent %s before the deadline, begun %s after it", before, began.Sub(deadline))
+		g.server.Heard(fleet.Report{Address: g.records["old"].Address, Model: testModel, Version: 1}, 0)
+		g.server.NameVersion(testModel, 2, false, deadline.Add(-g.server.settings.VersionDeadline))
+		g.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "3000"))
+		assert.Assert(t, began.IsZero() || began.Before(deadline), "sent %s before the deadline, started %s after it", before, began.Sub(deadline))
 	}
 }
