--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -233,10 +233,14 @@
 	maxVersionMarginShare = 0.25
 )
 
+// versionMargin returns how long before the version deadline older versions are cut
+// off.
 func (s *Server) versionMargin() time.Duration {
 	return min(maxVersionMargin, time.Duration(maxVersionMarginShare*float64(s.settings.VersionDeadline)))
 }
 
+// anyEndpointHolds reports whether any configured endpoint holds at least the given
+// version of model. Server.mu must be held.
 func (s *Server) anyEndpointHolds(model string, version int, now time.Time) bool {
 	c := s.routes.Get()
 	if c == nil {
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -64,6 +64,7 @@
 	nextDispatch time.Time
 }
 
+// add inserts a waiter by rank, before those of equal rank.
 func (q *queue) add(a *waiter) {
 	at, _ := slices.BinarySearchFunc(q.waiters, a, func(x, y *waiter) int { return compareRank(x.rank, y.rank) })
 	q.waiters = slices.Insert(q.waiters, at, a)
