--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -69,7 +69,7 @@
 	return true
 }
 
-// PermitRequest is a request for permits to the sidecar that issues them for an
+// PermitRequest is a request for permits to the sidecar that allocates them for an
 // endpoint.
 type PermitRequest struct {
 	backpressure.Ask
@@ -98,7 +98,7 @@
 // a service. Server.mu must be held.
 func (s *Server) queuePermitRequests(service string, now time.Time) {
 	s.fleet.Asks(service, now, func(e *fleet.Endpoint, a backpressure.Ask) {
-		address := s.permitIssuer(e, now)
+		address := s.permitAllocator(e, now)
 		if address == "" {
 			e.Signals.Alone(now)
 			return
@@ -116,10 +116,10 @@
 	}
 }
 
-// permitIssuer returns the address of the endpoint whose sidecar issues the permits
+// permitAllocator returns the address of the endpoint whose sidecar allocates the permits
 // of e: of e itself if it has a sidecar, or else one that all gateways choose
 // alike. It is empty if there is none. Server.mu must be held.
-func (s *Server) permitIssuer(e *fleet.Endpoint, now time.Time) string {
+func (s *Server) permitAllocator(e *fleet.Endpoint, now time.Time) string {
 	c := s.routes.Get()
 	if c == nil {
 		return ""
@@ -136,7 +136,7 @@
 	return fleet.Dealer(relays, e.ID)
 }
 
-// HandleGrant processes permits that a sidecar issued.
+// HandleGrant processes permits that a sidecar granted.
 func (s *Server) Granted(g backpressure.Grant) {
 	now := clock.Now()
 	s.mu.Lock()
