--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -20,188 +20,195 @@
 )
 
 const (
-	// crashProbe bounds the dial that tells a crash from a broken connection:
-	// a process that has ended refuses at once.
-	crashProbe = 150 * time.Millisecond
-	// crashSettles is for how long after a crash a request may still have been
-	// sent to the endpoint; it did not run there, so the crash says nothing of it.
-	crashSettles = 500 * time.Millisecond
-	// restAfter is after how many crashes a request is not taken up again
-	// within its try: its caller may try again, at one endpoint at a time.
-	restAfter = 2
+	// crashProbeTimeout limits the dial that distinguishes a crash from a broken
+	// connection: after a crash the address refuses connections.
+	crashProbeTimeout = 150 * time.Millisecond
+	// crashSettleTime is how long after a crash requests may still be sent to the
+	// endpoint. They did not run there, so the crash is not attributed to them.
+	crashSettleTime = 500 * time.Millisecond
+	// suspectCrashLimit is the number of a request's crashes from which an exchange
+	// makes no further attempt after a crash. The caller may retry.
+	suspectCrashLimit = 2
 )
 
-// checkCrash finds out whether an attempt broke off because its endpoint
-// crashed, and remembers that of the request. A cut link, a reset connection and
-// an answer that the endpoint broke off look alike; only a process that has ended
-// refuses connections.
+// checkCrash determines whether an attempt failed because its endpoint crashed, and
+// if so records the crash against the request. A cut link, a reset connection and a
+// truncated response look alike; only after a crash does the address refuse
+// connections or the process have a new start time.
 func (x *exchange) checkCrash(ctx context.Context, e *fleet.Endpoint, cause error) {
 	s := x.server
-	if !brokeOff(cause) {
+	if !connectionLost(cause) {
 		return
 	}
-	c := crashed{endpoint: e.ID, request: x.id, identity: x.identity, service: x.service, attempt: x.attempts, sent: x.sent}
-	if s.pool.Refuses(ctx, e.Address, crashProbe) {
-		if s.noteCrash(c, clock.Now()) {
+	c := crashedAttempt{endpoint: e.ID, request: x.id, identity: x.identity, service: x.service, attempt: x.attempts, sentAt: x.sentAt}
+	if s.pool.Refuses(ctx, e.Address, crashProbeTimeout) {
+		if s.recordCrash(c, clock.Now()) {
 			x.crashes++
 		}
 		return
 	}
-	if x.life == 0 {
+	if x.endpointStartedMS == 0 {
 		return
 	}
-	address, life := e.Address, x.life
-	go func() { // the request goes on elsewhere meanwhile
-		if s.bornSince(address, life) {
-			s.noteCrash(c, clock.Now())
+	address, startedMS := e.Address, x.endpointStartedMS
+	go func() { // does not delay the next attempt
+		if s.restartedSince(address, startedMS) {
+			s.recordCrash(c, clock.Now())
 		}
 	}()
 }
 
-// crashed is an attempt under which an endpoint crashed.
-type crashed struct {
+// crashedAttempt describes an attempt whose endpoint crashed.
+type crashedAttempt struct {
 	endpoint, request string
 	identity          quarantine.ID
 	service           string
 	attempt           int
-	sent              time.Time
+	sentAt            time.Time
 }
 
-// noteCrash holds a crash against the request; it returns false for one that says
-// nothing of it.
-func (s *Server) noteCrash(c crashed, now time.Time) bool {
-	if s.crashedBefore(c.endpoint, c.sent, now) {
+// recordCrash records a crash against the request. It returns false if the request
+// was sent after the crash, and so did not cause it.
+func (s *Server) recordCrash(c crashedAttempt, now time.Time) bool {
+	if s.crashedBeforeSend(c.endpoint, c.sentAt, now) {
 		return false
 	}
 	s.metrics.Counter("mintlift_ingress_crashes_total", "service", c.service).Inc()
-	standing := s.suspects.Crashed(c.identity, c.sent, now)
+	status := s.suspects.Crashed(c.identity, c.sentAt, now)
 	s.events.Info("endpoint crashed", "endpoint", c.endpoint, "request", c.request, "identity", c.identity.String(), "attempt", c.attempt,
-		"ms", now.Sub(c.sent).Milliseconds(), "crashes", standing.Crashes, "quarantined", standing.Quarantined())
+		"ms", now.Sub(c.sentAt).Milliseconds(), "crashes", status.Crashes, "quarantined", status.Quarantined())
 	s.mu.Lock()
-	s.tellSoonLocked()
+	s.requestNoticeLocked()
 	s.mu.Unlock()
 	return true
 }
 
-// bornWithin is how long after an attempt broke off the endpoint's birth is looked
-// at: its sidecar reads it every 40 ms, and tells at once what has changed.
-const bornWithin = 300 * time.Millisecond
-
-// bornSince reports whether the process of the endpoint at an address has begun
-// anew since a life was noted: one that is back within milliseconds accepts
-// connections as if it had not ended.
-func (s *Server) bornSince(address string, life int64) bool {
-	const look = 20 * time.Millisecond
-	for began := clock.Now(); clock.Since(began) < bornWithin; time.Sleep(look) {
+// restartDetectTimeout is how long after a failed attempt a new start time of the
+// endpoint's process is awaited. Its sidecar reads the start time every 40 ms and
+// reports a change at once.
+const restartDetectTimeout = 300 * time.Millisecond
+
+// restartedSince reports whether the process of the endpoint at address has
+// restarted since startedMS. A process that restarts within milliseconds accepts
+// connections as if it had not crashed. It blocks for up to restartDetectTimeout.
+func (s *Server) restartedSince(address string, startedMS int64) bool {
+	const pollInterval = 20 * time.Millisecond
+	for began := clock.Now(); clock.Since(began) < restartDetectTimeout; time.Sleep(pollInterval) {
 		s.mu.Lock()
-		now := s.fleet.Life(address)
+		current := s.fleet.Life(address)
 		s.mu.Unlock()
-		if now > life {
+		if current > startedMS {
 			return true
 		}
 	}
 	return false
 }
 
-// brokeOff reports whether a connection ended as it does with its process.
-func brokeOff(err error) bool {
+// connectionLost reports whether err is one that the end of the peer's process
+// causes.
+func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// crashedBefore reports whether an endpoint had crashed when an attempt was sent
-// to it, and notes its crash if it is the first that is heard of.
-func (s *Server) crashedBefore(endpoint string, sent, now time.Time) bool {
+// crashedBeforeSend reports whether the endpoint had crashed before an attempt was
+// sent to it. The first report of a crash records its time.
+func (s *Server) crashedBeforeSend(endpoint string, sent, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.crashedAt, func(_ string, at time.Time) bool { return now.Sub(at) > crashSettles })
-	at, known := s.crashedAt[endpoint]
+	maps.DeleteFunc(s.crashedAt, func(_ string, crashedAt time.Time) bool { return now.Sub(crashedAt) > crashSettleTime })
+	crashedAt, known := s.crashedAt[endpoint]
 	if !known {
 		s.crashedAt[endpoint] = now
 		return false
 	}
-	return sent.After(at)
+	return sent.After(crashedAt)
 }
 
-// suspected and quarantined tell what is known of the request.
-func (x *exchange) suspected(now time.Time) bool { return x.standing(now).Suspected() }
+// suspected reports whether endpoints crashed while running the request.
+func (x *exchange) suspected(now time.Time) bool { return x.suspectStatus(now).Suspected() }
 
+// quarantined reports whether the request must not be sent because it is in
+// quarantine.
 func (x *exchange) quarantined(now time.Time) bool {
-	return !x.trial && x.standing(now).Quarantined()
+	return !x.trial && x.suspectStatus(now).Quarantined()
 }
 
-// keptOut reports whether a new try must be sent to no endpoint; one in a while
-// is let through, alone and once, to see whether it is to blame.
-func (x *exchange) keptOut() bool {
+// blockedByQuarantine reports whether a new request must not be sent to any
+// endpoint. From time to time a quarantined request is allowed to run once, as a
+// trial.
+func (x *exchange) blockedByQuarantine() bool {
 	now := x.start
 	if !x.quarantined(now) {
 		return false
 	}
 	x.trial = x.server.suspects.Trial(x.identity, now)
 	if x.trial {
-		x.server.events.Info("request in quarantine runs once", "request", x.id, "identity", x.identity.String())
+		x.server.events.Info("quarantined request runs as a trial", "request", x.id, "identity", x.identity.String())
 	}
 	return !x.trial
 }
 
-// ClearSuspect lets a request out of quarantine, by an operator's word.
+// ClearSuspect removes a request from quarantine on behalf of an operator. It
+// reports whether the request was suspected.
 func (s *Server) ClearSuspect(id quarantine.ID, now time.Time) bool {
 	cleared := s.suspects.Clear(id, now)
 	s.events.Info("request cleared by an operator", "identity", id.String(), "known", cleared)
 	s.mu.Lock()
-	s.tellSoonLocked()
+	s.requestNoticeLocked()
 	s.mu.Unlock()
 	return cleared
 }
 
-func (x *exchange) standing(now time.Time) quarantine.Standing {
+// suspectStatus returns the quarantine status of the request.
+func (x *exchange) suspectStatus(now time.Time) quarantine.Standing {
 	return x.server.suspects.Standing(x.identity, now)
 }
 
-// mustRest reports whether an endpoint has crashed under this try of a request
-// that was suspected before.
-func (x *exchange) mustRest() bool {
-	return x.crashes > 0 && x.standing(clock.Now()).Crashes >= restAfter
+// crashLimitReached reports whether an endpoint crashed during this exchange and
+// the request has at least suspectCrashLimit crashes in all.
+func (x *exchange) crashLimitReached() bool {
+	return x.crashes > 0 && x.suspectStatus(clock.Now()).Crashes >= suspectCrashLimit
 }
 
-// endedWell clears the request of crashes that it was suspected of.
-func (x *exchange) endedWell() {
+// recordCompletion records that the request completed, which clears it of
+// suspicion.
+func (x *exchange) recordCompletion() {
 	if !x.server.suspects.EndedWell(x.identity, clock.Now()) {
 		return
 	}
 	x.server.events.Info("request cleared", "request", x.id, "identity", x.identity.String())
 }
 
-// rejectQuarantined answers a request that is kept from endpoints. A try that has
-// reached none has not run: its caller is told so, and to come back when the request
-// is let in again at the latest, which for one that is to blame is in minutes. One
-// that was sent may have run, so the status promises nothing.
+// rejectQuarantined responds to a request in quarantine. If it was sent to no
+// endpoint, the response says that it has not run, and after which time it leaves
+// quarantine at the latest. If it was sent, it may have run, so the response is 502
+// without Retry-After.
 func (x *exchange) rejectQuarantined() {
-	cause := "in quarantine: endpoints crashed under request " + x.identity.String() + ", and it has ended well at none"
-	if x.mayRun {
-		x.fail(http.StatusBadGateway, outcomeQuarantined, cause)
+	cause := "in quarantine: endpoints crashed while running request " + x.identity.String() + ", and none completed it"
+	if x.mayHaveRun {
+		x.respond(http.StatusBadGateway, outcomeQuarantined, cause)
 		return
 	}
 	left := x.server.suspects.Left(x.identity, clock.Now())
 	x.writer.Header().Set("Retry-After", strconv.FormatFloat(math.Ceil(left.Seconds()), 'f', -1, 64))
-	x.fail(http.StatusServiceUnavailable, outcomeQuarantined, cause)
+	x.respond(http.StatusServiceUnavailable, outcomeQuarantined, cause)
 }
 
-// Suspects returns what other gateways are to be told of requests under which
-// endpoints crashed.
+// Suspects returns the records of suspected requests to be sent to other gateways.
 func (s *Server) Suspects(now time.Time) []quarantine.Record { return s.suspects.Tell(now) }
 
-// HeardSuspects takes what another gateway told.
+// MergeSuspects merges records of suspected requests from another gateway.
 func (s *Server) HeardSuspects(records []quarantine.Record, now time.Time) {
 	if len(records) == 0 || !s.suspects.Merge(records, now) {
 		return
 	}
 	suspected, quarantined := s.suspects.Len(now)
-	s.events.Info("suspects heard", "suspected", suspected, "quarantined", quarantined)
+	s.events.Info("suspects merged", "suspected", suspected, "quarantined", quarantined)
 }
 
-// Relays returns the addresses of the endpoints of a service whose sidecars pass
-// on what gateways tell each other.
+// Relays returns the addresses of the endpoints of a service whose sidecars relay
+// messages between gateways.
 func (s *Server) Relays(service string, now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ingress/endpoints.go
+++ b/ingress/endpoints.go
@@ -9,28 +9,28 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// SetEndpoints replaces the list of endpoints.
+// SetEndpoints replaces the endpoint list.
 func (s *Server) SetEndpoints(records []fleet.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
 	records = s.reconcile(records, now)
-	clear(s.unnamed)
-	named := make([]fleet.Record, 0, len(records))
+	clear(s.unconfigured)
+	configured := make([]fleet.Record, 0, len(records))
 	for _, r := range records {
-		if s.names(r.Service) {
-			named = append(named, r)
+		if s.isConfigured(r.Service) {
+			configured = append(configured, r)
 		} else {
-			s.unnamed[r.ID] = r
+			s.unconfigured[r.ID] = r
 		}
 	}
-	for _, r := range s.fleet.Replace(named) {
-		s.leftBefore(r, now)
+	for _, r := range s.fleet.Replace(configured) {
+		s.recordRemoval(r, now)
 	}
-	s.listed = true
-	s.list.change()
-	s.events.Info("endpoints listed", "count", len(named), "unnamed", len(s.unnamed))
-	s.tellSoonLocked()
+	s.listKnown = true
+	s.list.markChanged()
+	s.events.Info("endpoints listed", "count", len(configured), "unnamed", len(s.unconfigured))
+	s.requestNoticeLocked()
 	s.dispatchAll(now)
 }
 
@@ -38,82 +38,85 @@
 func (s *Server) PutEndpoint(r fleet.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.back.departed, r.ID)
-	delete(s.back.awaited, r.ID)
-	if !s.names(r.Service) {
-		s.setAside(r)
+	delete(s.rollback.removed, r.ID)
+	delete(s.rollback.unconfirmed, r.ID)
+	if !s.isConfigured(r.Service) {
+		s.putUnconfigured(r)
 		return
 	}
-	delete(s.unnamed, r.ID)
+	delete(s.unconfigured, r.ID)
 	s.putLocked(r)
 }
 
-// putLocked adds or changes an endpoint of a service that the configuration
-// names; Server.mu is held.
+// putLocked adds or changes an endpoint of a configured service. Server.mu must be
+// held.
 func (s *Server) putLocked(r fleet.Record) {
 	added := !s.fleet.Has(r.ID)
 	if !s.fleet.Put(r) {
 		return
 	}
-	s.list.change()
+	s.list.markChanged()
 	if added {
-		s.tellSoonLocked()
+		s.requestNoticeLocked()
 	}
 	s.events.Info("endpoint changed", "endpoint", r.ID, "address", r.Address, "service", r.Service, "draining", r.Draining, "models", r.Models, "born", r.Born)
 	s.dispatch(r.Service, clock.Now())
 }
 
-// setAside keeps an entry whose service the configuration does not name: it may
-// be named later, and until then it must not take the place of an endpoint that
-// has the same address. Server.mu is held.
-func (s *Server) setAside(r fleet.Record) {
-	_, known := s.unnamed[r.ID]
-	s.unnamed[r.ID] = r
+// putUnconfigured keeps the entry of an endpoint whose service the configuration
+// lacks, apart from the fleet: the service may be configured later, and until then
+// the entry must not replace an endpoint with the same address. Server.mu must be
+// held.
+func (s *Server) putUnconfigured(r fleet.Record) {
+	_, known := s.unconfigured[r.ID]
+	s.unconfigured[r.ID] = r
 	if s.fleet.Remove(r.ID) || !known {
-		s.list.change()
-		s.events.Info("endpoint unnamed", "endpoint", r.ID, "address", r.Address, "service", r.Service)
+		s.list.markChanged()
+		s.events.Info("endpoint of unconfigured service", "endpoint", r.ID, "address", r.Address, "service", r.Service)
 	}
 }
 
-// putNamed takes the endpoints whose services a new configuration names.
-func (s *Server) putNamed() {
+// putConfigured moves the endpoints whose services a new configuration contains to
+// the fleet.
+func (s *Server) putConfigured() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, r := range s.unnamed {
-		if s.names(r.Service) {
-			delete(s.unnamed, id)
+	for id, r := range s.unconfigured {
+		if s.isConfigured(r.Service) {
+			delete(s.unconfigured, id)
 			s.putLocked(r)
 		}
 	}
 }
 
-// names reports whether the configuration in force names a service.
-func (s *Server) names(service string) bool {
+// isConfigured reports whether the configuration in force contains a service; true
+// if there is no configuration yet.
+func (s *Server) isConfigured(service string) bool {
 	c := s.routes.Get()
 	return c == nil || c.Services[service] != nil
 }
 
-// RemoveEndpoint forgets an endpoint.
+// RemoveEndpoint removes an endpoint.
 func (s *Server) RemoveEndpoint(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.unnamed, id)
+	delete(s.unconfigured, id)
 	if s.removeLocked(id, clock.Now()) {
-		s.events.Info("endpoint gone", "endpoint", id)
+		s.events.Info("endpoint removed", "endpoint", id)
 	}
 }
 
-// removeLocked forgets an endpoint; it returns false for one that is not known.
-// Server.mu is held.
+// removeLocked removes an endpoint from the fleet and records its removal. It
+// returns false if the endpoint is not in the fleet. Server.mu must be held.
 func (s *Server) removeLocked(id string, now time.Time) bool {
 	e := s.fleet.ByID(id)
 	if e == nil {
-		// Another endpoint may have taken its address before its entry ended.
-		s.leftBefore(fleet.Record{ID: id, Born: anyLife}, now)
+		// Another endpoint may have replaced it at its address before.
+		s.recordRemoval(fleet.Record{ID: id, Born: anyIncarnation}, now)
 		return false
 	}
-	s.leftBefore(e.Record, now)
+	s.recordRemoval(e.Record, now)
 	s.fleet.Remove(id)
-	s.list.change()
+	s.list.markChanged()
 	return true
 }
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -22,20 +22,20 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// names of headers in these tests; the product does not care which.
-var names = Headers{
+// testHeaders are the header names in these tests.
+var testHeaders = Headers{
 	RequestID: "Test-Id", Deadline: "Test-Deadline", Seal: "Test-Seal", NotRun: "Test-Not-Run",
 	ExpectEndpoint: "Test-Expect", ExpectVersion: "Test-Version", Workspace: "Test-Workspace",
 	Priority: "Test-Priority", Model: "Test-Model", TokenUsage: "Test-Usage",
 }
 
 const (
-	key   = "key-1"
-	model = "m"
+	testKey   = "key-1"
+	testModel = "m"
 )
 
-// seen is a request as an endpoint got it.
-type seen struct {
+// receivedRequest is a request as an endpoint received it.
+type receivedRequest struct {
 	endpoint string
 	method   string
 	uri      string
@@ -43,34 +43,34 @@
 	body     string
 }
 
-// world is a gateway with endpoints.
-type world struct {
-	t       testing.TB
-	server  *Server
-	address string
-	client  *http.Client
-	mu      sync.Mutex
-	seen    []seen
-	records map[string]fleet.Record
+// testGateway is a gateway with test endpoints.
+type testGateway struct {
+	t        testing.TB
+	server   *Server
+	address  string
+	client   *http.Client
+	mu       sync.Mutex // guards received
+	received []receivedRequest
+	records  map[string]fleet.Record // by endpoint ID
 }
 
 type handler func(w http.ResponseWriter, r *http.Request)
 
-func newWorld(t testing.TB) *world {
+func newTestGateway(t testing.TB) *testGateway {
 	t.Helper()
-	w := &world{t: t, records: make(map[string]fleet.Record)}
-	w.server = New(Settings{
+	g := &testGateway{t: t, records: make(map[string]fleet.Record)}
+	g.server = New(Settings{
 		Place:           fleet.Place{Zone: "z"},
-		Headers:         names,
+		Headers:         testHeaders,
 		Budget:          retrybudget.Params{Ratio: 0.2, Slack: 200, Window: 10 * time.Second, Gateways: 1},
 		VersionDeadline: 8 * time.Second,
 	}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
-	front := httptest.NewServer(w.server)
+	front := httptest.NewServer(g.server)
 	t.Cleanup(front.Close)
-	w.address = front.URL
-	w.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
-	t.Cleanup(w.client.CloseIdleConnections)
-	return w
+	g.address = front.URL
+	g.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
+	t.Cleanup(g.client.CloseIdleConnections)
+	return g
 }
 
 func route(kind routing.Kind, prefix, service string, attempts int) *routing.Route {
@@ -81,102 +81,108 @@
 	}
 }
 
-func (w *world) configure(version int64, extra ...*routing.Route) {
+// configure puts a configuration with routes for plain and streaming requests, and
+// with extra routes, in force.
+func (g *testGateway) configure(version int64, extra ...*routing.Route) {
 	routes := append([]*routing.Route{
 		route(routing.Safe, "/safe/", "plain", 2),
 		route(routing.Unsafe, "/unsafe/", "plain", 1),
 		route(routing.Streaming, "/stream/", "engine", 2),
 	}, extra...)
-	w.server.Apply(routing.New(version, routes,
+	g.server.Apply(routing.New(version, routes,
 		[]*routing.Service{
 			{Name: "plain"},
-			{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: model, ReadRate: 20000, UsualPrompt: 1000}},
+			{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, ReadRate: 20000, UsualPrompt: 1000}},
 		},
-		[]*routing.Workspace{{Name: "w", Keys: []string{key}, Priority: 1}},
+		[]*routing.Workspace{{Name: "w", Keys: []string{testKey}, Priority: 1}},
 		routing.Limits{BodyBytes: 1 << 20}))
 }
 
-// endpoint starts an endpoint and puts it on the list.
-func (w *world) endpoint(id, service string, h handler) {
-	w.t.Helper()
+// startEndpoint starts an endpoint that is served by h and adds it to the list.
+func (g *testGateway) startEndpoint(id, service string, h handler) {
+	g.t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		w.mu.Lock()
-		w.seen = append(w.seen, seen{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
-		w.mu.Unlock()
-		rw.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
+		g.mu.Lock()
+		g.received = append(g.received, receivedRequest{id, r.Method, r.RequestURI, r.Header.Clone(), string(body)})
+		g.mu.Unlock()
+		rw.Header().Set(testHeaders.RequestID, r.Header.Get(testHeaders.RequestID))
 		h(rw, r)
 	}))
-	w.t.Cleanup(s.Close)
+	g.t.Cleanup(s.Close)
 	r := fleet.Record{ID: id, Service: service, Address: strings.TrimPrefix(s.URL, "http://"), Zone: "z"}
 	if service == "engine" {
-		r.Models = map[string]int{model: 1}
+		r.Models = map[string]int{testModel: 1}
 	}
-	w.records[id] = r
-	w.server.PutEndpoint(r)
+	g.records[id] = r
+	g.server.PutEndpoint(r)
 }
 
-func (w *world) requests() []seen {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]seen(nil), w.seen...)
+// requests returns the requests that endpoints have received.
+func (g *testGateway) requests() []receivedRequest {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return append([]receivedRequest(nil), g.received...)
 }
 
-type option func(*http.Request)
+type requestOption func(*http.Request)
 
-func with(name, value string) option { return func(r *http.Request) { r.Header.Set(name, value) } }
+func withHeader(name, value string) requestOption {
+	return func(r *http.Request) { r.Header.Set(name, value) }
+}
 
-// ask sends a request; the answer's body is not read yet.
-func (w *world) ask(ctx context.Context, method, path, body string, options ...option) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, method, w.address+path, strings.NewReader(body))
-	assert.NilError(w.t, err)
+// send sends a request and returns the response, whose body the caller must close.
+func (g *testGateway) send(ctx context.Context, method, path, body string, options ...requestOption) (*http.Response, error) {
+	r, err := http.NewRequestWithContext(ctx, method, g.address+path, strings.NewReader(body))
+	assert.NilError(g.t, err)
 	r.Host = "h.example"
-	r.Header.Set("Authorization", "Bearer "+key)
-	r.Header.Set(names.RequestID, "id-"+path)
-	r.Header.Set(names.Deadline, "2000")
+	r.Header.Set("Authorization", "Bearer "+testKey)
+	r.Header.Set(testHeaders.RequestID, "id-"+path)
+	r.Header.Set(testHeaders.Deadline, "2000")
 	for _, o := range options {
 		o(r)
 	}
-	return w.client.Do(r)
+	return g.client.Do(r)
 }
 
-// get asks and reads the whole answer.
-func (w *world) get(method, path, body string, options ...option) (*http.Response, string) {
-	w.t.Helper()
-	response, err := w.ask(context.Background(), method, path, body, options...)
-	assert.NilError(w.t, err)
+// do sends a request and reads the complete response.
+func (g *testGateway) do(method, path, body string, options ...requestOption) (*http.Response, string) {
+	g.t.Helper()
+	response, err := g.send(context.Background(), method, path, body, options...)
+	assert.NilError(g.t, err)
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	assert.NilError(w.t, err)
+	assert.NilError(g.t, err)
 	return response, string(text)
 }
 
-func ok(body string) handler {
+func respondOK(body string) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "seal")
+		w.Header().Set(testHeaders.Seal, "seal")
 		_, _ = io.WriteString(w, body)
 	}
 }
 
-func status(code int) handler {
+func respondStatus(code int) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(names.Seal, "seal")
+		w.Header().Set(testHeaders.Seal, "seal")
 		w.WriteHeader(code)
 	}
 }
 
-func rejects(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set(names.NotRun, "1")
+// respondNotRun responds that the request was not run.
+func respondNotRun(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set(testHeaders.NotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func breaks(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// events answers with events after the last one that the caller has, up to
-// upTo, and then breaks off unless upTo is the last.
-func events(upTo, last int) handler {
+// respondEvents sends the events from the caller's Last-Event-Id up to upTo. If
+// upTo is less than lastEvent, it aborts the connection within the next event.
+func respondEvents(upTo, lastEvent int) handler {
 	return func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(names.Seal, "seal-"+r.Header.Get(names.ExpectEndpoint))
+		w.Header().Set(testHeaders.Seal, "seal-"+r.Header.Get(testHeaders.ExpectEndpoint))
 		w.Header().Set("Content-Type", "text/event-stream")
 		from := 0
 		if id := r.Header.Get("Last-Event-Id"); id != "" {
@@ -186,17 +192,18 @@
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: token %d\n\n", n, n)
 			w.(http.Flusher).Flush()
 		}
-		if upTo < last {
-			_, _ = io.WriteString(w, "id: 99\nda") // within an event
+		if upTo < lastEvent {
+			_, _ = io.WriteString(w, "id: 99\nda") // truncated event
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-func wholeStream(last int) string {
+// eventsText returns the complete stream of events up to lastEvent.
+func eventsText(lastEvent int) string {
 	var b strings.Builder
-	for n := 1; n <= last; n++ {
+	for n := 1; n <= lastEvent; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", n, n)
 	}
 	return b.String()
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -15,52 +15,56 @@
 type waiter struct {
 	exchange *exchange
 	rank     rank
-	until    time.Time // it is refused then
-	// granted holds one: the endpoint, or nil if it is refused.
-	granted chan *fleet.Endpoint
+	deadline time.Time // when it is refused
+	// assigned has capacity 1 and receives the endpoint, or nil if the request is
+	// refused.
+	assigned chan *fleet.Endpoint
 }
 
-// rank orders waiters: the lower goes first.
+// rank orders waiters. Lower ranks are served first.
 type rank struct {
 	priority int
 	stage    stage
-	// due is when the answer should begin: who has less time left goes first.
-	due time.Time
+	// answerDue is when the response should start; the earliest goes first.
+	answerDue time.Time
 }
 
-// stage orders waiters of one priority. A new request that is answered in time
-// is worth more than one that comes back after a refusal, and either may be
-// refused; a stream that goes on has been promised.
+// stage orders waiters of the same priority. Further attempts of a request go
+// first, because its stream may already have started; new requests go before
+// callers' retries, because they can still meet their target latency.
 type stage int
 
 const (
-	resumed stage = iota
-	fresh
-	returned
+	stageRetry stage = iota
+	stageFirst
+	stageCallerRetry
 )
 
+// stage returns the stage of the next attempt.
 func (x *exchange) stage() stage {
 	switch {
 	case x.attempts > 0:
-		return resumed
-	case x.returned:
-		return returned
+		return stageRetry
+	case x.callerRetry:
+		return stageCallerRetry
 	default:
-		return fresh
+		return stageFirst
 	}
 }
 
 func compareRank(a, b rank) int {
-	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.due.Compare(b.due))
+	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.answerDue.Compare(b.answerDue))
 }
 
-// queue are the waiters of a service, by rank.
+// queue holds the waiters of a service, ordered by rank. Server.mu guards it.
 type queue struct {
 	waiters []*waiter
-	// wakeAt is when the queue is looked at again by itself, or zero.
-	wakeAt time.Time
+	// nextDispatch is the time of the scheduled dispatch, or zero if none was
+	// scheduled.
+	nextDispatch time.Time
 }
 
+// add inserts a waiter by rank, before those of equal rank.
 func (q *queue) add(a *waiter) {
 	at, _ := slices.BinarySearchFunc(q.waiters, a, func(x, y *waiter) int { return compareRank(x.rank, y.rank) })
 	q.waiters = slices.Insert(q.waiters, at, a)
@@ -72,75 +76,74 @@
 	}
 }
 
-// dispatch gives room at endpoints to the waiters of a service, in their
-// order. What each may get is worked out anew: while it waited, a version
-// may have come due. Server.mu is held.
+// dispatch assigns endpoints with spare capacity to the waiters of a service, by
+// rank. Each waiter's query is built anew, because a version's cutoff may have
+// passed meanwhile. Server.mu must be held.
 //
-// Endpoints without room for anybody are sorted out first, once for all
-// waiters: when many wait hardly any has room, and a walk over all endpoints for
-// each waiter, at each report, is more than a gateway has when engines change
-// their version and report a thousand times a second.
+// Endpoints without capacity for any waiter are filtered out once. Searching all
+// endpoints for each waiter, on each load report, costs too much when many requests
+// wait.
 func (s *Server) dispatch(service string, now time.Time) {
-	q := s.waiting[service]
+	q := s.queues[service]
 	if q == nil || len(q.waiters) == 0 {
 		return
 	}
-	defer s.wakeLater(service, q, now)
+	defer s.scheduleDispatch(service, q, now)
 	s.refuseClosed(q, now)
 	if len(q.waiters) == 0 {
 		return
 	}
-	free := s.fleet.Free(s.widest(q.waiters[0].exchange, now), now)
+	free := s.fleet.Free(s.widestQuery(q.waiters[0].exchange, now), now)
 	if len(free) == 0 {
 		return
 	}
-	defer s.askPermits(service, now)
+	defer s.queuePermitRequests(service, now)
 	kept := q.waiters[:0]
 	for _, w := range q.waiters {
-		q := s.query(w.exchange, now)
+		q := s.attemptQuery(w.exchange, now)
 		e := s.fleet.ChooseAmong(free, q, now)
 		if e == nil {
 			kept = append(kept, w)
 			continue
 		}
-		w.exchange.alone = q.Alone
-		w.exchange.permitted = e.Signals.Limited()
+		w.exchange.isolated = q.Alone
+		w.exchange.hasPermit = e.Signals.Limited()
 		if e.Signals.Limited() {
 			s.metrics.Counter("mintlift_ingress_limited_requests_total", "service", service).Inc()
 		}
-		w.granted <- e
+		w.assigned <- e
 	}
 	clear(q.waiters[len(kept):])
 	q.waiters = kept
 }
 
-// refuseClosed refuses the waiters for which all endpoints are closed, by their own
-// words, for longer than they wait. Server.mu is held.
+// refuseClosed refuses the waiters for which all endpoints are closed by their own
+// signals until after the waiter's deadline. Server.mu must be held.
 func (s *Server) refuseClosed(q *queue, now time.Time) {
-	if s.fleet.Closed(s.widest(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
+	if s.fleet.Closed(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
 		return
 	}
 	q.waiters = slices.DeleteFunc(q.waiters, func(w *waiter) bool {
-		c := s.fleet.Closed(s.servable(w.exchange, now), w.until, now)
+		c := s.fleet.Closed(s.servableQuery(w.exchange, now), w.deadline, now)
 		if c.Reason == fleet.Open {
 			return false
 		}
-		w.granted <- nil
+		w.assigned <- nil
 		return true
 	})
 }
 
-// wakeLater lets the waiters of a service be looked at again when the next endpoint
-// may get a request: nothing else happens then. Server.mu is held.
-func (s *Server) wakeLater(service string, q *queue, now time.Time) {
+// scheduleDispatch schedules a dispatch for when the next endpoint opens, as no
+// other event may trigger one then. Server.mu must be held.
+func (s *Server) scheduleDispatch(service string, q *queue, now time.Time) {
 	if len(q.waiters) == 0 {
 		return
 	}
 	at := s.fleet.Opens(service, now)
-	if at.IsZero() || q.wakeAt.After(now) && !at.Before(q.wakeAt) {
+	if at.IsZero() || q.nextDispatch.After(now) && !at.Before(q.nextDispatch) {
 		return
 	}
-	q.wakeAt = at
+	q.nextDispatch = at
 	time.AfterFunc(at.Sub(now), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -148,8 +151,9 @@
 	})
 }
 
+// dispatchAll dispatches the waiters of all services. Server.mu must be held.
 func (s *Server) dispatchAll(now time.Time) {
-	for service := range s.waiting {
+	for service := range s.queues {
 		s.dispatch(service, now)
 	}
 }
--- /dev/null
+++ b/ingress/stats.go
@@ -0,0 +1,77 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package ingress
+
+import (
+	"math"
+	"sync"
+	"time"
+)
+
+// statsDecay is the time constant of requestStats.
+const statsDecay = 1500 * time.Millisecond
+
+// requestStats counts a service's requests and refusals with exponential decay. It
+// is safe for concurrent use.
+type requestStats struct {
+	mu                sync.Mutex // guards all fields
+	requests, refused float64
+	updatedAt         time.Time
+}
+
+// decay reduces the counts by the time since the last update. requestStats.mu must
+// be held.
+func (p *requestStats) decay(now time.Time) {
+	keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(statsDecay))
+	p.requests *= keep
+	p.refused *= keep
+	p.updatedAt = now
+}
+
+// record counts a request.
+func (p *requestStats) record(refused bool, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.decay(now)
+	p.requests++
+	if refused {
+		p.refused++
+	}
+}
+
+// refusedShare returns the share of recent requests that were refused, from 0 to 1;
+// 0 while there are too few.
+func (p *requestStats) refusedShare(now time.Time) float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.decay(now)
+	if p.requests < 1 {
+		return 0
+	}
+	return p.refused / p.requests
+}
+
+// requestRate returns the recent requests per second.
+func (p *requestStats) requestRate(now time.Time) float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.decay(now)
+	return p.requests / statsDecay.Seconds()
+}
+
+// Demand returns the recent requests per second for a service.
+func (s *Server) Demand(service string, now time.Time) float64 {
+	return s.statsOf(service).requestRate(now)
+}
+
+// statsOf returns the request counts of a service.
+func (s *Server) statsOf(service string) *requestStats {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.stats[service]
+	if p == nil {
+		p = &requestStats{}
+		s.stats[service] = p
+	}
+	return p
+}
--- /dev/null
+++ b/ingress/timeouts_test.go
@@ -0,0 +1,60 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package ingress
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/mintlift/mintlift/routing"
+)
+
+// Callers' retries are distinguished from first tries, both if all first tries send
+// the same time and if they send from 0.85 to 1 of the route's timeout.
+func TestCallerRetriesAreDetected(t *testing.T) {
+	const timeout = 6 * time.Second
+	for _, spread := range []float64{0, 0.15} {
+		g := newTestGateway(t)
+		r := route(routing.Streaming, "/s/", "engine", 2)
+		now := time.Now()
+		firstTryTimeout := func() time.Duration {
+			return time.Duration(float64(timeout) * (1 - spread*rand.Float64()))
+		}
+		misdetected := 0
+		for n := range 2000 {
+			now = now.Add(10 * time.Millisecond)
+			if g.server.isCallerRetry(r, "engine", firstTryTimeout(), timeout, now) && n > 200 {
+				misdetected++
+			}
+		}
+		assert.Assert(t, misdetected < 20, "%d first tries taken for retries", misdetected)
+		lowest := time.Duration(float64(timeout) * (1 - spread))
+		assert.Assert(t, g.server.isCallerRetry(r, "engine", lowest-retryAfterMin, timeout, now))
+		// Nothing is learned from retries while requests are refused.
+		for range 20 {
+			g.server.statsOf("engine").record(true, now)
+		}
+		for range 500 {
+			g.server.isCallerRetry(r, "engine", lowest/2, timeout, now)
+		}
+		assert.Assert(t, g.server.isCallerRetry(r, "engine", lowest-retryAfterMin, timeout, now))
+	}
+}
+
+// Before there are enough samples, first tries are expected to send the whole
+// timeout. Plain requests never count as retries.
+func TestCallerRetryBeforeEnoughSamples(t *testing.T) {
+	g := newTestGateway(t)
+	r := route(routing.Streaming, "/s/", "engine", 2)
+	now := time.Now()
+	assert.Assert(t, g.server.isCallerRetry(r, "engine", time.Second, 6*time.Second, now))
+	assert.Assert(t, !g.server.isCallerRetry(r, "engine", 6*time.Second, 6*time.Second, now))
+	plain := route(routing.Safe, "/p/", "plain", 2)
+	for range 2 * minTimeoutSamples {
+		g.server.isCallerRetry(plain, "plain", 6*time.Second, 6*time.Second, now)
+	}
+	assert.Assert(t, !g.server.isCallerRetry(plain, "plain", time.Second, 6*time.Second, now))
+}
