--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -64,7 +64,7 @@
 // newer configuration may exist, it refuses the request as retryable instead.
 func (x *exchange) denyIfCurrent(status int, cause string) {
 	if current := x.server.settings.Current; current != nil && !current() {
-		x.refuse("configuration may be outdated: "+cause, retryAfterMin)
+		x.refuse("configuration may be old: "+cause, retryAfterMin)
 		return
 	}
 	x.deny(status, cause)
@@ -107,9 +107,9 @@
 	case c.Reason == fleet.Open:
 		return x.lastCauseOr("no endpoint has room")
 	case c.Until.IsZero():
-		return fmt.Sprintf("all endpoints %s: for example %s", c.Reason, c.Endpoint)
+		return fmt.Sprintf("all endpoints %s: %s is one", c.Reason, c.Endpoint)
 	default:
-		return fmt.Sprintf("all endpoints %s: %s takes requests first, in %d ms", c.Reason, c.Endpoint, clock.Until(c.Until).Milliseconds())
+		return fmt.Sprintf("all endpoints %s: %s opens first, in %d ms", c.Reason, c.Endpoint, clock.Until(c.Until).Milliseconds())
 	}
 }
 
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -185,7 +185,7 @@
 // quarantine at the latest. If it was sent, it may have run, so the response is 502
 // without Retry-After.
 func (x *exchange) rejectQuarantined() {
-	cause := "in quarantine: endpoints crashed while running request " + x.identity.String() + ", and none completed it"
+	cause := "in quarantine: endpoints crashed under request " + x.identity.String() + ", and it has ended well at none"
 	if x.mayHaveRun {
 		x.respond(http.StatusBadGateway, outcomeQuarantined, cause)
 		return
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -22,7 +22,7 @@
 const maxResponseBytes = 8 << 20
 
 // errStalled cancels an attempt whose endpoint has sent nothing for too long.
-const errStalled = errors.ConstError("the endpoint sent nothing within the time limit")
+const errStalled = errors.ConstError("the endpoint has fallen silent")
 
 // attemptTimeShare is the share of the remaining time that an attempt may take
 // while another endpoint could still be tried. It leaves time for a retry if an
@@ -30,7 +30,7 @@
 const attemptTimeShare = 0.5
 
 // errResponseTooLarge reports a response larger than maxResponseBytes.
-const errResponseTooLarge = errors.ConstError("the response is too large")
+const errResponseTooLarge = errors.ConstError("the answer is too large")
 
 // reply is a complete response of an endpoint.
 type reply struct {
@@ -190,7 +190,7 @@
 		return nil, x.attemptStalled(e)
 	}
 	if err != nil {
-		x.lastCause = "response broke off: " + err.Error()
+		x.lastCause = "answer broke off: " + err.Error()
 		x.server.log.Info("response incomplete", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "error", err.Error())
 		if ctx.Err() != nil {
 			x.finishAttempt(e, fleet.Abandoned)
@@ -204,7 +204,7 @@
 	if v == verdictOK {
 		x.finishAttempt(e, fleet.Answered)
 	} else {
-		x.lastCause = "endpoint answered with an error"
+		x.lastCause = "endpoint failed"
 		x.finishAttempt(e, fleet.Failed)
 	}
 	return &reply{status: response.Status, header: response.Header, body: body}, v
@@ -220,7 +220,7 @@
 		x.finishAttempt(e, rejectionResult(response.Status))
 		return
 	}
-	x.lastCause = "response without seal, or encoded"
+	x.lastCause = "answer without seal"
 	x.server.log.Info("response invalid", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "status", response.Status)
 	x.finishAttempt(e, fleet.Failed)
 }
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -32,7 +32,7 @@
 )
 
 // errEventGap reports an event whose ID does not follow the last one.
-const errEventGap = errors.ConstError("event IDs are not consecutive")
+const errEventGap = errors.ConstError("events do not follow")
 
 // streamExchange is an exchange whose response is a stream of events.
 type streamExchange struct {
