--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -54,7 +54,7 @@
 
 // relayStream relays a streamed response event by event. If the connection to
 // the sidecar or the engine is interrupted, it resumes after the last event, so
-// that the caller receives each event exactly once.
+// that the caller receives no event twice.
 func (d *Daemon) relayStream(w http.ResponseWriter, q *request, ep route.Endpoint, ref weights.Ref, resp *http.Response) attemptResult {
 	d.setResponseHeaders(w, q, ref, resp.Header.Get("Content-Type"))
 	w.Header().Set("Cache-Control", "no-store")
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -222,7 +222,8 @@
 // off. If all are, it returns the preferred one regardless, but false once per
 // directFallbackInterval, so that the caller reads from the platform. The
 // interval keeps hundreds of sidecars from reading from the log simultaneously
-// while the log or all gateways are impaired.
+// while the log or all gateways are impaired. Without a listed gateway it always
+// returns false.
 func (d *Directory) chooseGateway(now time.Time) (membership.Box, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
