--- a/gateway/accept.go
+++ b/gateway/accept.go
@@ -25,7 +25,7 @@
 	q := &request{id: uuid.NewString(), method: r.Method, path: r.URL.Path, query: r.URL.RawQuery, header: r.Header, key: r.Header.Get(headerKey), ctx: r.Context()}
 	if d.Requests.Draining() {
 		w.Header().Set("Connection", "close")
-		fail := notRun(http.StatusServiceUnavailable, "draining", "the gateway is draining")
+		fail := notRun(http.StatusServiceUnavailable, "draining", "this gateway is leaving")
 		fail.retryAfter = shedRetryAfter
 		return q, q.unknownIfKeyed(fail)
 	}
@@ -36,7 +36,7 @@
 	q.workspace = ws
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, httpserve.MaxBody))
 	if err != nil {
-		return q, q.unknownIfKeyed(notRun(http.StatusRequestEntityTooLarge, "body", "the request body is too large or incomplete"))
+		return q, q.unknownIfKeyed(notRun(http.StatusRequestEntityTooLarge, "body", "the request's body is too large or broke off"))
 	}
 	q.body = body
 	return q, nil
@@ -48,7 +48,7 @@
 func (q *request) unknownIfKeyed(fail *failure) *failure {
 	if q.key != "" && fail.outcome == outcome.NotRun {
 		fail.outcome = outcome.Unknown
-		fail.message += "; this attempt did not run, but an earlier one with the same key may have"
+		fail.message += "; this attempt did not run, an earlier one with the same key may have"
 	}
 	return fail
 }
@@ -59,7 +59,7 @@
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		d.Log.Info("callers: workspace key missing", "from", r.RemoteAddr)
-		return workspace.Workspace{}, notRun(http.StatusUnauthorized, "unauthorized", "workspace key missing: send it as \"Authorization: Bearer KEY\"")
+		return workspace.Workspace{}, notRun(http.StatusUnauthorized, "unauthorized", "no workspace key: send it as \"Authorization: Bearer KEY\"")
 	}
 	hash := workspace.HashKey(key)
 	var ws workspace.Workspace
@@ -72,7 +72,7 @@
 	})
 	if ws.Name == "" {
 		d.Log.Info("callers: unknown workspace key", "from", r.RemoteAddr)
-		return ws, notRun(http.StatusForbidden, "forbidden", "the key does not belong to any workspace")
+		return ws, notRun(http.StatusForbidden, "forbidden", "the key belongs to no workspace")
 	}
 	return ws, nil
 }
@@ -90,7 +90,7 @@
 func (d *Daemon) routeModel(q *request) *failure {
 	var body modelRequest
 	if err := json.Unmarshal(q.body, &body); err != nil || body.Model == "" {
-		return q.unknownIfKeyed(notRun(http.StatusBadRequest, "invalid", "the body is not a JSON object with the field \"model\""))
+		return q.unknownIfKeyed(notRun(http.StatusBadRequest, "invalid", "the body is not a JSON object with a model"))
 	}
 	model, version, pinned := strings.Cut(body.Model, "@")
 	d.Replica.View(func(s *state.State) {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -76,13 +76,13 @@
 	if errors.Is(err, call.ErrNotSent) {
 		stage = outcome.Waiting
 	}
-	fail := &failure{status: http.StatusBadGateway, code: "endpoint_failed", outcome: outcome.Of(stage), message: "the endpoint on box " + ep.Box + " did not respond"}
+	fail := &failure{status: http.StatusBadGateway, code: "endpoint_failed", outcome: outcome.Of(stage), message: "the endpoint on box " + ep.Box + " did not answer"}
 	if stage == outcome.Waiting {
 		fail.status, fail.retryAfter = http.StatusServiceUnavailable, shedRetryAfter
 	}
 	ctxDone := q.ctx.Err() != nil
 	if ctxDone {
-		fail.status, fail.code, fail.message = http.StatusGatewayTimeout, "deadline", "the deadline passed before the response"
+		fail.status, fail.code, fail.message = http.StatusGatewayTimeout, "deadline", "the deadline passed before the answer"
 		d.cancelRun(q, ep)
 	}
 	return attemptResult{failure: fail, healthy: ctxDone}
@@ -93,7 +93,7 @@
 // the reason.
 func (d *Daemon) refusal(ep route.Endpoint, resp *http.Response) attemptResult {
 	reason := peer.Reason(resp.Header.Get(peer.HeaderReason))
-	fail := &failure{status: resp.StatusCode, code: string(reason), outcome: outcome.Outcome(resp.Header.Get(peer.HeaderOutcome)), message: "the endpoint refused the request"}
+	fail := &failure{status: resp.StatusCode, code: string(reason), outcome: outcome.Outcome(resp.Header.Get(peer.HeaderOutcome)), message: "refused by the endpoint"}
 	var body peer.Refusal
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBufferedBytes)).Decode(&body); err == nil {
 		fail.message = body.Error.Message
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -61,12 +61,12 @@
 	for attempt := range maxClaimAttempts {
 		home, offset, ok := d.homeOf(q)
 		if !ok {
-			lastError = "the key has no home"
+			lastError = "no home is known for the key"
 			break
 		}
 		address, ok := d.addressOf(home.Box)
 		if !ok {
-			lastError = "the box of the key's home is not in the box list"
+			lastError = "the key's home has left"
 			break
 		}
 		ctx, cancel := context.WithTimeout(q.ctx, claimTimeout)
@@ -77,13 +77,13 @@
 			return home, result, nil
 		}
 		if err != nil {
-			lastError = "the key's home on box " + home.Box + " does not respond"
+			lastError = "the key's home on box " + home.Box + " does not answer"
 			continue
 		}
 		lastError = result.Message
 		d.awaitOffset(q.ctx, result.Offset)
 	}
-	fail := unknownOutcome("no_home", lastError+"; this attempt did not run, but an earlier one may have")
+	fail := unknownOutcome("no_home", lastError+"; this attempt did not run, an earlier one may have")
 	fail.status, fail.retryAfter = http.StatusServiceUnavailable, shedRetryAfter
 	return state.Home{}, peer.Claimed{}, fail
 }
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -163,13 +163,13 @@
 // whole.
 func (d *Daemon) admitAndRun(w http.ResponseWriter, q *request) (*failure, *dedup.Answer) {
 	if !d.workspaceLimits.Enter(q.workspace.Name, q.workspace.MaxInFlight) {
-		fail := notRun(http.StatusTooManyRequests, "workspace_limit", "the workspace has reached its limit of requests in progress")
+		fail := notRun(http.StatusTooManyRequests, "workspace_limit", "the workspace has as many requests in progress as it may")
 		fail.retryAfter = shedRetryAfter
 		return fail, nil
 	}
 	defer d.workspaceLimits.Leave(q.workspace.Name)
 	if err := d.gate.Acquire(q.ctx, q.workspace.Priority, q.workspace.Name); err != nil {
-		fail := notRun(http.StatusTooManyRequests, "overloaded", "the gateway is overloaded")
+		fail := notRun(http.StatusTooManyRequests, "overloaded", "the system is overloaded")
 		fail.retryAfter = shedRetryAfter
 		return fail, nil
 	}
@@ -181,7 +181,7 @@
 // run tries endpoints until one has responded or no further attempt is allowed.
 func (d *Daemon) run(w http.ResponseWriter, q *request) (*failure, *dedup.Answer) {
 	var tried []string
-	fail := notRun(http.StatusServiceUnavailable, "no_endpoint", "no endpoint is available for the request")
+	fail := notRun(http.StatusServiceUnavailable, "no_endpoint", "no endpoint can take the request now")
 	fail.retryAfter = shedRetryAfter
 	attempts, staleRoutes := 0, 0
 	for attempts < maxAttempts && staleRoutes < maxStaleRoutes {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -74,12 +74,12 @@
 		if errors.Is(err, errCallerGone) {
 			return attemptResult{responseStarted: true, healthy: true}
 		}
-		return s.abort(unknownOutcome("deadline", "the deadline passed during the response"), true)
+		return s.abort(unknownOutcome("deadline", "the deadline passed in the middle of the answer"), true)
 	case errors.Is(err, errMismatch):
 		d.Log.Error(err, "requests: stream aborted", "request", q.id, "box", ep.Box)
-		return s.abort(unknownOutcome("mismatch", "the response does not match the request"), false)
+		return s.abort(unknownOutcome("mismatch", "the answer did not belong to the request"), false)
 	default:
-		return s.abort(unknownOutcome("answer_cut", "the endpoint's response was interrupted"), false)
+		return s.abort(unknownOutcome("answer_cut", "the endpoint's answer broke off"), false)
 	}
 }
 
