--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package eventlog is mintlift's side of the platform's log service. What
-// must be agreed or kept is a Record on the log; the order of offsets is
-// the order in which everything happened.
+// Package eventlog is a client for the platform's log service, an ordered,
+// append-only log with consecutive offsets. State that all processes must
+// agree on, or that must be durable, is written to the log as a Record; the
+// order of offsets is the order of events.
 //
-// Client speaks the service's protocol. Append settles an append whose
-// answer was lost by looking for the record's id, so that a record counts
-// once however often it was sent. Reader yields records in offset order and
-// reports a gap instead of skipping it. The same protocol is served by
-// gateways as a relay, so a Client can read from either.
+// Client implements the service's protocol. Gateways serve the read half of
+// it as a relay, so a Client can read from either. Commit appends a record
+// and retries under the same record id until the record has been applied, so
+// that a record takes effect at most once even if a response was lost.
 package eventlog
 
 import (
@@ -24,51 +24,54 @@
 	"github.com/mintlift/mintlift/internal/call"
 )
 
-// Streams of the log service.
+// Names of the streams in the log service.
 const (
-	// ConfigStream holds the records that the state is folded from.
+	// ConfigStream holds the records from which package state builds the state.
 	ConfigStream = "mintlift-config"
-	// CheckpointStream holds checkpoints of the state.
+	// CheckpointStream holds checkpoints of that state.
 	CheckpointStream = "mintlift-checkpoints"
 )
 
-// Schema is the number that records of this release carry.
+// Schema is the schema version of the records that this release writes, and the
+// highest that it reads.
 const Schema = 1
 
-// Errors of this package.
+// Errors of reads and of Commit.
 const (
-	// ErrGone says that the offsets asked for have left the log's retention.
+	// ErrGone is returned by Client.Read if the requested offset is below the
+	// first retained one.
 	ErrGone = errors.ConstError("log records have been removed")
-	// ErrOtherEra says that the log has come back from an older copy: its offsets
-	// are those of another history.
-	ErrOtherEra = errors.ConstError("log came back from an older copy")
-	// ErrUnsettled says that a record may or may not stand in the log.
+	// ErrEraChanged means that the log was restored from an older copy: its
+	// offsets may refer to other records than those that were applied.
+	ErrEraChanged = errors.ConstError("log was restored from an older copy")
+	// ErrOutcomeUnknown means that the record may or may not be in the log.
 	ErrUnsettled = errors.ConstError("log did not confirm the record")
-	// ErrUnavailable says that the record does not stand in the log: every
-	// attempt was refused before it could take effect.
+	// ErrUnavailable means that the record is not in the log: no attempt to
+	// append it reached the log or was accepted by it.
 	ErrUnavailable = errors.ConstError("log service is not available")
 )
 
-// Kind names what a record says.
+// Kind is the type of a record; it determines the type of its body.
 type Kind string
 
 // Record is one entry of the configuration stream.
 type Record struct {
-	// Offset is given by the log.
+	// Offset is assigned by the log.
 	Offset int64 `json:"-"`
-	// ID identifies the record; a second record with the same id counts for
-	// nothing.
+	// ID is the idempotency key of the record: a later record with the same id
+	// has no effect.
 	ID     string `json:"id"`
 	Schema int    `json:"schema"`
 	Kind   Kind   `json:"kind"`
-	// At is the writer's clock in Unix milliseconds. Only expiry uses it.
+	// At is the time of writing by the writer's clock, in Unix milliseconds.
 	At int64 `json:"at"`
-	// By names the operator or process that wrote the record.
+	// By is the name of the operator or process that wrote the record.
 	By   string          `json:"by,omitempty"`
 	Body json.RawMessage `json:"body"`
 }
 
-// NewRecord returns a record with a fresh id.
+// NewRecord returns a record of the current schema with a random id. It fails
+// if body cannot be encoded as JSON.
 func NewRecord(kind Kind, by string, at time.Time, body any) (Record, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -83,107 +86,112 @@
 	Data   json.RawMessage `json:"data"`
 }
 
-// Page is an answer of the log service to a read.
+// Page is the response to a read.
 type Page struct {
-	// First is the lowest offset still kept; Next is the one after the last.
+	// First is the lowest offset that is retained, Next the offset that the next
+	// appended record gets.
 	First int64 `json:"first"`
 	Next  int64 `json:"next"`
-	// Era rises when the log comes back from an older copy and gives offsets out
-	// again.
+	// Era is incremented each time the log is restored from an older copy, after
+	// which it assigns some offsets a second time.
 	Era int64 `json:"era,omitempty"`
-	// AgeMS is how long ago a relay itself heard the log; the log service
-	// leaves it out.
+	// AgeMS is the time in milliseconds since a relay last read the log; the log
+	// service omits it.
 	AgeMS int64 `json:"age_ms,omitempty"`
-	// BoxesTag is the tag of the box list that a relay has.
+	// BoxesTag is the entity tag of a relay's box list; the log service omits it.
 	BoxesTag string  `json:"boxes_tag,omitempty"`
 	Records  []Entry `json:"records"`
 }
 
-// Appended is an answer of the log service to an append.
+// AppendResponse is the response to an append.
 type Appended struct {
 	Offset int64 `json:"offset"`
 }
 
-// Client speaks to the log service, or to a gateway that relays it.
+// Client calls the log service, or a gateway that relays it.
 type Client struct {
 	Call *call.Client
-	// Address is the IP and port of the service.
+	// Address is the host:port of the service.
 	Address string
 }
 
-// Bounds of a read.
 const (
-	pageLimit     = 500
-	retryPause    = 200 * time.Millisecond
-	retryPauseMax = 3 * time.Second
+	// pageLimit is the maximum number of records that a read returns.
+	pageLimit       = 500
+	retryBackoffMin = 200 * time.Millisecond
+	retryBackoffMax = 3 * time.Second
 )
 
-// Read returns the records from offset on; it waits up to wait for one.
-// ErrGone says that from lies before the first offset kept; the page then
-// carries First and Next.
+// Read returns the records of a stream at offset from and above, at most
+// pageLimit. If there is none, the service waits up to wait for one before it
+// responds with an empty page. If from is below the first retained offset, the
+// error is ErrGone and the page contains First and Next.
 func (c *Client) Read(ctx context.Context, stream string, from int64, wait time.Duration) (Page, error) {
 	url := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", c.url(stream), from, pageLimit, wait.Milliseconds())
 	var p Page
 	err := c.Call.JSON(ctx, http.MethodGet, url, nil, &p)
 	var se *call.StatusError
 	if errors.As(err, &se) && se.Code == http.StatusGone {
-		if bad := json.Unmarshal([]byte(se.Body), &p); bad != nil {
-			return p, errors.Annotate(bad, "log's answer about removed records")
+		if decodeErr := json.Unmarshal([]byte(se.Body), &p); decodeErr != nil {
+			return p, errors.Annotate(decodeErr, "decoding the log's response to a read of removed records")
 		}
 		return p, errors.WithType(err, ErrGone)
 	}
 	return p, err
 }
 
-// Append adds data once, without settling a lost answer.
+// Append appends data to a stream in a single attempt and returns its offset.
+// After an error the data may have been appended nevertheless; see Commit.
 func (c *Client) Append(ctx context.Context, stream string, data any) (int64, error) {
-	var a Appended
-	err := c.Call.JSON(ctx, http.MethodPost, c.url(stream), data, &a)
-	return a.Offset, err
+	var response Appended
+	err := c.Call.JSON(ctx, http.MethodPost, c.url(stream), data, &response)
+	return response.Offset, err
 }
 
 func (c *Client) url(stream string) string {
 	return c.Call.URL(c.Address, "/streams/"+stream+"/records")
 }
 
-// Settler tells whether a record with this id has been applied, as the
-// state that follows the log does.
-type Settler interface {
+// AppliedChecker reports whether the record with an id was read back from the
+// log and applied to the local state.
+type AppliedChecker interface {
 	Applied(id string) bool
 }
 
-// Commit appends r until its id is seen by the settler, and no longer than
-// ctx lasts. An answer that was lost is never guessed at: the record is
-// sent again under the same id, and the log's order decides which counts.
-// ErrUnavailable says that it certainly does not stand; ErrUnsettled that
-// this is not known.
-func Commit(ctx context.Context, c *Client, s Settler, r Record) error {
-	sent, pause := false, retryPause
+// Commit appends r and waits until applied reports its id. After a failed
+// append, or a lost response, it appends r again under the same id, with
+// exponential backoff, until ctx ends; the first record with the id takes
+// effect. When ctx ends, the error is ErrUnavailable if r is certainly not in
+// the log, and ErrOutcomeUnknown if it may be. Any 4xx response except 429 is
+// returned at once.
+func Commit(ctx context.Context, c *Client, applied AppliedChecker, r Record) error {
+	maybeWritten, backoff := false, retryBackoffMin
 	for {
 		_, err := c.Append(ctx, ConfigStream, r)
 		if err == nil {
-			return waitApplied(ctx, s, r.ID)
+			return waitApplied(ctx, applied, r.ID)
 		}
-		if !refused(err) {
-			sent = true
+		if !notWritten(err) {
+			maybeWritten = true
 		}
 		if status := call.Status(err); status >= 400 && status < 500 && status != http.StatusTooManyRequests {
-			return errors.Annotatef(err, "log refuses record %s", r.ID)
+			return errors.Annotatef(err, "log rejected record %s", r.ID)
 		}
 		select {
 		case <-ctx.Done():
-			return unsettled(s, r.ID, sent, err)
-		case <-time.After(pause):
-			pause = min(2*pause, retryPauseMax)
+			return commitOutcome(applied, r.ID, maybeWritten, err)
+		case <-time.After(backoff):
+			backoff = min(2*backoff, retryBackoffMax)
 		}
-		if s.Applied(r.ID) {
+		if applied.Applied(r.ID) {
 			return nil
 		}
 	}
 }
 
-// refused reports whether the log certainly did not take the record.
-func refused(err error) bool {
+// notWritten reports whether an append that failed with err certainly did not
+// add the record to the log.
+func notWritten(err error) bool {
 	if errors.Is(err, call.ErrNotSent) {
 		return true
 	}
@@ -191,23 +199,29 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-func waitApplied(ctx context.Context, s Settler, id string) error {
-	const step = 5 * time.Millisecond
-	for !s.Applied(id) {
+// waitApplied polls until the record with this id is applied. If ctx ends before,
+// it returns ErrOutcomeUnknown: the record is in the log, but its effect is not
+// known.
+func waitApplied(ctx context.Context, applied AppliedChecker, id string) error {
+	const pollInterval = 5 * time.Millisecond
+	for !applied.Applied(id) {
 		select {
 		case <-ctx.Done():
-			return errors.WithType(errors.Errorf("record %s stands in the log but has not come back", id), ErrUnsettled)
-		case <-time.After(step):
+			return errors.WithType(errors.Errorf("record %s was appended to the log but has not been applied here yet", id), ErrUnsettled)
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-func unsettled(s Settler, id string, sent bool, cause error) error {
+// commitOutcome returns the result of a Commit whose ctx ended: nil if the record
+// was applied after all, ErrOutcomeUnknown if an attempt may have written it, and
+// ErrUnavailable otherwise. cause is the error of the last attempt.
+func commitOutcome(applied AppliedChecker, id string, maybeWritten bool, cause error) error {
 	switch {
-	case s.Applied(id):
+	case applied.Applied(id):
 		return nil
-	case sent:
+	case maybeWritten:
 		return errors.WithType(errors.Annotatef(cause, "record %s", id), ErrUnsettled)
 	default:
 		return errors.WithType(errors.Annotatef(cause, "record %s", id), ErrUnavailable)
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -1,14 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package intent holds what operators want and what mintlift answers: an
-// Intent, the Plan that would carry it out, and the rules by which a plan
-// is confirmed, refused or superseded.
+// Package intent defines intents, which operators submit, and rollout plans,
+// which mintlift computes from them.
 //
-// Make computes a plan from a state of the world that the caller passes in;
-// it moves nothing. A plan names the log offset that it was made from, and
-// Conflicts decides by offsets alone whether a later record touched the
-// same boxes or workspaces, so that two operators who race get one winner
-// whichever gateway each of them used.
+// NewPlan computes a plan from a Snapshot of the cluster without changing
+// anything. A plan contains the log offset of its snapshot, and ConflictReason
+// compares that offset with the offsets of the last changes to the plan's boxes
+// and workspaces. So of two conflicting plans only the one that is confirmed
+// first in the log takes effect, whichever gateways the operators used.
 //
 // The package does no I/O.
 package intent
@@ -23,39 +22,43 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Weighing says which of the two measures a plan favours.
+// Weighing selects which of two costs a plan keeps low.
 type Weighing string
 
-// The weighings.
 const (
-	// TimeToReplicas spends origin bytes to have replicas sooner.
+	// TimeToReplicas lets boxes read an extra copy from the origin so that all
+	// replicas are ready sooner.
 	TimeToReplicas Weighing = "time_to_replicas"
-	// OriginBytes reads each byte from the origin once.
+	// OriginBytes reads each chunk from the origin once.
 	OriginBytes Weighing = "origin_bytes"
 )
 
-// Valid reports whether w is one of the weighings.
+// Valid reports whether w is TimeToReplicas or OriginBytes.
 func (w Weighing) Valid() bool { return w == TimeToReplicas || w == OriginBytes }
 
-// Intent is an operator's wish: which version serves which workspaces, where
-// and at what priority.
+// Intent is an operator's request for a rollout: which model version is to serve
+// which workspaces, on which boxes and at what priority.
 type Intent struct {
 	ID string `json:"id"`
 	weights.Ref
-	// Workspaces are served by the version once the plan is confirmed.
+	// Workspaces lists the workspaces that the version serves once the plan is
+	// confirmed.
 	Workspaces []string `json:"workspaces"`
-	// Zones and Boxes narrow the boxes; both empty means every model box.
+	// Zones and Boxes restrict the boxes; both empty means every box that runs a
+	// model engine.
 	Zones []string `json:"availability_zones,omitempty"`
 	Boxes []string `json:"boxes,omitempty"`
-	// Replicas bounds the number of boxes; 0 takes all that match.
+	// Replicas limits the number of boxes; 0 means no limit.
 	Replicas int `json:"replicas,omitempty"`
-	// Priority overrides the highest priority that the workspaces pay.
+	// Priority, 1 to 100, overrides the highest priority of the workspaces; 0
+	// means that one.
 	Priority int `json:"priority,omitempty"`
-	// Weighing overrides the deployment's setting.
+	// Weighing overrides the deployment's setting if it isn't empty.
 	Weighing Weighing `json:"weighing,omitempty"`
 }
 
-// Validate reports the first value that no state could make right.
+// Validate returns a NotValid error for the first field whose value is invalid in
+// any cluster.
 func (in *Intent) Validate() error {
 	switch {
 	case !in.Valid():
@@ -72,45 +75,54 @@
 	return nil
 }
 
-// Status is how far a plan has come by the log's order.
+// Status is the state of a plan in its life cycle. It depends only on the order of
+// records in the log.
 type Status string
 
-// The statuses. Only a proposed plan can be confirmed.
 const (
-	Proposed   Status = "proposed"
-	Confirmed  Status = "confirmed"
-	Rejected   Status = "rejected"
+	// Proposed is the initial status; only a proposed plan can be confirmed.
+	Proposed  Status = "proposed"
+	Confirmed Status = "confirmed"
+	Rejected  Status = "rejected"
+	// Conflicted means that a box or workspace of the plan changed between the
+	// plan's snapshot and its confirmation.
 	Conflicted Status = "conflicted"
-	Expired    Status = "expired"
-	Cancelled  Status = "cancelled"
+	// Expired means that the plan was confirmed after its ExpiresAt.
+	Expired   Status = "expired"
+	Cancelled Status = "cancelled"
+	// Superseded means that later plans for the same model serve all of the plan's
+	// workspaces.
 	Superseded Status = "superseded"
 )
 
-// Step is what a plan does on one box.
+// Step is the part of a plan for one box.
 type Step struct {
 	Box  string                      `json:"box"`
 	Zone membership.AvailabilityZone `json:"availability_zone"`
-	// Source says where the box's region gets its first copy: "origin", or
-	// the region that it crosses from. Within a region, boxes pass chunks on
-	// to each other.
+	// Source is where the box's region reads its first copy of the weights:
+	// FromOrigin or the name of another region. Within a region, boxes send
+	// chunks to each other.
 	Source string `json:"source"`
-	// Wave orders the moments when boxes may stop serving the former
-	// version. A box of wave 0 may load as soon as it holds every chunk.
+	// Wave is the rollout wave in which the box may stop serving the previous
+	// version. A box of wave 0 may load as soon as it has all chunks.
 	Wave int `json:"wave"`
-	// Evicts are the versions that leave the box's memory first.
+	// Evicts lists the versions to unload before this one fits into the memory of
+	// the box's engine.
 	Evicts []weights.Ref `json:"evicts,omitempty"`
 }
 
-// Forecast is what a plan is expected to cost under one weighing.
+// Forecast is the estimated cost of a plan under one weighing.
 type Forecast struct {
 	Weighing Weighing `json:"weighing"`
-	// TimeToReplicas is the expected time until all boxes hold the version.
+	// TimeToReplicas is the estimated time until all boxes have the version; 0
+	// means that the bandwidths are not known.
 	TimeToReplicas time.Duration `json:"time_to_replicas_ns"`
-	// OriginBytes are the expected bytes read from the origin.
+	// OriginBytes is the estimated number of bytes read from the origin.
 	OriginBytes int64 `json:"origin_bytes"`
 }
 
-// Capacity is the lowest number of boxes that serve a workspace on the way.
+// Capacity is the number of boxes that serve a workspace: at the time of planning,
+// at the lowest point of the rollout, and the workspace's floor.
 type Capacity struct {
 	Workspace string `json:"workspace"`
 	Now       int    `json:"now"`
@@ -118,39 +130,44 @@
 	Floor     int    `json:"floor"`
 }
 
-// Plan is the answer to an intent.
+// Plan is the rollout plan for an intent.
 type Plan struct {
 	ID     string `json:"id"`
 	Intent Intent `json:"intent"`
-	// Base is the log offset of the state that the plan was made from.
+	// Base is the log offset of the state that the plan was computed from.
 	Base int64 `json:"base"`
-	// ManifestDigest pins every byte that the plan moves.
+	// ManifestDigest is the digest of the version's manifest, which contains the
+	// digests of all chunks.
 	ManifestDigest weights.Digest `json:"manifest_digest"`
 	Bytes          int64          `json:"bytes"`
 	Chunks         int            `json:"chunks"`
 	Priority       int            `json:"priority"`
 	Weighing       Weighing       `json:"weighing"`
-	// ExtraCopies is what boxes may read from the origin beyond one copy.
+	// ExtraCopies is how many copies of the weights all boxes together may read
+	// from the origin beyond the first.
 	ExtraCopies float64    `json:"extra_copies"`
 	Steps       []Step     `json:"steps"`
 	Forecasts   []Forecast `json:"forecasts"`
 	Capacities  []Capacity `json:"capacities"`
-	// ExpiresAt is in Unix milliseconds; a confirmation written later fails.
+	// ExpiresAt is the time until which the plan can be confirmed, in Unix
+	// milliseconds.
 	ExpiresAt int64 `json:"expires_at"`
 
 	Status Status `json:"status"`
-	// Reason says why the plan is in a final status other than confirmed.
+	// Reason is a text for operators: why the plan is rejected, conflicted,
+	// expired, cancelled or superseded, or that it was restored.
 	Reason string `json:"reason,omitempty"`
-	// Fence is the offset of the confirming record; orders to engines carry
-	// it.
+	// Fence is the fencing token of the plan's orders to engines: the offset of
+	// the record that confirmed the plan or, if it was superseded, of the record
+	// that restored it by cancelling the later plan.
 	Fence int64 `json:"fence,omitempty"`
 	// ConfirmID is the id of the record that confirmed the plan.
 	ConfirmID string `json:"confirm_id,omitempty"`
-	// Wave is the highest wave that the log has opened.
+	// Wave is the highest wave that may run.
 	Wave int `json:"wave"`
 }
 
-// Step returns the plan's step for a box.
+// Step returns the plan's step for a box, or false if the plan has none.
 func (p *Plan) Step(box string) (Step, bool) {
 	for _, s := range p.Steps {
 		if s.Box == box {
@@ -160,7 +177,7 @@
 	return Step{}, false
 }
 
-// Boxes returns the boxes that the plan touches, in order.
+// Boxes returns the boxes of the plan's steps, in the order of the steps.
 func (p *Plan) Boxes() []string {
 	out := make([]string, 0, len(p.Steps))
 	for _, s := range p.Steps {
@@ -178,7 +195,7 @@
 	return n
 }
 
-// OriginRegions returns the regions that read from the origin themselves.
+// OriginRegions returns the regions that read their first copy from the origin.
 func (p *Plan) OriginRegions() []string {
 	var out []string
 	for _, s := range p.Steps {
@@ -189,25 +206,29 @@
 	return out
 }
 
-// FromOrigin is the Source of steps whose region reads from the origin.
+// FromOrigin is the Source of steps whose region reads its first copy from the
+// origin.
 const FromOrigin = "origin"
 
-// Touched says at which offset each box and workspace was last touched by a
-// record that can make an older plan wrong.
-type Touched struct {
+// LastModified holds, per box and per workspace, one more than the offset of the
+// last record that can invalidate plans computed before it. A plan whose Base is
+// lower than that conflicts.
+type LastModified struct {
 	Boxes      map[string]int64 `json:"boxes"`
 	Workspaces map[string]int64 `json:"workspaces"`
 }
 
-// Conflicts returns the first reason why p no longer fits, or "".
-func Conflicts(p *Plan, t Touched) string {
+// ConflictReason returns the first reason why p can no longer be confirmed, or "".
+// The text is part of the replicated state and its digest, so it must not differ
+// between releases.
+func ConflictReason(p *Plan, modified LastModified) string {
 	for _, s := range p.Steps {
-		if at := t.Boxes[s.Box]; at > p.Base {
+		if offset := modified.Boxes[s.Box]; offset > p.Base {
 			return "box " + s.Box + " was touched by a later plan"
 		}
 	}
 	for _, w := range p.Intent.Workspaces {
-		if at := t.Workspaces[w]; at > p.Base {
+		if offset := modified.Workspaces[w]; offset > p.Base {
 			return "workspace " + w + " was changed since the plan was made"
 		}
 	}
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -15,31 +15,35 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// Errors that Make reports.
+// Errors returned by NewPlan.
 const (
-	// ErrNoBoxes says that no live box matches the intent.
-	ErrNoBoxes = errors.ConstError("no live box matches the intent")
-	// ErrUnknownWorkspace says that an intent names a workspace that is not
-	// in the log.
+	// ErrNoBoxes means that no available box matches the intent.
+	ErrNoBoxes = errors.ConstError("no available box matches the intent")
+	// ErrUnknownWorkspace means that the intent contains a workspace that does not
+	// exist.
 	ErrUnknownWorkspace = errors.ConstError("workspace does not exist")
-	// ErrFloor says that no order of boxes keeps a workspace's floor.
-	ErrFloor = errors.ConstError("plan cannot keep a workspace above its floor")
-	// ErrNoMemory says that a box's engine cannot hold the version at all.
+	// ErrFloor means that stopping even one box at a time would leave a workspace
+	// with fewer boxes than its floor.
+	ErrFloor = errors.ConstError("plan would take a workspace below its floor")
+	// ErrNoMemory means that the version is larger than the memory of an engine.
 	ErrNoMemory = errors.ConstError("version does not fit into the engine's memory")
 )
 
-// Links are the rates that a forecast reckons with, in bytes a second.
+// Links holds the bandwidths that forecasts assume, in bytes per second; 0 means
+// unknown.
 type Links struct {
+	// Origin is the download bandwidth of the origin, shared by all boxes.
 	Origin float64 `json:"origin"`
-	Box    float64 `json:"box"`
+	// Box is the bandwidth of each box.
+	Box float64 `json:"box"`
 }
 
-// Candidate is a box as the planner sees it.
+// Candidate is a box that may be part of a plan.
 type Candidate struct {
 	membership.Box
-	// MemoryBytes is the engine's memory; 0 means that it is not bounded.
+	// MemoryBytes is the size of the engine's memory; 0 means no limit.
 	MemoryBytes int64
-	// Loaded are the versions in the engine's memory with their sizes.
+	// Loaded lists the versions in the engine's memory.
 	Loaded []LoadedVersion
 }
 
@@ -47,63 +51,69 @@
 type LoadedVersion struct {
 	weights.Ref
 	Bytes int64
-	// Workspaces that are routed to the version.
+	// Workspaces lists the workspaces whose requests are routed to the version.
 	Workspaces []string
 }
 
-// World is what a plan is made from.
+// Snapshot is the state of the cluster from which NewPlan computes a plan.
 type World struct {
-	Base       int64
-	Now        time.Time
+	// Base is the log offset of the snapshot.
+	Base int64
+	Now  time.Time
+	// Workspaces holds the workspaces by name.
 	Workspaces map[string]workspace.Workspace
-	Boxes      []Candidate
-	Links      Links
-	// Weighing is the deployment's setting.
+	// Boxes lists the boxes that are available.
+	Boxes []Candidate
+	Links Links
+	// Weighing is the deployment's default.
 	Weighing Weighing
-	// TTL is how long a plan can be confirmed.
+	// TTL is how long after Now a plan can be confirmed.
 	TTL time.Duration
 }
 
-// Make answers an intent with a plan. It is pure but for the fresh id.
-func Make(in Intent, m *weights.Manifest, w World) (*Plan, error) {
+// NewPlan computes a plan for an intent, with the status Proposed. Apart from the
+// plan's random id, it is a pure function of its arguments.
+func Make(in Intent, m *weights.Manifest, snap World) (*Plan, error) {
 	if err := in.Validate(); err != nil {
 		return nil, err
 	}
-	priority, err := priorityOf(in, w)
+	priority, err := priorityOf(in, snap)
 	if err != nil {
 		return nil, err
 	}
-	boxes := match(in, w.Boxes)
+	boxes := matchingBoxes(in, snap.Boxes)
 	if len(boxes) == 0 {
 		return nil, errors.WithType(errors.Errorf("intent for %s", in.Ref), ErrNoBoxes)
 	}
 	p := &Plan{
 		ID:             uuid.NewString(),
 		Intent:         in,
-		Base:           w.Base,
+		Base:           snap.Base,
 		ManifestDigest: m.Digest(),
 		Bytes:          m.Bytes,
 		Chunks:         len(m.Chunks),
 		Priority:       priority,
-		Weighing:       cmp.Or(in.Weighing, w.Weighing, TimeToReplicas),
-		ExpiresAt:      w.Now.Add(w.TTL).UnixMilli(),
+		Weighing:       cmp.Or(in.Weighing, snap.Weighing, TimeToReplicas),
+		ExpiresAt:      snap.Now.Add(snap.TTL).UnixMilli(),
 		Status:         Proposed,
 	}
 	p.ExtraCopies = extraCopies(p.Weighing)
-	if err := p.addSteps(boxes, m, w); err != nil {
+	if err := p.addSteps(boxes, m, snap); err != nil {
 		return nil, err
 	}
 	p.Forecasts = []Forecast{
-		forecast(TimeToReplicas, boxes, m, w.Links),
-		forecast(OriginBytes, boxes, m, w.Links),
+		forecast(TimeToReplicas, boxes, m, snap.Links),
+		forecast(OriginBytes, boxes, m, snap.Links),
 	}
 	return p, nil
 }
 
-func priorityOf(in Intent, w World) (int, error) {
+// priorityOf returns the priority of an intent: its own, or else the highest of its
+// workspaces. It returns ErrUnknownWorkspace for a workspace that does not exist.
+func priorityOf(in Intent, snap World) (int, error) {
 	highest := 0
 	for _, name := range in.Workspaces {
-		ws, ok := w.Workspaces[name]
+		ws, ok := snap.Workspaces[name]
 		if !ok {
 			return 0, errors.WithType(errors.Errorf("workspace %q", name), ErrUnknownWorkspace)
 		}
@@ -115,9 +125,9 @@
 	return highest, nil
 }
 
-// match returns the boxes that an intent means, spread over the zones so
-// that the first replicas do not all stand in one.
-func match(in Intent, all []Candidate) []Candidate {
+// matchingBoxes returns the boxes that an intent selects, at most in.Replicas if
+// that isn't 0, spread evenly over the zones.
+func matchingBoxes(in Intent, all []Candidate) []Candidate {
 	byZone := make(map[membership.AvailabilityZone][]Candidate)
 	var zones []membership.AvailabilityZone
 	for _, c := range all {
@@ -138,6 +148,9 @@
 	return interleave(in.Replicas, zones, byZone)
 }
 
+// interleave returns the boxes of all zones in round-robin order of the zones, at
+// most limit if that isn't 0. It sorts its arguments, so that the result does not
+// depend on their order.
 func interleave(limit int, zones []membership.AvailabilityZone, byZone map[membership.AvailabilityZone][]Candidate) []Candidate {
 	slices.SortFunc(zones, func(a, b membership.AvailabilityZone) int { return cmp.Compare(a.String(), b.String()) })
 	for _, z := range zones {
@@ -160,9 +173,10 @@
 	return out
 }
 
-func (p *Plan) addSteps(boxes []Candidate, m *weights.Manifest, w World) error {
+// addSteps adds one step per box and assigns the waves.
+func (p *Plan) addSteps(boxes []Candidate, m *weights.Manifest, snap World) error {
 	origin := originRegion(boxes)
-	var rolling []int
+	var evicting []int // indices of the steps that evict a version
 	for _, c := range boxes {
 		if c.MemoryBytes > 0 && m.Bytes > c.MemoryBytes {
 			return errors.WithType(errors.Errorf("%s on box %s: %d bytes of %d", m.Ref, c.ID, m.Bytes, c.MemoryBytes), ErrNoMemory)
@@ -173,14 +187,14 @@
 		}
 		p.Steps = append(p.Steps, s)
 		if len(s.Evicts) > 0 {
-			rolling = append(rolling, len(p.Steps)-1)
+			evicting = append(evicting, len(p.Steps)-1)
 		}
 	}
-	return p.addWaves(rolling, boxes, w)
+	return p.addWaves(evicting, boxes, snap)
 }
 
-// originRegion is the region that reads from the origin; the others cross
-// from it, once each.
+// originRegion returns the region that reads from the origin, the first by name;
+// the other regions read their first copy from it.
 func originRegion(boxes []Candidate) string {
 	region := boxes[0].Zone.Region
 	for _, c := range boxes {
@@ -189,8 +203,8 @@
 	return region
 }
 
-// evictions are the versions that must leave a box's memory before m fits:
-// former versions of the same model first.
+// evictions returns the versions that must be unloaded from a box's engine before
+// m fits into its memory. Other versions of the same model are evicted first.
 func evictions(c Candidate, m *weights.Manifest) []weights.Ref {
 	if c.MemoryBytes == 0 {
 		return nil
@@ -204,7 +218,7 @@
 	}
 	loaded := slices.Clone(c.Loaded)
 	slices.SortStableFunc(loaded, func(a, b LoadedVersion) int {
-		return cmp.Compare(rank(a.Model != m.Model), rank(b.Model != m.Model))
+		return cmp.Compare(boolOrder(a.Model != m.Model), boolOrder(b.Model != m.Model))
 	})
 	var out []weights.Ref
 	for _, l := range loaded {
@@ -217,44 +231,49 @@
 	return out
 }
 
-func rank(later bool) int {
-	if later {
+// boolOrder returns a sort key by which false comes before true.
+func boolOrder(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// addWaves spreads the boxes that must stop serving before they load over
-// waves, each small enough that every workspace keeps its floor.
-func (p *Plan) addWaves(rolling []int, boxes []Candidate, w World) error {
-	serving := servingNow(w.Boxes)
-	size := len(rolling)
-	for _, name := range touchedWorkspaces(rolling, p, boxes, w) {
-		ws := w.Workspaces[name]
-		room := serving[name] - ws.Floor
-		if room < 1 {
-			return errors.WithType(errors.Errorf("workspace %q: %d boxes serve it, floor %d", name, serving[name], ws.Floor), ErrFloor)
+// addWaves assigns the steps that evict a version to waves, each small enough that
+// every affected workspace keeps its floor while the boxes of one wave do not
+// serve. evicting holds the indices of those steps, which are also those of their
+// boxes.
+func (p *Plan) addWaves(evicting []int, boxes []Candidate, snap World) error {
+	serving := servingBoxes(snap.Boxes)
+	size := len(evicting)
+	for _, name := range affectedWorkspaces(evicting, p, boxes, snap) {
+		ws := snap.Workspaces[name]
+		spare := serving[name] - ws.Floor
+		if spare < 1 {
+			return errors.WithType(errors.Errorf("workspace %q: served by %d boxes, floor %d", name, serving[name], ws.Floor), ErrFloor)
 		}
-		size = min(size, room)
+		size = min(size, spare)
 	}
-	for i, at := range rolling {
-		p.Steps[at].Wave = i / size
+	for i, index := range evicting {
+		p.Steps[index].Wave = i / size
 	}
-	p.addCapacities(rolling, boxes, size, serving, w)
+	p.addCapacities(evicting, boxes, size, serving, snap)
 	return nil
 }
 
-func servingNow(boxes []Candidate) map[string]int {
+// servingBoxes returns the number of boxes that serve each workspace.
+func servingBoxes(boxes []Candidate) map[string]int {
 	n := make(map[string]int)
 	for _, c := range boxes {
-		for name := range workspacesOn(c, c.Loaded) {
+		for name := range servedWorkspaces(c, c.Loaded) {
 			n[name]++
 		}
 	}
 	return n
 }
 
-func workspacesOn(c Candidate, loaded []LoadedVersion) map[string]bool {
+// servedWorkspaces returns the set of workspaces that the loaded versions serve.
+func servedWorkspaces(c Candidate, loaded []LoadedVersion) map[string]bool {
 	names := make(map[string]bool)
 	for _, l := range loaded {
 		for _, name := range l.Workspaces {
@@ -264,12 +283,13 @@
 	return names
 }
 
-// touchedWorkspaces are those that lose a box while a wave is under way.
-func touchedWorkspaces(rolling []int, p *Plan, boxes []Candidate, w World) []string {
+// affectedWorkspaces returns the workspaces served by versions that the plan
+// evicts, sorted.
+func affectedWorkspaces(evicting []int, p *Plan, boxes []Candidate, snap World) []string {
 	names := make(map[string]bool)
-	for _, at := range rolling {
-		for _, l := range boxes[at].Loaded {
-			if !slices.Contains(p.Steps[at].Evicts, l.Ref) {
+	for _, index := range evicting {
+		for _, l := range boxes[index].Loaded {
+			if !slices.Contains(p.Steps[index].Evicts, l.Ref) {
 				continue
 			}
 			for _, name := range l.Workspaces {
@@ -279,7 +299,7 @@
 	}
 	var out []string
 	for name := range names {
-		if _, ok := w.Workspaces[name]; ok {
+		if _, ok := snap.Workspaces[name]; ok {
 			out = append(out, name)
 		}
 	}
@@ -287,31 +307,33 @@
 	return out
 }
 
-func (p *Plan) addCapacities(rolling []int, boxes []Candidate, size int, serving map[string]int, w World) {
-	names := touchedWorkspaces(rolling, p, boxes, w)
+// addCapacities adds the capacity of each affected workspace and of each workspace
+// of the intent. waveSize is the largest number of boxes in a wave.
+func (p *Plan) addCapacities(evicting []int, boxes []Candidate, waveSize int, serving map[string]int, snap World) {
+	names := affectedWorkspaces(evicting, p, boxes, snap)
 	for _, name := range p.Intent.Workspaces {
 		if !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
 	for _, name := range names {
-		lost := 0
-		for _, at := range rolling {
-			if workspacesOn(boxes[at], boxes[at].Loaded)[name] {
-				lost++
+		stopping := 0
+		for _, index := range evicting {
+			if servedWorkspaces(boxes[index], boxes[index].Loaded)[name] {
+				stopping++
 			}
 		}
 		p.Capacities = append(p.Capacities, Capacity{
 			Workspace: name,
 			Now:       serving[name],
-			Lowest:    serving[name] - min(lost, size),
-			Floor:     w.Workspaces[name].Floor,
+			Lowest:    serving[name] - min(stopping, waveSize),
+			Floor:     snap.Workspaces[name].Floor,
 		})
 	}
 }
 
-// extraCopies is what a weighing lets boxes read from the origin beyond the
-// one copy that the rules need.
+// extraCopies returns how many copies of the weights all boxes together may read
+// from the origin beyond the first.
 func extraCopies(w Weighing) float64 {
 	if w == TimeToReplicas {
 		return 1
@@ -319,46 +341,49 @@
 	return 0
 }
 
-// Factors over the floor on time, and copies over one, that forecasts
-// allow: rounded up from the table of docs/TRANSFER.md without faults.
+// Parameters of forecasts for a transfer without faults.
 const (
-	timeSlack      = 1.10
-	timeSlackExtra = 1.03
-	copySlack      = 1.03
-	// extraHelps is the largest number of boxes that an extra copy has been
-	// seen to help.
-	extraHelps = 15
+	// timeOverhead is the expected time relative to its lower bound, and
+	// timeOverheadExtraCopy the same with an extra copy from the origin.
+	timeOverhead          = 1.10
+	timeOverheadExtraCopy = 1.03
+	// copyOverhead is the expected number of copies read from the origin without an
+	// extra copy.
+	copyOverhead = 1.03
+	// maxBoxesExtraCopy is the largest number of boxes for which an extra copy is
+	// expected to shorten the transfer.
+	maxBoxesExtraCopy = 15
 )
 
-// forecast works out the floor on time to N replicas,
-// max(M/u, M/o, N·M/(o + N·u)), and adds what the benchmark measured.
+// forecast estimates time and origin bytes of a plan. The lower bound on the time
+// is max(M/u, M/o, N·M/(o + N·u)) for M bytes to N boxes of bandwidth u from an
+// origin of bandwidth o.
 func forecast(weighing Weighing, boxes []Candidate, m *weights.Manifest, l Links) Forecast {
 	size, n := float64(m.Bytes), float64(len(boxes))
-	slack, copies := timeSlack, copySlack
-	if extraCopies(weighing) > 0 && len(boxes) <= extraHelps {
-		slack, copies = timeSlackExtra, 1+extraCopies(weighing)
+	overhead, copies := timeOverhead, copyOverhead
+	if extraCopies(weighing) > 0 && len(boxes) <= maxBoxesExtraCopy {
+		overhead, copies = timeOverheadExtraCopy, 1+extraCopies(weighing)
 	}
 	f := Forecast{Weighing: weighing, OriginBytes: int64(copies * size)}
 	if l.Origin <= 0 || l.Box <= 0 {
 		return f
 	}
-	floor := max(size/l.Box, size/l.Origin, n*size/(l.Origin+n*l.Box))
-	f.TimeToReplicas = time.Duration(floor * slack * float64(time.Second))
+	lowerBound := max(size/l.Box, size/l.Origin, n*size/(l.Origin+n*l.Box))
+	f.TimeToReplicas = time.Duration(lowerBound * overhead * float64(time.Second))
 	return f
 }
 
-// NextWaveKeepsFloor reports whether the boxes of p's next wave can stop
-// serving now: every workspace that they serve must keep its floor with the
-// boxes that answer.
+// NextWaveKeepsFloor reports whether every workspace keeps its floor if the boxes
+// of p's next wave stop serving now. boxes lists the boxes that are available.
 func NextWaveKeepsFloor(p *Plan, boxes []Candidate, workspaces map[string]workspace.Workspace) bool {
-	serving := servingNow(boxes)
+	serving := servingBoxes(boxes)
 	leaving := make(map[string]int)
 	for _, c := range boxes {
 		step, ok := p.Step(c.ID)
 		if !ok || step.Wave != p.Wave+1 {
 			continue
 		}
-		for name := range workspacesOn(c, c.Loaded) {
+		for name := range servedWorkspaces(c, c.Loaded) {
 			leaving[name]++
 		}
 	}
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -31,9 +31,11 @@
 	return m
 }
 
-// world has n boxes in two regions that serve v1 to workspace a.
-func world(n int, memory int64, floor int) World {
-	w := World{
+// testSnapshot returns a snapshot of n boxes in two regions that serve v1 to
+// workspace a, whose floor is given. memory is the size of each engine's memory in
+// bytes; 0 means no limit.
+func testSnapshot(n int, memory int64, floor int) World {
+	snap := World{
 		Base:       7,
 		Now:        time.Unix(1000, 0),
 		Workspaces: map[string]workspace.Workspace{"a": {Name: "a", Priority: 30, Floor: floor}, "b": {Name: "b", Priority: 60}},
@@ -43,35 +45,35 @@
 	}
 	for i := range n {
 		zone := membership.AvailabilityZone{Region: "r" + string(rune('1'+i%2)), Zone: fmt.Sprintf("z%d", i%2)}
-		w.Boxes = append(w.Boxes, Candidate{
+		snap.Boxes = append(snap.Boxes, Candidate{
 			Box:         membership.Box{ID: fmt.Sprintf("b%02d", i), Zone: zone, Role: membership.Endpoint},
 			MemoryBytes: memory,
 			Loaded:      []LoadedVersion{{Ref: v1, Bytes: size, Workspaces: []string{"a"}}},
 		})
 	}
-	return w
+	return snap
 }
 
-func TestWeighingChangesThePlan(t *testing.T) {
+func TestWeighingSelectsExtraCopies(t *testing.T) {
 	in := Intent{Ref: v2, Workspaces: []string{"a", "b"}}
-	fast, err := Make(in, manifest(v2), world(12, 0, 0))
+	fastest, err := Make(in, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
 	in.Weighing = OriginBytes
-	cheap, err := Make(in, manifest(v2), world(12, 0, 0))
+	cheapest, err := Make(in, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
-	assert.Equal(t, fast.ExtraCopies, 1.0)
-	assert.Equal(t, cheap.ExtraCopies, 0.0)
-	assert.DeepEqual(t, fast.Forecasts, cheap.Forecasts) // both plans show both prices
-	assert.Assert(t, fast.Forecasts[0].TimeToReplicas < fast.Forecasts[1].TimeToReplicas)
-	assert.Assert(t, fast.Forecasts[0].OriginBytes > fast.Forecasts[1].OriginBytes)
-	assert.Equal(t, fast.Priority, 60, "the highest price of its workspaces")
-	floor := time.Duration(float64(size) / 100 * float64(time.Second))
-	assert.Assert(t, cheap.Forecasts[1].TimeToReplicas >= floor)
-	assert.Equal(t, fast.Base, int64(7))
+	assert.Equal(t, fastest.ExtraCopies, 1.0)
+	assert.Equal(t, cheapest.ExtraCopies, 0.0)
+	assert.DeepEqual(t, fastest.Forecasts, cheapest.Forecasts) // each plan has a forecast for both weighings
+	assert.Assert(t, fastest.Forecasts[0].TimeToReplicas < fastest.Forecasts[1].TimeToReplicas)
+	assert.Assert(t, fastest.Forecasts[0].OriginBytes > fastest.Forecasts[1].OriginBytes)
+	assert.Equal(t, fastest.Priority, 60, "the highest priority of its workspaces")
+	lowerBound := time.Duration(float64(size) / 100 * float64(time.Second))
+	assert.Assert(t, cheapest.Forecasts[1].TimeToReplicas >= lowerBound)
+	assert.Equal(t, fastest.Base, int64(7))
 }
 
 func TestOneRegionReadsFromTheOrigin(t *testing.T) {
-	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), world(4, 0, 0))
+	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), testSnapshot(4, 0, 0))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, p.OriginRegions(), []string{"r1"})
 	for _, s := range p.Steps {
@@ -84,7 +86,7 @@
 }
 
 func TestReplicasSpreadOverZones(t *testing.T) {
-	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}, Replicas: 4}, manifest(v2), world(12, 0, 0))
+	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}, Replicas: 4}, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
 	zones := map[string]int{}
 	for _, s := range p.Steps {
@@ -93,30 +95,30 @@
 	assert.DeepEqual(t, zones, map[string]int{"z0": 2, "z1": 2})
 }
 
-func TestMemoryDecidesEvictionsAndWaves(t *testing.T) {
+func TestEvictionsAndWavesDependOnMemory(t *testing.T) {
 	in := Intent{Ref: v2, Workspaces: []string{"a"}}
-	roomy, err := Make(in, manifest(v2), world(6, 2*size, 2))
+	large, err := Make(in, manifest(v2), testSnapshot(6, 2*size, 2))
 	assert.NilError(t, err)
-	assert.Equal(t, roomy.Waves(), 1, "two versions fit: nobody stops serving")
-	tight, err := Make(in, manifest(v2), world(6, size*3/2, 2))
+	assert.Equal(t, large.Waves(), 1, "both versions fit: no box stops serving")
+	small, err := Make(in, manifest(v2), testSnapshot(6, size*3/2, 2))
 	assert.NilError(t, err)
-	assert.Equal(t, tight.Waves(), 2, "6 boxes, floor 2: 4 and 2")
-	assert.DeepEqual(t, tight.Steps[0].Evicts, []weights.Ref{v1})
-	assert.Equal(t, tight.Capacities[0].Lowest, 2)
-	_, err = Make(in, manifest(v2), world(6, size/2, 2))
+	assert.Equal(t, small.Waves(), 2, "6 boxes, floor 2: waves of 4 and 2 boxes")
+	assert.DeepEqual(t, small.Steps[0].Evicts, []weights.Ref{v1})
+	assert.Equal(t, small.Capacities[0].Lowest, 2)
+	_, err = Make(in, manifest(v2), testSnapshot(6, size/2, 2))
 	assert.Assert(t, errors.Is(err, ErrNoMemory))
-	_, err = Make(in, manifest(v2), world(2, size*3/2, 2))
+	_, err = Make(in, manifest(v2), testSnapshot(2, size*3/2, 2))
 	assert.Assert(t, errors.Is(err, ErrFloor))
 }
 
-// TestWavesKeepTheFloor draws sizes and floors: in no wave do more boxes
-// stop than the floor allows, and every box is in some wave.
+// TestWavesKeepTheFloor checks for random numbers of boxes and floors that no wave
+// takes a workspace below its floor and that every box has a step.
 func TestWavesKeepTheFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "boxes")
 		floor := rapid.IntRange(0, n).Draw(t, "floor")
-		w := world(n, size*3/2, floor)
-		p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), w)
+		snap := testSnapshot(n, size*3/2, floor)
+		p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), snap)
 		if floor >= n {
 			if !errors.Is(err, ErrFloor) {
 				t.Fatalf("%d boxes, floor %d: %v", n, floor, err)
@@ -141,16 +143,17 @@
 	})
 }
 
-// TestNextWaveWaitsForTheFloor takes boxes away between two waves.
-func TestNextWaveWaitsForTheFloor(t *testing.T) {
-	w := world(6, size*3/2, 2)
-	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), w)
+// TestNextWaveKeepsFloor checks that the next wave may not start if too many boxes
+// became unavailable since the plan was computed.
+func TestNextWaveKeepsFloor(t *testing.T) {
+	snap := testSnapshot(6, size*3/2, 2)
+	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), snap)
 	assert.NilError(t, err)
-	assert.Assert(t, NextWaveKeepsFloor(p, w.Boxes, w.Workspaces))
-	assert.Assert(t, !NextWaveKeepsFloor(p, w.Boxes[3:], w.Workspaces), "3 boxes are left, 2 would stop, floor 2")
+	assert.Assert(t, NextWaveKeepsFloor(p, snap.Boxes, snap.Workspaces))
+	assert.Assert(t, !NextWaveKeepsFloor(p, snap.Boxes[3:], snap.Workspaces), "3 boxes are available, 2 would stop, floor 2")
 }
 
-func TestIntentsThatCannotBe(t *testing.T) {
+func TestInvalidIntents(t *testing.T) {
 	for name, in := range map[string]Intent{
 		"no version":   {Workspaces: []string{"a"}},
 		"no workspace": {Ref: v1},
@@ -160,8 +163,8 @@
 	} {
 		assert.Assert(t, errors.Is(in.Validate(), errors.NotValid), name)
 	}
-	_, err := Make(Intent{Ref: v1, Workspaces: []string{"c"}}, manifest(v1), world(2, 0, 0))
+	_, err := Make(Intent{Ref: v1, Workspaces: []string{"c"}}, manifest(v1), testSnapshot(2, 0, 0))
 	assert.Assert(t, errors.Is(err, ErrUnknownWorkspace))
-	_, err = Make(Intent{Ref: v1, Workspaces: []string{"a"}, Zones: []string{"z9"}}, manifest(v1), world(2, 0, 0))
+	_, err = Make(Intent{Ref: v1, Workspaces: []string{"a"}, Zones: []string{"z9"}}, manifest(v1), testSnapshot(2, 0, 0))
 	assert.Assert(t, errors.Is(err, ErrNoBoxes))
 }
--- a/state/era_test.go
+++ b/state/era_test.go
@@ -19,51 +19,51 @@
 	"github.com/mintlift/mintlift/internal/standin"
 )
 
-// A log that comes back from an older copy takes nothing back, and nothing of its
-// new history is applied on top of what was applied before, whether it has grown
-// past that or not. Nobody hears the log meanwhile, so that no change is accepted.
-func TestLogGoesBack(t *testing.T) {
-	for _, grown := range []bool{false, true} {
-		t.Run(fmt.Sprint("grown past the state ", grown), func(t *testing.T) {
+// TestLogRestoredFromOlderCopy checks that a follower whose log was restored from an
+// older copy keeps its state, applies none of the log's new records, and reports no
+// contact with the log, whether or not the log has grown past the state's offset.
+func TestLogRestoredFromOlderCopy(t *testing.T) {
+	for _, longer := range []bool{false, true} {
+		t.Run(fmt.Sprint("grown past the state ", longer), func(t *testing.T) {
 			log := standin.NewLog()
 			server := httptest.NewServer(log.Handler())
 			defer server.Close()
-			add := func(id string) {
+			appendRecord := func(id string) {
 				data, err := json.Marshal(eventlog.Record{ID: id, Schema: eventlog.Schema, Kind: "none"})
 				assert.NilError(t, err)
 				log.Add(eventlog.ConfigStream, data)
 			}
 			for n := range 4 {
-				add(fmt.Sprint("before-", n))
+				appendRecord(fmt.Sprint("before-", n))
 			}
 			client := &eventlog.Client{Call: call.New("test", call.Options{}), Address: strings.TrimPrefix(server.URL, "http://")}
-			follower := func() *Follower {
+			newFollower := func() *Follower {
 				return &Follower{Replica: NewReplica(), Sources: Only{client}, Log: client, Logger: logr.Discard()}
 			}
-			f := follower()
-			assert.NilError(t, f.step(context.Background(), client))
+			f := newFollower()
+			assert.NilError(t, f.readOnce(context.Background(), client))
 			assert.Equal(t, f.Replica.Offset(), int64(4))
-			held := f.Replica.Checkpoint()
+			checkpoint := f.Replica.Checkpoint()
 
 			log.GoBack(eventlog.ConfigStream, 2)
-			if grown {
+			if longer {
 				for n := range 5 {
-					add(fmt.Sprint("after-", n))
+					appendRecord(fmt.Sprint("after-", n))
 				}
 			}
-			heard := f.Replica.Contact()
+			contact := f.Replica.Contact()
 			time.Sleep(time.Millisecond)
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 			defer cancel()
-			assert.Assert(t, f.step(ctx, client) != nil)
+			assert.Assert(t, f.readOnce(ctx, client) != nil)
 			assert.Equal(t, f.Replica.Offset(), int64(4))
 			assert.Assert(t, !f.Replica.Applied("after-2"))
-			assert.Equal(t, f.Replica.Contact(), heard)
+			assert.Equal(t, f.Replica.Contact(), contact)
 
-			late := follower()
-			assert.NilError(t, late.step(context.Background(), client))
-			assert.NilError(t, late.Replica.Restore(held))
-			assert.Assert(t, !late.Replica.Applied("before-3"), "a checkpoint of the history before")
+			restarted := newFollower()
+			assert.NilError(t, restarted.readOnce(context.Background(), client))
+			assert.NilError(t, restarted.Replica.Restore(checkpoint))
+			assert.Assert(t, !restarted.Replica.Applied("before-3"), "a checkpoint of the previous era was restored")
 		})
 	}
 }
--- a/state/follower.go
+++ b/state/follower.go
@@ -15,21 +15,21 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Source is where a Follower reads: the log service, or a gateway that
-// relays it. eventlog.Client is one.
+// Source reads from the log service or from a gateway that relays it; see
+// eventlog.Client, which implements it.
 type Source interface {
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (eventlog.Page, error)
 }
 
-// Sources chooses where to read next. The follower calls Next before each
-// read and tells Failed when a read did not succeed, so that the next
-// choice can be another.
+// Sources selects the source of each read. A Follower calls Next before each read,
+// and Failed with a source after a read from it failed or was out of date, so that
+// Next can return another one.
 type Sources interface {
 	Next() Source
 	Failed(Source)
 }
 
-// Only is Sources with one choice.
+// SingleSource is a Sources that always returns the same Source.
 type Only struct{ Source Source }
 
 // Next implements Sources.
@@ -38,63 +38,65 @@
 // Failed implements Sources.
 func (o Only) Failed(Source) {}
 
-// Timing of a Follower.
 const (
-	// pollWait is how long a read waits for a record. An answer without one
-	// is a sign of life: silence beyond it is not calm.
-	pollWait    = 3 * time.Second
-	readTimeout = pollWait + 1500*time.Millisecond
-	pauseMin    = 100 * time.Millisecond
-	pauseMax    = time.Second
-	// relayStale is the age from which another relay is worth a try.
-	relayStale = 6 * time.Second
-	// startSpread spreads what many processes do that start at once.
+	// longPollWait is how long a read waits for a record before the log responds
+	// with an empty page.
+	longPollWait = 3 * time.Second
+	readTimeout  = longPollWait + 1500*time.Millisecond
+	backoffMin   = 100 * time.Millisecond
+	backoffMax   = time.Second
+	// maxRelayAge is the age of a relay's data above which another source is tried.
+	maxRelayAge = 6 * time.Second
+	// startSpread is the upper bound of a random delay before the first request,
+	// which distributes the load of many processes that start at once.
 	startSpread = time.Second
 )
 
-// Follower keeps a Replica up to date. All fields are needed but Peers.
+// Follower keeps a Replica up to date. All exported fields are required except
+// Peers and PeersFirst.
 type Follower struct {
 	Replica *Replica
 	Sources Sources
-	// Log reads checkpoints from the log service itself.
+	// Log is the log service, from which checkpoints are read.
 	Log Source
-	// Peers returns the highest checkpoint that other processes hold, for a
-	// start while the log is out. It may be nil.
+	// Peers returns the checkpoint with the highest offset among other processes.
+	// It is used if checkpoints cannot be read from the log. It may be nil.
 	Peers func(ctx context.Context) (Checkpoint, error)
-	// PeersFirst asks the peers before the log: sidecars do, so that many
-	// that start at once do not all read checkpoints from the log.
+	// PeersFirst requests the initial checkpoint from peers before the log.
+	// Sidecars set it so that many of them that start at once don't all read
+	// checkpoints from the log.
 	PeersFirst bool
 	Logger     logr.Logger
 
-	heard bool // a read has been answered
-	// otherEra says that the log was last seen in another era.
-	otherEra bool
+	readSucceeded bool // at least one read succeeded
+	// eraChanged is true if the last page read was of another era than the replica.
+	eraChanged bool
 }
 
-// Run follows until ctx ends. It reports nothing: a failed read is tried
-// again, with pauses, for as long as it takes.
+// Run restores a checkpoint and then reads and applies records until ctx ends.
+// It retries failed reads with exponential backoff, without limit.
 func (f *Follower) Run(ctx context.Context) {
-	f.start(ctx)
-	pause := pauseMin
+	f.restoreNewest(ctx)
+	backoff := backoffMin
 	for ctx.Err() == nil {
 		src := f.Sources.Next()
-		err := f.step(ctx, src)
+		err := f.readOnce(ctx, src)
 		if err == nil {
-			pause = pauseMin
+			backoff = backoffMin
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		f.Sources.Failed(src)
-		f.Logger.V(1).Info("read failed", "error", err.Error(), "offset", f.Replica.Offset())
-		clock.Sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, pauseMax)
+		f.Logger.V(1).Info("reading the log failed", "error", err.Error(), "offset", f.Replica.Offset())
+		clock.Sleep(ctx, backoff/2+rand.N(backoff))
+		backoff = min(2*backoff, backoffMax)
 	}
 }
 
-// start takes the newest checkpoint within reach before the first read.
-func (f *Follower) start(ctx context.Context) {
+// restoreNewest restores the newest available checkpoint before the first read.
+func (f *Follower) restoreNewest(ctx context.Context) {
 	if f.PeersFirst {
 		clock.Sleep(ctx, rand.N(startSpread))
 		f.restoreFromPeers(ctx)
@@ -103,20 +105,21 @@
 		}
 	}
 	if err := f.restoreFromLog(ctx); err != nil {
-		f.Logger.Info("no checkpoint from the log", "error", err.Error())
+		f.Logger.Info("reading checkpoints from the log failed", "error", err.Error())
 		f.restoreFromPeers(ctx)
 	}
 }
 
-func (f *Follower) step(ctx context.Context, src Source) error {
+// readOnce reads one page from src and applies its records.
+func (f *Follower) readOnce(ctx context.Context, src Source) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	asked := time.Now()
+	requested := time.Now()
 	from := f.Replica.Offset()
-	page, err := src.Read(ctx, eventlog.ConfigStream, from, f.patience())
+	page, err := src.Read(ctx, eventlog.ConfigStream, from, f.readWait())
 	if err == nil || errors.Is(err, eventlog.ErrGone) {
-		if era := f.checkEra(page); era != nil {
-			return era
+		if eraErr := f.checkEra(page); eraErr != nil {
+			return eraErr
 		}
 	}
 	if errors.Is(err, eventlog.ErrGone) {
@@ -126,54 +129,54 @@
 		return err
 	}
 	if page.Next < from {
-		return errors.Errorf("log ends at %d, below the state's offset %d", page.Next, from)
+		return errors.Errorf("log ends at offset %d, below the state's offset %d", page.Next, from)
 	}
 	if err := f.Replica.Apply(page.Records); err != nil {
 		return err
 	}
-	f.heard = true
+	f.readSucceeded = true
 	age := time.Duration(page.AgeMS) * time.Millisecond
-	f.Replica.Heard(asked.Add(-age))
-	if age > relayStale {
+	f.Replica.MarkContact(requested.Add(-age))
+	if age > maxRelayAge {
 		f.Sources.Failed(src)
 	}
 	return nil
 }
 
-// checkEra returns ErrOtherEra for a page of a log that has come back from an
-// older copy. What was applied is not taken back, and nothing of another history
-// is applied on top of it: the log counts as silent, so that no change is
-// accepted, until all processes begin anew.
+// checkEra returns ErrEraChanged for a page of another era than the replica's: the
+// log was restored from an older copy. The replica then keeps its state and applies
+// no records of the new era, and its contact time stays, so that changes are
+// refused until all processes have been restarted.
 func (f *Follower) checkEra(page eventlog.Page) error {
-	if f.Replica.InEra(page.Era) {
-		f.otherEra = false
+	if f.Replica.MatchesEra(page.Era) {
+		f.eraChanged = false
 		return nil
 	}
-	if !f.otherEra {
-		f.otherEra = true
-		f.Logger.Info("log came back from an older copy, the state is kept and no change is taken", "era", page.Era, "end", page.Next, "offset", f.Replica.Offset())
+	if !f.eraChanged {
+		f.eraChanged = true
+		f.Logger.Info("log was restored from an older copy; keeping the state and applying no more records", "era", page.Era, "end", page.Next, "offset", f.Replica.Offset())
 	}
-	return errors.WithType(errors.Errorf("era %d", page.Era), eventlog.ErrOtherEra)
+	return errors.WithType(errors.Errorf("log is in era %d", page.Era), eventlog.ErrEraChanged)
 }
 
-// patience is how long a read may wait for a record: not at all until one
-// has been answered, since a process that starts needs to know at once that
-// the log is heard.
-func (f *Follower) patience() time.Duration {
-	if !f.heard {
+// readWait returns how long the next read waits for a record: 0 until a first read
+// has succeeded, so that a starting process is in contact with the log at once.
+func (f *Follower) readWait() time.Duration {
+	if !f.readSucceeded {
 		return 0
 	}
-	return pollWait
+	return longPollWait
 }
 
-// catchUp loads a checkpoint when the records to be read next are gone.
+// catchUp restores a checkpoint if the log no longer retains the next records. It
+// fails if the replica is still below the first retained offset.
 func (f *Follower) catchUp(ctx context.Context, page eventlog.Page) error {
-	f.Logger.Info("records are gone, loading a checkpoint", "offset", f.Replica.Offset(), "first", page.First)
+	f.Logger.Info("next records are no longer in the log, restoring a checkpoint", "offset", f.Replica.Offset(), "first", page.First)
 	if err := f.restoreFromLog(ctx); err != nil {
 		f.restoreFromPeers(ctx)
 	}
 	if f.Replica.Offset() < page.First {
-		return errors.Errorf("no checkpoint reaches offset %d", page.First)
+		return errors.Errorf("no checkpoint at or above offset %d, the first in the log", page.First)
 	}
 	return nil
 }
@@ -184,14 +187,14 @@
 	}
 	c, err := f.Peers(ctx)
 	if err != nil {
-		f.Logger.V(1).Info("no checkpoint from peers", "error", err.Error())
+		f.Logger.V(1).Info("getting a checkpoint from peers failed", "error", err.Error())
 		return
 	}
 	f.restore(c, "peer")
 }
 
-// restoreFromLog tries the checkpoints in the log from the newest on, so
-// that a torn or wrong one costs nothing but a step back.
+// restoreFromLog restores the newest valid checkpoint in the log, if there is one.
+// It returns an error only if the checkpoints cannot be read.
 func (f *Follower) restoreFromLog(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -211,32 +214,34 @@
 	return nil
 }
 
+// restore restores a checkpoint and reports whether it is valid. from is the origin
+// of the checkpoint, for the log line.
 func (f *Follower) restore(c Checkpoint, from string) bool {
 	if err := f.Replica.Restore(c); err != nil {
-		f.Logger.Info("checkpoint refused", "from", from, "error", err.Error())
+		f.Logger.Info("checkpoint is invalid", "from", from, "error", err.Error())
 		return false
 	}
 	return true
 }
 
-// CheckpointEvery is how many records lie between two checkpoints. The log
-// must keep at least twice as many.
+// CheckpointEvery is the number of records between two checkpoints. The log must
+// retain at least twice as many.
 const CheckpointEvery = 200
 
-// Checkpointer writes checkpoints for the processes that start later. Every
-// gateway runs one; two checkpoints of one offset are equal and do no harm,
-// and a random wait makes them rare.
+// Checkpointer writes checkpoints to the log, for processes that start later. Every
+// gateway runs one; a random delay before each write makes it rare that two write
+// a checkpoint for the same records, which is harmless.
 type Checkpointer struct {
 	Replica *Replica
 	Log     *eventlog.Client
 	Logger  logr.Logger
-	// Every overrides CheckpointEvery.
+	// Every overrides CheckpointEvery if it isn't 0.
 	Every int64
 
-	last int64
+	lastOffset int64 // offset of the last checkpoint written by any process
 }
 
-// Run writes until ctx ends.
+// Run writes checkpoints until ctx ends.
 func (c *Checkpointer) Run(ctx context.Context) {
 	every := c.Every
 	if every == 0 {
@@ -244,7 +249,7 @@
 	}
 	for ctx.Err() == nil {
 		changed := c.Replica.Changed()
-		if c.Replica.Offset()-c.last >= every {
+		if c.Replica.Offset()-c.lastOffset >= every {
 			clock.Sleep(ctx, rand.N(2*time.Second))
 			c.write(ctx, every)
 			continue
@@ -256,25 +261,28 @@
 	}
 }
 
+// write writes a checkpoint unless the newest one in the log is less than every
+// records behind the replica.
 func (c *Checkpointer) write(ctx context.Context, every int64) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	if at, err := c.newest(ctx); err == nil && c.Replica.Offset()-at < every {
-		c.last = at
+	if newest, err := c.newestOffset(ctx); err == nil && c.Replica.Offset()-newest < every {
+		c.lastOffset = newest
 		return
 	}
 	cp := c.Replica.Checkpoint()
 	if _, err := c.Log.Append(ctx, eventlog.CheckpointStream, cp); err != nil {
-		c.Logger.Info("checkpoint not written", "offset", cp.Offset, "error", err.Error())
-		clock.Sleep(ctx, pauseMax)
+		c.Logger.Info("writing a checkpoint failed", "offset", cp.Offset, "error", err.Error())
+		clock.Sleep(ctx, backoffMax)
 		return
 	}
-	c.last = cp.Offset
+	c.lastOffset = cp.Offset
 	c.Logger.Info("checkpoint written", "offset", cp.Offset)
 }
 
-// newest is the offset of the newest checkpoint that stands in the log.
-func (c *Checkpointer) newest(ctx context.Context) (int64, error) {
+// newestOffset returns the offset of the newest checkpoint in the log, or 0 if there
+// is none.
+func (c *Checkpointer) newestOffset(ctx context.Context) (int64, error) {
 	page, err := c.Log.Read(ctx, eventlog.CheckpointStream, 0, 0)
 	if errors.Is(err, eventlog.ErrGone) {
 		page, err = c.Log.Read(ctx, eventlog.CheckpointStream, page.First, 0)
--- a/state/record.go
+++ b/state/record.go
@@ -1,14 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package state folds the event log's records into what every process must
-// agree on: workspaces, operators, plans and the homes of requests that run
-// at most once.
+// Package state is the replicated state machine of mintlift. It applies the
+// records of the event log to the state that all processes must agree on:
+// workspaces, operators, plans, and the homes of requests that run at most once.
 //
-// State.Apply is a pure function of the records and their order: the same
-// records give the same state, and the same Digest, in every process.
-// Replica guards a State for concurrent use and never applies a lower
-// offset than it has applied. Follower keeps a Replica up to date from the
-// log, or from a gateway that relays it.
+// State.Apply is deterministic: the same records in the same order give the same
+// state, and the same Digest, in every process. Replica makes a State safe for
+// concurrent use, and its offset never decreases. Follower keeps a Replica up to
+// date from the log, or from a gateway that relays it.
 package state
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// The kinds of records.
+// Kinds of records.
 const (
 	KindOperatorSet     eventlog.Kind = "operator.set"
 	KindOperatorRemove  eventlog.Kind = "operator.remove"
@@ -31,63 +30,71 @@
 	KindHomesChanged    eventlog.Kind = "homes.changed"
 )
 
-// OperatorSet adds or changes an operator.
+// OperatorSet is the body of KindOperatorSet, which adds or replaces an operator.
 type OperatorSet struct {
 	Operator workspace.Operator `json:"operator"`
 }
 
-// WorkspaceSet adds or changes a workspace.
+// WorkspaceSet is the body of KindWorkspaceSet, which adds or replaces a workspace.
 type WorkspaceSet struct {
 	Workspace workspace.Workspace `json:"workspace"`
 }
 
-// Name names what is removed.
+// Name is the body of KindOperatorRemove and KindWorkspaceRemove: the name of the
+// operator or workspace to remove.
 type Name struct {
 	Name string `json:"name"`
 }
 
-// PlanProposed carries an intent's answer.
+// PlanProposed is the body of KindPlanProposed.
 type PlanProposed struct {
 	Plan intent.Plan `json:"plan"`
 }
 
-// PlanRef names a plan.
+// PlanRef is the body of KindPlanConfirmed, KindPlanRejected and KindPlanCancelled.
 type PlanRef struct {
+	// Plan is the id of the plan.
 	Plan string `json:"plan"`
 }
 
-// PlanAdvanced opens a wave of a plan.
+// PlanAdvanced is the body of KindPlanAdvanced, which lets the next wave of a plan
+// run.
 type PlanAdvanced struct {
+	// Plan is the id of the plan.
 	Plan string `json:"plan"`
 	Wave int    `json:"wave"`
 }
 
-// Home is one incarnation of a sidecar that may hold the memory of requests
-// that are not repeatable.
+// Home is an incarnation of a sidecar that may keep the records of requests that
+// run at most once, by idempotency key.
 type Home struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
 	// Service is empty for model engines.
 	Service string `json:"service,omitempty"`
-	// Since is the time of the record that added the home, in Unix
-	// milliseconds.
+	// Since is the time of the record that added the home, in Unix milliseconds.
 	Since int64 `json:"since"`
 }
 
-// HomesChanged adds and removes homes. A box has one home at most: adding
-// another incarnation removes the former.
+// HomesChanged is the body of KindHomesChanged, which adds and removes homes. A box
+// has at most one home: adding another incarnation removes the previous one.
 type HomesChanged struct {
-	Add    []Home   `json:"add,omitempty"`
+	Add []Home `json:"add,omitempty"`
+	// Remove lists the boxes whose homes are removed.
 	Remove []string `json:"remove,omitempty"`
 }
 
-// Change is a change of the homes that a service's keys are spread over.
+// HomeChange is one change to the set of homes among which a service's idempotency
+// keys are distributed.
 type Change struct {
+	// Service is empty for model engines.
 	Service string `json:"service"`
-	// At is the record's time in Unix milliseconds, Offset its place.
+	// At is the time of the record that made the change, in Unix milliseconds,
+	// and Offset its offset.
 	At     int64 `json:"at"`
 	Offset int64 `json:"offset"`
-	// First says that the service had no homes before.
+	// First is true if the service had no home before the change, nor in the
+	// changes retained then.
 	First   bool   `json:"first,omitempty"`
 	Added   []Home `json:"added,omitempty"`
 	Removed []Home `json:"removed,omitempty"`
--- a/state/replica.go
+++ b/state/replica.go
@@ -13,39 +13,45 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// keptRecords is how many records a Replica keeps to relay to others.
-const keptRecords = 2048
+// maxRelayRecords is the number of records that a Replica retains for relaying. It
+// may hold up to twice as many before it discards the oldest.
+const maxRelayRecords = 2048
 
-// ErrBadCheckpoint says that a checkpoint does not match its digest.
-const ErrBadCheckpoint = errors.ConstError("checkpoint does not match its digest")
+// ErrBadCheckpoint means that a checkpoint does not match its digest or cannot be
+// decoded.
+const ErrBadCheckpoint = errors.ConstError("invalid checkpoint")
 
-// Checkpoint is a state as of an offset, with its digest.
+// Checkpoint is the encoded state at an offset of the log.
 type Checkpoint struct {
-	// Era of the log, and the offset.
-	Era    int64           `json:"era,omitempty"`
-	Offset int64           `json:"offset"`
+	// Era is the era of the log; see eventlog.Page.
+	Era    int64 `json:"era,omitempty"`
+	Offset int64 `json:"offset"`
+	// Digest is the digest of the bytes of State.
 	Digest weights.Digest  `json:"digest"`
 	State  json.RawMessage `json:"state"`
 }
 
-// Replica is a process's copy of the state. Its one lock is a leaf: nothing
-// else is locked while it is held. Use NewReplica.
+// Replica is a process's copy of the state, safe for concurrent use. Its lock is a
+// leaf: no other lock is acquired while it is held. Use NewReplica.
 type Replica struct {
-	mu      sync.RWMutex
-	state   *State
+	mu    sync.RWMutex
+	state *State
+	// records holds the last applied records, for Page.
 	records []eventlog.Entry
+	// changed is closed and replaced whenever the state's offset increases.
 	changed chan struct{}
 	contact time.Time
-	// era is that of the log whose records were applied.
+	// era is the era of the log from which the state was built.
 	era int64
 }
 
-// NewReplica returns a replica of the state before the first record.
+// NewReplica returns a replica at offset 0, with an empty state.
 func NewReplica() *Replica {
 	return &Replica{state: New(), changed: make(chan struct{})}
 }
 
-// View calls f with the state; f must neither keep nor change it.
+// View calls f with the state while it holds a read lock; f must neither retain nor
+// change the state.
 func (r *Replica) View(f func(*State)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -59,9 +65,9 @@
 	return r.state.Offset
 }
 
-// InEra reports whether the offsets of an era are those of the records that were
-// applied; the first that is asked for is, as long as none was.
-func (r *Replica) InEra(era int64) bool {
+// MatchesEra reports whether era is the era of the applied records. A replica at
+// offset 0 adopts the given era.
+func (r *Replica) MatchesEra(era int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state.Offset == 0 {
@@ -70,30 +76,31 @@
 	return r.era == era
 }
 
-// Applied implements eventlog.Settler.
+// Applied implements eventlog.AppliedChecker.
 func (r *Replica) Applied(id string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.state.Applied(id)
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the state's offset next increases.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.changed
 }
 
-// Contact returns when the log was last heard, by the local clock.
+// Contact returns the time, by the local clock, of the last successful read of the
+// log, by this process or by the relay that it reads from; zero means none.
 func (r *Replica) Contact() time.Time {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.contact
 }
 
-// Heard notes that the log, or a relay that vouches for it, answered a
-// question asked at the given time.
-func (r *Replica) Heard(at time.Time) {
+// MarkContact records that a read which reflects the log at the given time
+// succeeded. An earlier time than the current one has no effect.
+func (r *Replica) MarkContact(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at.After(r.contact) {
@@ -101,9 +108,9 @@
 	}
 }
 
-// Apply folds entries in order. Entries below the replica's offset are
-// passed over, whatever the log answers; an entry above it is ErrOffset,
-// since a gap is never skipped.
+// Apply applies entries in order. It skips entries below the replica's offset and
+// returns ErrOutOfOrder for an entry above it; the entries before that one remain
+// applied.
 func (r *Replica) Apply(entries []eventlog.Entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,17 +125,17 @@
 		if e.Offset < r.state.Offset {
 			continue
 		}
-		if err := r.state.Apply(record(e)); err != nil {
+		if err := r.state.Apply(decodeRecord(e)); err != nil {
 			return err
 		}
-		r.keep(e)
+		r.keepForRelay(e)
 	}
 	return nil
 }
 
-// record decodes an entry. One that is not a record at all takes its place
-// in the order under an id of its own and changes nothing.
-func record(e eventlog.Entry) eventlog.Record {
+// decodeRecord decodes an entry. For one that is not a record it returns a record
+// of no kind, which only advances the offset.
+func decodeRecord(e eventlog.Entry) eventlog.Record {
 	var rec eventlog.Record
 	if err := json.Unmarshal(e.Data, &rec); err != nil || rec.ID == "" {
 		rec = eventlog.Record{ID: "not-a-record"}
@@ -137,14 +144,16 @@
 	return rec
 }
 
-func (r *Replica) keep(e eventlog.Entry) {
+// keepForRelay adds an entry to r.records; r.mu must be held.
+func (r *Replica) keepForRelay(e eventlog.Entry) {
 	r.records = append(r.records, e)
-	if len(r.records) > 2*keptRecords {
-		r.records = append([]eventlog.Entry(nil), r.records[len(r.records)-keptRecords:]...)
+	if len(r.records) > 2*maxRelayRecords {
+		r.records = append([]eventlog.Entry(nil), r.records[len(r.records)-maxRelayRecords:]...)
 	}
 }
 
-// Page answers a relayed read: the kept records from offset on.
+// Page returns the response to a relayed read: the retained records at offset from
+// and above, at most limit. If from is below First of the page, there are none.
 func (r *Replica) Page(from int64, limit int) eventlog.Page {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -163,27 +172,28 @@
 	return p
 }
 
-// Checkpoint returns the state as of now.
+// Checkpoint returns a checkpoint of the current state.
 func (r *Replica) Checkpoint() Checkpoint {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	b, err := json.Marshal(r.state)
 	if err != nil {
-		panic("state: does not marshal: " + err.Error()) // plain fields always marshal
+		panic("state: cannot be encoded as JSON: " + err.Error()) // has only plain fields
 	}
 	return Checkpoint{Era: r.era, Offset: r.state.Offset, Digest: weights.Sum(b), State: b}
 }
 
-// Restore takes a checkpoint that is ahead of the replica. One that is
-// behind, or equal, or of another era of the log changes nothing; one that does not match its digest is
+// Restore replaces the state by that of a checkpoint at a higher offset. A
+// checkpoint at the same or a lower offset, or of another era than the replica's if
+// that has applied records, has no effect. An invalid checkpoint is
 // ErrBadCheckpoint.
 func (r *Replica) Restore(c Checkpoint) error {
 	if weights.Sum(c.State) != c.Digest {
-		return errors.WithType(errors.Errorf("checkpoint at %d", c.Offset), ErrBadCheckpoint)
+		return errors.WithType(errors.Errorf("checkpoint at offset %d does not match its digest", c.Offset), ErrBadCheckpoint)
 	}
 	s := New()
 	if err := json.Unmarshal(c.State, s); err != nil || s.Offset != c.Offset {
-		return errors.WithType(errors.Errorf("checkpoint at %d does not decode", c.Offset), ErrBadCheckpoint)
+		return errors.WithType(errors.Errorf("checkpoint at offset %d cannot be decoded", c.Offset), ErrBadCheckpoint)
 	}
 	s.seen = nil
 	s.init()
--- a/state/state.go
+++ b/state/state.go
@@ -18,49 +18,52 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// Bounds of what a state keeps.
 const (
-	// keptIDs is how many record ids are remembered to recognise a record
-	// that stands twice. At a hundred appends a second this is 40 seconds
-	// of the log at its limit; a writer gives up well before.
-	keptIDs = 4096
-	// keptPlans is how many plans without effect are kept for operators.
-	keptPlans = 64
-	// keptChanges is how long changes of homes are kept; it is longer than
-	// package dedup remembers a key.
-	keptChanges = 30 * time.Minute
+	// maxRecentIDs is the number of record ids retained to detect duplicate
+	// records. It must cover the records appended while a writer retries an append.
+	maxRecentIDs = 4096
+	// maxInactivePlans is the number of plans without effect that are retained for
+	// operators to see.
+	maxInactivePlans = 64
+	// changeRetention is how long changes of homes are retained. It must be longer
+	// than dedup.Window, for which a home keeps its keys.
+	changeRetention = 30 * time.Minute
 )
 
-// ErrOffset says that a record does not follow the last applied one.
-const ErrOffset = errors.ConstError("record does not follow the state's offset")
+// ErrOutOfOrder means that a record's offset is not the next one.
+const ErrOutOfOrder = errors.ConstError("record is not at the next offset")
 
-// State is the fold of the configuration stream. The zero value is the
-// state before the first record. Treat it as read-only outside Apply.
+// State is the result of applying the records of the configuration stream. The
+// zero value is the state before the first record. Only Apply may change it. It
+// needs external locking; see Replica.
 type State struct {
-	// Offset is the offset after the last applied record.
+	// Offset is the offset of the next record to apply.
 	Offset     int64                          `json:"offset"`
 	Operators  map[string]workspace.Operator  `json:"operators"`
 	Workspaces map[string]workspace.Workspace `json:"workspaces"`
 	Plans      map[string]*intent.Plan        `json:"plans"`
-	// PlanOrder lists the plans by the offset of their proposal.
-	PlanOrder []string       `json:"plan_order"`
-	Touched   intent.Touched `json:"touched"`
-	// Homes lists the homes by box.
-	Homes   map[string]Home `json:"homes"`
-	Changes []Change        `json:"changes"`
-	// IDs are the ids of the last applied records, oldest first.
-	IDs []string `json:"ids"`
-
-	seen map[string]bool
+	// PlanOrder lists the ids of the plans in the order of their proposals.
+	PlanOrder    []string            `json:"plan_order"`
+	LastModified intent.LastModified `json:"touched"`
+	// Homes holds the homes by box.
+	Homes map[string]Home `json:"homes"`
+	// HomeChanges lists the changes of homes within changeRetention, oldest first.
+	Changes []Change `json:"changes"`
+	// RecentIDs lists the ids of the last applied records, oldest first, at most
+	// maxRecentIDs.
+	RecentIDs []string `json:"ids"`
+
+	seen map[string]bool // the set of RecentIDs
 }
 
-// New returns the state before the first record.
+// New returns an empty state, before the first record.
 func New() *State {
 	s := new(State)
 	s.init()
 	return s
 }
 
+// init allocates nil maps and builds seen from RecentIDs.
 func (s *State) init() {
 	if s.Operators == nil {
 		s.Operators = make(map[string]workspace.Operator)
@@ -71,56 +74,61 @@
 	if s.Plans == nil {
 		s.Plans = make(map[string]*intent.Plan)
 	}
-	if s.Touched.Boxes == nil {
-		s.Touched.Boxes = make(map[string]int64)
+	if s.LastModified.Boxes == nil {
+		s.LastModified.Boxes = make(map[string]int64)
 	}
-	if s.Touched.Workspaces == nil {
-		s.Touched.Workspaces = make(map[string]int64)
+	if s.LastModified.Workspaces == nil {
+		s.LastModified.Workspaces = make(map[string]int64)
 	}
 	if s.Homes == nil {
 		s.Homes = make(map[string]Home)
 	}
 	if s.seen == nil {
-		s.seen = make(map[string]bool, len(s.IDs))
-		for _, id := range s.IDs {
+		s.seen = make(map[string]bool, len(s.RecentIDs))
+		for _, id := range s.RecentIDs {
 			s.seen[id] = true
 		}
 	}
 }
 
-// Apply folds r into s. It returns ErrOffset, and changes nothing, unless r
-// is the very next record. A record that the rules refuse moves the offset
-// and nothing else.
+// Apply applies r to s. If r is not at s.Offset, it returns ErrOutOfOrder and changes
+// nothing. A duplicate, invalid or conflicting record, or one of a newer schema,
+// advances the offset without an error; a conflicting or late confirmation also ends
+// its plan.
 func (s *State) Apply(r eventlog.Record) error {
 	if r.Offset != s.Offset {
-		return errors.WithType(errors.Errorf("record at %d, state at %d", r.Offset, s.Offset), ErrOffset)
+		return errors.WithType(errors.Errorf("got record at offset %d, expected offset %d", r.Offset, s.Offset), ErrOutOfOrder)
 	}
 	s.init()
 	s.Offset++
 	if s.seen[r.ID] {
 		return nil
 	}
-	s.remember(r.ID)
+	s.addRecentID(r.ID)
 	if r.Schema > eventlog.Schema {
-		return nil // written by a later release; that release's rules do not bind this one
+		return nil // written by a newer release
 	}
-	s.fold(r)
+	s.applyBody(r)
 	return nil
 }
 
-func (s *State) remember(id string) {
+// addRecentID adds an id to RecentIDs and removes the oldest if there are more than
+// maxRecentIDs.
+func (s *State) addRecentID(id string) {
 	s.seen[id] = true
-	s.IDs = append(s.IDs, id)
-	if len(s.IDs) > keptIDs {
-		delete(s.seen, s.IDs[0])
-		s.IDs = slices.Clone(s.IDs[1:])
+	s.RecentIDs = append(s.RecentIDs, id)
+	if len(s.RecentIDs) > maxRecentIDs {
+		delete(s.seen, s.RecentIDs[0])
+		s.RecentIDs = slices.Clone(s.RecentIDs[1:])
 	}
 }
 
-// Applied reports whether the record with this id is among the last ones.
+// Applied reports whether a record with this id is among the last maxRecentIDs ones.
 func (s *State) Applied(id string) bool { return s.seen[id] }
 
-func (s *State) fold(r eventlog.Record) {
+// applyBody applies the body of a record by its kind. Records of unknown kinds have no
+// effect.
+func (s *State) applyBody(r eventlog.Record) {
 	switch r.Kind {
 	case KindOperatorSet:
 		decode(r, func(b OperatorSet) { s.Operators[b.Operator.Name] = b.Operator })
@@ -131,22 +139,22 @@
 	case KindWorkspaceRemove:
 		decode(r, func(b Name) { s.removeWorkspace(r, b.Name) })
 	case KindPlanProposed:
-		decode(r, func(b PlanProposed) { s.propose(b.Plan) })
+		decode(r, func(b PlanProposed) { s.addPlan(b.Plan) })
 	case KindPlanConfirmed:
-		decode(r, func(b PlanRef) { s.confirm(r, b.Plan) })
+		decode(r, func(b PlanRef) { s.confirmPlan(r, b.Plan) })
 	case KindPlanRejected:
-		decode(r, func(b PlanRef) { s.end(b.Plan, intent.Proposed, intent.Rejected, "rejected by "+r.By) })
+		decode(r, func(b PlanRef) { s.setStatus(b.Plan, intent.Proposed, intent.Rejected, "rejected by "+r.By) })
 	case KindPlanCancelled:
-		decode(r, func(b PlanRef) { s.cancel(r, b.Plan) })
+		decode(r, func(b PlanRef) { s.cancelPlan(r, b.Plan) })
 	case KindPlanAdvanced:
-		decode(r, func(b PlanAdvanced) { s.advance(b) })
+		decode(r, func(b PlanAdvanced) { s.advancePlan(b) })
 	case KindHomesChanged:
 		decode(r, func(b HomesChanged) { s.changeHomes(r, b) })
 	}
 }
 
-// decode calls apply with the record's body; a body that does not decode
-// changes nothing, in every process alike.
+// decode calls apply with the record's decoded body. A body that cannot be decoded
+// has no effect.
 func decode[T any](r eventlog.Record, apply func(T)) {
 	var body T
 	if err := json.Unmarshal(r.Body, &body); err == nil {
@@ -154,20 +162,22 @@
 	}
 }
 
+// setWorkspace adds or replaces a workspace. An invalid one has no effect.
 func (s *State) setWorkspace(r eventlog.Record, w workspace.Workspace) {
 	if w.Validate() != nil {
 		return
 	}
 	s.Workspaces[w.Name] = w
-	s.Touched.Workspaces[w.Name] = r.Offset + 1
+	s.LastModified.Workspaces[w.Name] = r.Offset + 1
 }
 
 func (s *State) removeWorkspace(r eventlog.Record, name string) {
 	delete(s.Workspaces, name)
-	s.Touched.Workspaces[name] = r.Offset + 1
+	s.LastModified.Workspaces[name] = r.Offset + 1
 }
 
-func (s *State) propose(p intent.Plan) {
+// addPlan adds a proposed plan. A plan whose id exists already has no effect.
+func (s *State) addPlan(p intent.Plan) {
 	if _, ok := s.Plans[p.ID]; ok {
 		return
 	}
@@ -175,101 +185,106 @@
 	p.Reason, p.ConfirmID, p.Fence, p.Wave = "", "", 0, 0
 	s.Plans[p.ID] = &p
 	s.PlanOrder = append(s.PlanOrder, p.ID)
-	s.dropOldPlans()
+	s.prunePlans()
 }
 
-// dropOldPlans forgets the oldest plans that order nothing and that no box
-// follows any more.
-func (s *State) dropOldPlans() {
-	followed := s.followed()
-	idle := len(s.PlanOrder) - len(followed)
-	if idle <= keptPlans {
+// prunePlans removes the oldest inactive plans if there are more than
+// maxInactivePlans.
+func (s *State) prunePlans() {
+	activePlans := s.activePlans()
+	inactive := len(s.PlanOrder) - len(activePlans)
+	if inactive <= maxInactivePlans {
 		return
 	}
 	s.PlanOrder = slices.DeleteFunc(slices.Clone(s.PlanOrder), func(id string) bool {
-		if idle <= keptPlans || followed[id] {
+		if inactive <= maxInactivePlans || activePlans[id] {
 			return false
 		}
-		idle--
+		inactive--
 		delete(s.Plans, id)
 		return true
 	})
 }
 
-// followed is the set of plans that are confirmed, or that some box goes on
-// serving because the plan that superseded them left it out.
-func (s *State) followed() map[string]bool {
+// activePlans returns the ids of the plans that are confirmed, or superseded but still
+// the newest one in effect for some box, since a later plan does not include it.
+func (s *State) activePlans() map[string]bool {
 	type target struct{ box, model string }
 	newest := make(map[target]*intent.Plan)
-	out := make(map[string]bool)
+	active := make(map[string]bool)
 	for _, id := range s.PlanOrder {
 		p := s.Plans[id]
 		if p.Status == intent.Confirmed {
-			out[id] = true
+			active[id] = true
 		}
-		if !inForce(p) {
+		if !inEffect(p) {
 			continue
 		}
 		for _, step := range p.Steps {
-			at := target{box: step.Box, model: p.Intent.Model}
-			if old := newest[at]; old == nil || old.Fence < p.Fence {
-				newest[at] = p
+			t := target{box: step.Box, model: p.Intent.Model}
+			if old := newest[t]; old == nil || old.Fence < p.Fence {
+				newest[t] = p
 			}
 		}
 	}
 	for _, p := range newest {
-		out[p.ID] = true
+		active[p.ID] = true
 	}
-	return out
+	return active
 }
 
-// inForce reports whether a plan was confirmed and not taken back.
-func inForce(p *intent.Plan) bool {
+// inEffect reports whether a plan was confirmed and not cancelled. A superseded plan
+// remains in effect where later plans do not replace it.
+func inEffect(p *intent.Plan) bool {
 	return p.Status == intent.Confirmed || p.Status == intent.Superseded
 }
 
-// confirm decides by the log's order alone whether the plan takes effect.
-func (s *State) confirm(r eventlog.Record, id string) {
+// confirmPlan confirms a proposed plan, or ends it if it has expired or conflicts with
+// an earlier record. The decision depends only on the log, not on the local clock.
+//
+// The reasons set here and below are part of the state and its digest, so they must
+// not differ between releases.
+func (s *State) confirmPlan(r eventlog.Record, id string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != intent.Proposed {
 		return
 	}
 	if r.At > p.ExpiresAt {
-		s.end(id, intent.Proposed, intent.Expired, "the plan had expired when it was confirmed")
+		s.setStatus(id, intent.Proposed, intent.Expired, "the plan had expired when it was confirmed")
 		return
 	}
-	if reason := intent.Conflicts(p, s.Touched); reason != "" {
-		s.end(id, intent.Proposed, intent.Conflicted, reason)
+	if reason := intent.ConflictReason(p, s.LastModified); reason != "" {
+		s.setStatus(id, intent.Proposed, intent.Conflicted, reason)
 		return
 	}
-	p = s.change(id)
+	p = s.cloneForUpdate(id)
 	p.Status, p.Fence, p.ConfirmID = intent.Confirmed, r.Offset, r.ID
 	for _, step := range p.Steps {
-		s.Touched.Boxes[step.Box] = r.Offset + 1
+		s.LastModified.Boxes[step.Box] = r.Offset + 1
 	}
 	for _, w := range p.Intent.Workspaces {
-		s.Touched.Workspaces[w] = r.Offset + 1
+		s.LastModified.Workspaces[w] = r.Offset + 1
 	}
 	s.supersede(p)
 }
 
-// supersede ends former plans of the same model that no box and no
-// workspace follows any more.
-func (s *State) supersede(by *intent.Plan) {
+// supersede sets the status of the other confirmed plans for the model of newPlan to
+// Superseded if no workspace is routed to them first any more.
+func (s *State) supersede(newPlan *intent.Plan) {
 	for _, id := range s.PlanOrder {
 		p := s.Plans[id]
-		if p.Status != intent.Confirmed || p.ID == by.ID || p.Intent.Model != by.Intent.Model {
+		if p.Status != intent.Confirmed || p.ID == newPlan.ID || p.Intent.Model != newPlan.Intent.Model {
 			continue
 		}
-		if s.covered(p) {
-			s.end(id, intent.Confirmed, intent.Superseded, "superseded by plan "+by.ID)
+		if s.fullySuperseded(p) {
+			s.setStatus(id, intent.Confirmed, intent.Superseded, "superseded by plan "+newPlan.ID)
 		}
 	}
 }
 
-// covered reports whether later plans of the same model have taken over
-// every workspace of p.
-func (s *State) covered(p *intent.Plan) bool {
+// fullySuperseded reports whether later plans for the same model serve every workspace
+// of p.
+func (s *State) fullySuperseded(p *intent.Plan) bool {
 	for _, w := range p.Intent.Workspaces {
 		if r := s.Route(w, p.Intent.Model); len(r) > 0 && r[0].ID == p.ID {
 			return false
@@ -278,85 +293,91 @@
 	return true
 }
 
-// cancel takes a confirmed plan back: its boxes and workspaces return to
-// the plan before it, where there is one.
-func (s *State) cancel(r eventlog.Record, id string) {
+// cancelPlan cancels a confirmed plan. If the plan had superseded another, that one is
+// confirmed again with a new fence.
+func (s *State) cancelPlan(r eventlog.Record, id string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != intent.Confirmed {
 		return
 	}
-	s.end(id, intent.Confirmed, intent.Cancelled, "cancelled by "+r.By)
+	s.setStatus(id, intent.Confirmed, intent.Cancelled, "cancelled by "+r.By)
 	for _, step := range p.Steps {
-		s.Touched.Boxes[step.Box] = r.Offset + 1
+		s.LastModified.Boxes[step.Box] = r.Offset + 1
 	}
 	for _, w := range p.Intent.Workspaces {
-		s.Touched.Workspaces[w] = r.Offset + 1
+		s.LastModified.Workspaces[w] = r.Offset + 1
 	}
-	if former := s.former(p); former != nil {
-		q := s.change(former.ID)
-		q.Status, q.Reason, q.Fence = intent.Confirmed, "restored when plan "+id+" was cancelled", r.Offset
+	if predecessor := s.predecessor(p); predecessor != nil {
+		restored := s.cloneForUpdate(predecessor.ID)
+		restored.Status, restored.Reason, restored.Fence = intent.Confirmed, "restored when plan "+id+" was cancelled", r.Offset
 	}
 }
 
-// former is the plan that p had superseded.
-func (s *State) former(p *intent.Plan) *intent.Plan {
+// predecessor returns the newest plan that p superseded, or nil. It relies on the
+// reason that supersede sets.
+func (s *State) predecessor(p *intent.Plan) *intent.Plan {
 	for _, id := range slices.Backward(s.PlanOrder) {
-		q := s.Plans[id]
-		if q.Status == intent.Superseded && q.Reason == "superseded by plan "+p.ID {
-			return q
+		candidate := s.Plans[id]
+		if candidate.Status == intent.Superseded && candidate.Reason == "superseded by plan "+p.ID {
+			return candidate
 		}
 	}
 	return nil
 }
 
-func (s *State) advance(b PlanAdvanced) {
+// advancePlan advances a confirmed plan to its next wave. Any other wave has no
+// effect, so that duplicate records do not skip one.
+func (s *State) advancePlan(b PlanAdvanced) {
 	p, ok := s.Plans[b.Plan]
 	if !ok || p.Status != intent.Confirmed || b.Wave != p.Wave+1 || b.Wave >= p.Waves() {
 		return
 	}
-	s.change(b.Plan).Wave = b.Wave
+	s.cloneForUpdate(b.Plan).Wave = b.Wave
 }
 
-func (s *State) end(id string, from, to intent.Status, reason string) {
+// setStatus changes the status and reason of a plan whose status is from. If it is
+// another, or there is no such plan, nothing changes.
+func (s *State) setStatus(id string, from, to intent.Status, reason string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != from {
 		return
 	}
-	p = s.change(id)
+	p = s.cloneForUpdate(id)
 	p.Status, p.Reason = to, reason
 }
 
-// change returns a copy of a plan to write to; readers keep the former one.
-func (s *State) change(id string) *intent.Plan {
+// cloneForUpdate replaces a plan by a copy and returns the copy. Plans are modified
+// only this way, so that a *Plan which a reader retained does not change.
+func (s *State) cloneForUpdate(id string) *intent.Plan {
 	p := *s.Plans[id]
 	s.Plans[id] = &p
 	return &p
 }
 
-// changeHomes folds a change; what is so already changes nothing, so that
-// two gateways that write the same change do no harm.
+// changeHomes adds and removes homes and records the change of each service. It is
+// idempotent, since several gateways may write the same change.
 func (s *State) changeHomes(r eventlog.Record, b HomesChanged) {
 	changes := make(map[string]*Change)
-	of := func(service string) *Change {
+	changeOf := func(service string) *Change {
 		if changes[service] == nil {
-			changes[service] = &Change{Service: service, At: r.At, Offset: r.Offset, First: s.neverHadHomes(service)}
+			changes[service] = &Change{Service: service, At: r.At, Offset: r.Offset, First: s.noRecentHomes(service)}
 		}
 		return changes[service]
 	}
 	for _, box := range b.Remove {
 		if h, ok := s.Homes[box]; ok {
-			c := of(h.Service)
+			c := changeOf(h.Service)
 			c.Removed = append(c.Removed, h)
 			delete(s.Homes, box)
 		}
 	}
 	for _, h := range b.Add {
-		old, had := s.Homes[h.Box]
-		if had && old.Incarnation == h.Incarnation {
+		old, exists := s.Homes[h.Box]
+		if exists && old.Incarnation == h.Incarnation {
 			continue
 		}
-		c := of(h.Service)
-		if had {
+		c := changeOf(h.Service)
+		if exists {
 			c.Removed = append(c.Removed, old)
 		}
 		h.Since = r.At
@@ -366,24 +387,24 @@
 	for _, service := range slices.Sorted(maps.Keys(changes)) {
 		s.Changes = append(s.Changes, *changes[service])
 	}
-	s.dropOldChanges(r.At)
+	s.pruneChanges(r.At)
 }
 
-// neverHadHomes reports whether no home of the service can remember a key:
-// there is none, and none has left for as long as changes are kept.
-func (s *State) neverHadHomes(service string) bool {
+// noRecentHomes reports whether the service has no home and has had none within
+// changeRetention, so that no home can hold records of its keys.
+func (s *State) noRecentHomes(service string) bool {
 	return len(s.HomesOf(service)) == 0 && !slices.ContainsFunc(s.Changes, func(c Change) bool { return c.Service == service })
 }
 
-// dropOldChanges forgets changes that no rule asks about any more. It goes
-// by the records' own times, so that every process forgets the same.
-func (s *State) dropOldChanges(now int64) {
+// pruneChanges removes changes older than changeRetention at now, which is the time of
+// a record in Unix milliseconds: the local clock would make replicas differ.
+func (s *State) pruneChanges(now int64) {
 	s.Changes = slices.DeleteFunc(slices.Clone(s.Changes), func(c Change) bool {
-		return now-c.At > keptChanges.Milliseconds()
+		return now-c.At > changeRetention.Milliseconds()
 	})
 }
 
-// HomesOf returns the homes of a service, ordered by box.
+// HomesOf returns the homes of a service, sorted by box.
 func (s *State) HomesOf(service string) []Home {
 	var out []Home
 	for _, h := range s.Homes {
@@ -395,14 +416,14 @@
 	return out
 }
 
-// Route returns the confirmed plans that serve a workspace with a model,
-// newest first. The first is the version to answer with; the others serve
-// until the first has replicas.
+// Route returns the plans in effect by which a workspace uses a model, by descending
+// fence. Requests go to the version of the first plan, or of the next ones until the
+// first has replicas.
 func (s *State) Route(workspace, model string) []*intent.Plan {
 	var out []*intent.Plan
 	for _, id := range s.PlanOrder {
 		p := s.Plans[id]
-		if inForce(p) && p.Intent.Model == model && slices.Contains(p.Intent.Workspaces, workspace) {
+		if inEffect(p) && p.Intent.Model == model && slices.Contains(p.Intent.Workspaces, workspace) {
 			out = append(out, p)
 		}
 	}
@@ -410,13 +431,13 @@
 	return out
 }
 
-// Desired returns the plans that a box is to carry out, one a model, newest
-// first by fence.
+// Desired returns the plans that a box is to carry out, by descending fence: for each
+// model the plan in effect with the highest fence that includes the box.
 func (s *State) Desired(box string) []*intent.Plan {
 	byModel := make(map[string]*intent.Plan)
 	for _, id := range s.PlanOrder {
 		p := s.Plans[id]
-		if !inForce(p) {
+		if !inEffect(p) {
 			continue
 		}
 		if _, ok := p.Step(box); !ok {
@@ -431,7 +452,7 @@
 	return out
 }
 
-// Models returns the models that a workspace can ask for, sorted.
+// Models returns the models that a workspace can use, sorted.
 func (s *State) Models(workspace string) []string {
 	var out []string
 	for _, p := range s.Plans {
@@ -443,7 +464,7 @@
 	return out
 }
 
-// HighestFence is the highest offset that an order can carry so far.
+// HighestFence returns the highest fence of all plans.
 func (s *State) HighestFence() int64 {
 	var f int64
 	for _, p := range s.Plans {
@@ -452,11 +473,11 @@
 	return f
 }
 
-// Digest returns the digest of the state's canonical JSON.
+// Digest returns the digest of the state's JSON encoding, which is deterministic.
 func (s *State) Digest() weights.Digest {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(fmt.Sprintf("state: does not marshal: %v", err)) // plain fields always marshal
+		panic(fmt.Sprintf("state: cannot be encoded as JSON: %v", err)) // has only plain fields
 	}
 	return weights.Sum(b)
 }
