--- a/state/state.go
+++ b/state/state.go
@@ -293,8 +293,8 @@
 	return true
 }
 
-// cancelPlan cancels a confirmed plan. If the plan had superseded another, that one is
-// confirmed again with a new fence.
+// cancelPlan cancels a confirmed plan. If it had superseded others, the newest of them
+// is confirmed again with a new fence.
 func (s *State) cancelPlan(r eventlog.Record, id string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != intent.Confirmed {
