--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -43,7 +43,7 @@
 	ErrGone = errors.ConstError("log records have been removed")
 	// ErrEraChanged means that the log was restored from an older copy: its
 	// offsets may refer to other records than those that were applied.
-	ErrEraChanged = errors.ConstError("log was restored from an older copy")
+	ErrEraChanged = errors.ConstError("log came back from an older copy")
 	// ErrOutcomeUnknown means that the record may or may not be in the log.
 	ErrUnsettled = errors.ConstError("log did not confirm the record")
 	// ErrUnavailable means that the record is not in the log: no attempt to
@@ -133,7 +133,7 @@
 	var se *call.StatusError
 	if errors.As(err, &se) && se.Code == http.StatusGone {
 		if decodeErr := json.Unmarshal([]byte(se.Body), &p); decodeErr != nil {
-			return p, errors.Annotate(decodeErr, "decoding the log's response to a read of removed records")
+			return p, errors.Annotate(decodeErr, "log's answer about removed records")
 		}
 		return p, errors.WithType(err, ErrGone)
 	}
@@ -175,7 +175,7 @@
 			maybeWritten = true
 		}
 		if status := call.Status(err); status >= 400 && status < 500 && status != http.StatusTooManyRequests {
-			return errors.Annotatef(err, "log rejected record %s", r.ID)
+			return errors.Annotatef(err, "log refuses record %s", r.ID)
 		}
 		select {
 		case <-ctx.Done():
@@ -207,7 +207,7 @@
 	for !applied.Applied(id) {
 		select {
 		case <-ctx.Done():
-			return errors.WithType(errors.Errorf("record %s was appended to the log but has not been applied here yet", id), ErrUnsettled)
+			return errors.WithType(errors.Errorf("record %s stands in the log but has not come back", id), ErrUnsettled)
 		case <-time.After(pollInterval):
 		}
 	}
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -18,13 +18,13 @@
 // Errors returned by NewPlan.
 const (
 	// ErrNoBoxes means that no available box matches the intent.
-	ErrNoBoxes = errors.ConstError("no available box matches the intent")
+	ErrNoBoxes = errors.ConstError("no live box matches the intent")
 	// ErrUnknownWorkspace means that the intent contains a workspace that does not
 	// exist.
 	ErrUnknownWorkspace = errors.ConstError("workspace does not exist")
 	// ErrFloor means that stopping even one box at a time would leave a workspace
 	// with fewer boxes than its floor.
-	ErrFloor = errors.ConstError("plan would take a workspace below its floor")
+	ErrFloor = errors.ConstError("plan cannot keep a workspace above its floor")
 	// ErrNoMemory means that the version is larger than the memory of an engine.
 	ErrNoMemory = errors.ConstError("version does not fit into the engine's memory")
 )
@@ -250,7 +250,7 @@
 		ws := snap.Workspaces[name]
 		spare := serving[name] - ws.Floor
 		if spare < 1 {
-			return errors.WithType(errors.Errorf("workspace %q: served by %d boxes, floor %d", name, serving[name], ws.Floor), ErrFloor)
+			return errors.WithType(errors.Errorf("workspace %q: %d boxes serve it, floor %d", name, serving[name], ws.Floor), ErrFloor)
 		}
 		size = min(size, spare)
 	}
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -112,7 +112,7 @@
 func (m *Manifest) Validate() error {
 	switch {
 	case !m.Valid():
-		return errors.WithType(errors.Errorf("manifest has invalid version name %q", m.Ref), ErrBadManifest)
+		return errors.WithType(errors.Errorf("manifest names %q", m.Ref), ErrBadManifest)
 	case m.Bytes <= 0 || m.ChunkBytes <= 0:
 		return errors.WithType(errors.Errorf("manifest of %s has %d bytes in chunks of %d", m.Ref, m.Bytes, m.ChunkBytes), ErrBadManifest)
 	case int64(len(m.Chunks)) != (m.Bytes+m.ChunkBytes-1)/m.ChunkBytes:
@@ -122,7 +122,7 @@
 	}
 	for i, d := range m.Chunks {
 		if raw, err := hex.DecodeString(string(d)); err != nil || len(raw) != sha256.Size {
-			return errors.WithType(errors.Errorf("manifest of %s has no valid digest for chunk %d", m.Ref, i), ErrBadManifest)
+			return errors.WithType(errors.Errorf("manifest of %s has no digest for chunk %d", m.Ref, i), ErrBadManifest)
 		}
 	}
 	return nil
@@ -176,7 +176,7 @@
 		return nil, err
 	}
 	if pin != "" && m.Digest() != pin {
-		return nil, errors.WithType(errors.Errorf("manifest of %s has digest %.12s, want %.12s as pinned by the plan", m.Ref, m.Digest(), pin), ErrBadManifest)
+		return nil, errors.WithType(errors.Errorf("manifest of %s has digest %.12s, the plan pins %.12s", m.Ref, m.Digest(), pin), ErrBadManifest)
 	}
 	return m, nil
 }
