--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -1,16 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package dedup makes a request that is not repeatable run at most once.
+// Package dedup decides whether a non-idempotent request may run, so that it
+// runs at most once.
 //
-// Each key has one home: a sidecar, found by rendezvous over the homes that
-// stand in the log. Only the home runs the request, and it remembers the
-// key. Admit holds the rule for a home that has just become one: it cannot
-// know what the former home ran, so it runs a key only if the key was made
-// after the former home had certainly stopped, which a UUIDv7 key tells;
-// otherwise it says that the matter cannot be known. docs/AT-MOST-ONCE.md
-// weighs this against tickets and against claims in the log.
+// Each idempotency key has one home: a sidecar, selected by rendezvous hashing
+// over the homes recorded in the event log. Only the home grants the request,
+// and it stores the key in a Table. A new home has no record of the keys that
+// its predecessor ran. Admit therefore grants a key that the table does not
+// hold only if the key was created after the predecessor's lease had expired,
+// as shown by the time in a UUIDv7 key, or if the key has no creation time and
+// the change of homes is longer ago than KeyTTL. docs/AT-MOST-ONCE.md compares
+// this design with its alternatives.
 //
-// The package does no I/O and takes time as a value.
+// The package does no I/O; callers pass the current time.
 package dedup
 
 import (
@@ -22,19 +24,20 @@
 	"github.com/mintlift/mintlift/state"
 )
 
-// Times of the rules.
 const (
-	// Lease is how long a home may run keys without hearing from the log.
+	// Lease is how long a home may grant keys after its last contact with the
+	// event log.
 	Lease = 20 * time.Second
-	// Skew bounds the difference between two clocks that set key times and
-	// record times.
-	Skew = 5 * time.Second
-	// Window is how long keys are remembered. A key that is older, or of
-	// unknown age within Window of a change of homes, is not run.
-	Window = 10 * time.Minute
-	// RefuseHold is how long a refused key stays refused, so that an attempt
-	// which is still on its way cannot run after "not run" has been said.
-	RefuseHold = 10 * time.Second
+	// MaxClockSkew bounds the difference between the clocks that set creation
+	// times of keys and times of log records.
+	MaxClockSkew = 5 * time.Second
+	// KeyTTL is how long a Table keeps a key. A key that is older is not
+	// granted, nor is a key without a creation time within KeyTTL of a change
+	// of its home.
+	KeyTTL = 10 * time.Minute
+	// RefusalTTL is how long a key stays refused after a refused attempt, so
+	// that a delayed attempt cannot run after "not run" was reported.
+	RefusalTTL = 10 * time.Second
 )
 
 // HomeOf returns the home of a key, or false when there are no homes.
@@ -50,61 +53,63 @@
 	return best, len(homes) > 0
 }
 
-// Verdict is what a home may do with a key.
+// Verdict is the result of Admit.
 type Verdict int
 
-// The verdicts.
 const (
-	// Run: the key has certainly not run anywhere else.
+	// Run means that no other home can have run the key.
 	Run Verdict = iota
-	// NotHome: another home holds the key.
+	// NotHome means that another sidecar is the home of the key.
 	NotHome
-	// Unknowable: a former home may have run the key.
-	Unknowable
-	// Silent: the log has not been heard for longer than Lease, so another
-	// home may have taken over.
-	Silent
+	// Unknown means that a former home may have run the key.
+	Unknown
+	// LeaseExpired means that the last contact with the event log is longer
+	// ago than Lease, so another home may have been assigned.
+	LeaseExpired
 )
 
-// Self is the sidecar that decides.
+// Self identifies the sidecar that calls Admit. Service is empty for the
+// sidecar of a model engine.
 type Self struct {
 	Box         string
 	Incarnation string
 	Service     string
 }
 
-// Admit decides whether self may run a key that its memory does not hold.
-// contact is when the log was last heard.
+// Admit decides whether self may run a key that its Table does not hold.
+// contact is the time of the last contact with the event log.
 func Admit(key string, self Self, s *state.State, contact, now time.Time) Verdict {
 	home, ok := HomeOf(key, s.HomesOf(self.Service))
 	if !ok || home.Box != self.Box || home.Incarnation != self.Incarnation {
 		return NotHome
 	}
 	if now.Sub(contact) > Lease {
-		return Silent
+		return LeaseExpired
 	}
-	made, dated := KeyTime(key)
-	if dated && now.Sub(made) > Window {
-		return Unknowable
+	created, hasTime := KeyTime(key)
+	if hasTime && now.Sub(created) > KeyTTL {
+		return Unknown
 	}
-	at, moved := lastMove(key, self, s.Changes)
+	changedAt, changed := lastHomeChange(key, self, s.Changes)
 	switch {
-	case !moved:
+	case !changed:
 		return Run
-	case dated && made.After(at.Add(Lease+Skew)):
+	case hasTime && created.After(changedAt.Add(Lease+MaxClockSkew)):
 		return Run
-	case !dated && now.After(at.Add(Window)):
+	case !hasTime && now.After(changedAt.Add(KeyTTL)):
 		return Run
 	default:
-		return Unknowable
+		return Unknown
 	}
 }
 
-// lastMove returns the time of the newest change that made self the home of
-// key in the place of another: self was added, or a home that came before
-// self in the key's order was removed. Older changes ask for less.
-func lastMove(key string, self Self, changes []state.Change) (time.Time, bool) {
-	own := weight(key, self.Box)
+// lastHomeChange returns the time of the newest change that made self the home
+// of key instead of another sidecar: self was added, or a home with a higher
+// weight for key was removed. Older changes set no stricter condition. It
+// returns false if there was no such change, or if self was among the first
+// homes of the service.
+func lastHomeChange(key string, self Self, changes []state.Change) (time.Time, bool) {
+	ownWeight := weight(key, self.Box)
 	for i := len(changes) - 1; i >= 0; i-- {
 		c := changes[i]
 		if c.Service != self.Service {
@@ -116,7 +121,7 @@
 			}
 		}
 		for _, h := range c.Removed {
-			if weight(key, h.Box) > own {
+			if weight(key, h.Box) > ownWeight {
 				return time.UnixMilli(c.At), true
 			}
 		}
@@ -124,10 +129,11 @@
 	return time.Time{}, false
 }
 
-// weight is the rendezvous weight of a box for a key.
+// weight returns the rendezvous weight of a box for a key.
 func weight(key, box string) uint64 { return xxhash.Sum64String(key + "\x00" + box) }
 
-// KeyTime returns when a key was made, if it is a UUIDv7.
+// KeyTime returns the creation time of a UUIDv7 key, or false for any other
+// key.
 func KeyTime(key string) (time.Time, bool) {
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
--- a/dedup/dedup_test.go
+++ b/dedup/dedup_test.go
@@ -18,7 +18,7 @@
 
 var epoch = time.UnixMilli(1_800_000_000_000)
 
-// keyAt makes a UUIDv7 of the given time.
+// keyAt returns the nth UUIDv7 with the given creation time.
 func keyAt(at time.Time, n int) string {
 	u := uuid.UUID{}
 	ms := at.UnixMilli()
@@ -31,12 +31,12 @@
 	return u.String()
 }
 
-// world is a log of home changes and the states that processes hold.
-type world struct {
+// logModel is an event log of home changes.
+type logModel struct {
 	entries []eventlog.Entry
 }
 
-func (w *world) change(at time.Time, c state.HomesChanged) {
+func (log *logModel) appendChange(at time.Time, c state.HomesChanged) {
 	r, err := eventlog.NewRecord(state.KindHomesChanged, "test", at, c)
 	if err != nil {
 		panic(err)
@@ -45,12 +45,13 @@
 	if err != nil {
 		panic(err)
 	}
-	w.entries = append(w.entries, eventlog.Entry{Offset: int64(len(w.entries)), Data: b})
+	log.entries = append(log.entries, eventlog.Entry{Offset: int64(len(log.entries)), Data: b})
 }
 
-func (w *world) at(offset int) *state.State {
+// stateAt returns the state of a replica that has read the log up to offset.
+func (log *logModel) stateAt(offset int) *state.State {
 	r := state.NewReplica()
-	if err := r.Apply(w.entries[:offset]); err != nil {
+	if err := r.Apply(log.entries[:offset]); err != nil {
 		panic(err)
 	}
 	var out *state.State
@@ -65,11 +66,11 @@
 func self(h state.Home) Self { return Self{Box: h.Box, Incarnation: h.Incarnation} }
 
 func TestAdmit(t *testing.T) {
-	var w world
-	w.change(epoch, state.HomesChanged{Add: []state.Home{home(1, 1), home(2, 2)}})
-	s := w.at(1)
+	var log logModel
+	log.appendChange(epoch, state.HomesChanged{Add: []state.Home{home(1, 1), home(2, 2)}})
+	s := log.stateAt(1)
 	key := ""
-	for n := range 100 { // a key whose home is b1
+	for n := range 100 { // find a key whose home is b1
 		if h, _ := HomeOf(keyAt(epoch, n), s.HomesOf("")); h.Box == "b1" {
 			key = keyAt(epoch, n)
 			break
@@ -79,74 +80,75 @@
 	assert.Equal(t, Admit(key, self(home(1, 1)), s, now, now), Run)
 	assert.Equal(t, Admit(key, self(home(2, 2)), s, now, now), NotHome)
 	assert.Equal(t, Admit(key, self(home(1, 9)), s, now, now), NotHome, "another incarnation")
-	assert.Equal(t, Admit(key, self(home(1, 1)), s, now.Add(-Lease-time.Second), now), Silent)
+	assert.Equal(t, Admit(key, self(home(1, 1)), s, now.Add(-Lease-time.Second), now), LeaseExpired)
 
-	w.change(now, state.HomesChanged{Remove: []string{"b1"}})
-	s = w.at(2)
-	later := now.Add(time.Minute)
-	assert.Equal(t, Admit(key, self(home(2, 2)), s, later, later), Unknowable, "a key older than the change may have run at b1")
-	fresh := ""
+	log.appendChange(now, state.HomesChanged{Remove: []string{"b1"}})
+	s = log.stateAt(2)
+	afterChange := now.Add(time.Minute)
+	assert.Equal(t, Admit(key, self(home(2, 2)), s, afterChange, afterChange), Unknown, "b1 may have run a key that is older than the change")
+	newKey := ""
 	for n := range 1000 {
-		if h, _ := HomeOf(keyAt(later, n), w.at(1).HomesOf("")); h.Box == "b1" {
-			fresh = keyAt(later, n)
+		if h, _ := HomeOf(keyAt(afterChange, n), log.stateAt(1).HomesOf("")); h.Box == "b1" {
+			newKey = keyAt(afterChange, n)
 			break
 		}
 	}
-	assert.Equal(t, Admit(fresh, self(home(2, 2)), s, later, later), Run, "a key made after the change cannot have run at b1")
-	early := now.Add(Lease) // b1 may not have heard of its removal by then
+	assert.Equal(t, Admit(newKey, self(home(2, 2)), s, afterChange, afterChange), Run, "b1 cannot have run a key that was created after the change")
+	early := now.Add(Lease) // b1 may not have read its removal by then
 	for n := range 1000 {
-		if movedFrom(keyAt(early, n), w.at(1)) == "b1" {
-			assert.Equal(t, Admit(keyAt(early, n), self(home(2, 2)), s, later, later), Unknowable, "a key made while b1 may still have held its lease")
+		if homeBox(keyAt(early, n), log.stateAt(1)) == "b1" {
+			assert.Equal(t, Admit(keyAt(early, n), self(home(2, 2)), s, afterChange, afterChange), Unknown, "the key was created when the lease of b1 may not have expired")
 			break
 		}
 	}
-	moved := movedFrom("plain-key-of-unknown-age", w.at(1)) == "b1"
-	assert.Equal(t, Admit("plain-key-of-unknown-age", self(home(2, 2)), s, later, later) == Run, !moved)
+	formerlyAtB1 := homeBox("plain-key-of-unknown-age", log.stateAt(1)) == "b1"
+	assert.Equal(t, Admit("plain-key-of-unknown-age", self(home(2, 2)), s, afterChange, afterChange) == Run, !formerlyAtB1)
 
-	w.change(later, state.HomesChanged{Add: []state.Home{home(2, 3)}})
-	s = w.at(3)
-	assert.Equal(t, Admit(fresh, self(home(2, 3)), s, later, later), Unknowable, "the same box, started again empty")
+	log.appendChange(afterChange, state.HomesChanged{Add: []state.Home{home(2, 3)}})
+	s = log.stateAt(3)
+	assert.Equal(t, Admit(newKey, self(home(2, 3)), s, afterChange, afterChange), Unknown, "a new incarnation on the same box has no record of the keys")
 }
 
-func movedFrom(key string, s *state.State) string {
+func homeBox(key string, s *state.State) string {
 	h, _ := HomeOf(key, s.HomesOf(""))
 	return h.Box
 }
 
-// process is a sidecar of the model: its own memory, its own lagging state.
-type process struct {
+// processModel is a sidecar: its table of keys and the log offset up to which it
+// has read.
+type processModel struct {
 	home    state.Home
-	memory  Memory
+	keys    Table
 	offset  int
 	contact time.Time
-	alive   bool
+	running bool
 }
 
-// TestAtMostOnce draws changes of homes, lagging and silent processes,
-// restarts under the same box and resends through gateways that lag as
-// well, and counts the runs of every key.
+// TestAtMostOnce guards against a second run of a key, with random changes of
+// homes, processes that read the log late or not at all, restarts on the same
+// box, and retries through gateways with an outdated state.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w world
+		var log logModel
 		now := epoch
-		var procs []*process
+		var processes []*processModel
 		incarnation := 0
 		start := func(box int) {
 			incarnation++
-			for _, p := range procs {
+			for _, p := range processes {
 				if p.home.Box == home(box, 0).Box {
-					p.alive = p.alive && rapid.Bool().Draw(t, "old one lives on, cut off")
+					p.running = p.running && rapid.Bool().Draw(t, "former process keeps running, partitioned")
 				}
 			}
-			p := &process{home: home(box, incarnation), alive: true, contact: now}
-			procs = append(procs, p)
-			w.change(now, state.HomesChanged{Add: []state.Home{p.home}})
+			p := &processModel{home: home(box, incarnation), running: true, contact: now}
+			processes = append(processes, p)
+			log.appendChange(now, state.HomesChanged{Add: []state.Home{p.home}})
 		}
 		for box := range 3 {
 			start(box)
 		}
 		ran := make(map[string]int)
-		made := make(map[string]time.Time)
+		created := make(map[string]time.Time)
 		var keys []string
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "ms")) * time.Millisecond)
@@ -154,10 +156,10 @@
 			case 0:
 				start(rapid.IntRange(0, 3).Draw(t, "box"))
 			case 1:
-				w.change(now, state.HomesChanged{Remove: []string{home(rapid.IntRange(0, 3).Draw(t, "box"), 0).Box}})
-			case 2: // a process hears the log
-				p := rapid.SampledFrom(procs).Draw(t, "process")
-				p.offset, p.contact = len(w.entries), now
+				log.appendChange(now, state.HomesChanged{Remove: []string{home(rapid.IntRange(0, 3).Draw(t, "box"), 0).Box}})
+			case 2: // a process reads the log
+				p := rapid.SampledFrom(processes).Draw(t, "process")
+				p.offset, p.contact = len(log.entries), now
 			default:
 				key := ""
 				if len(keys) > 0 && rapid.Bool().Draw(t, "again") {
@@ -168,22 +170,22 @@
 						key = keyAt(now, len(keys))
 					}
 					keys = append(keys, key)
-					made[key] = now
+					created[key] = now
 				}
-				if _, dated := KeyTime(key); !dated && now.Sub(made[key]) > Window {
-					continue // the promise for keys of unknown age ends with Window
+				if _, hasTime := KeyTime(key); !hasTime && now.Sub(created[key]) > KeyTTL {
+					continue // keys without a creation time are covered for KeyTTL only
 				}
-				p := rapid.SampledFrom(procs).Draw(t, "asked") // whichever a stale gateway believes in
-				if !p.alive {
+				p := rapid.SampledFrom(processes).Draw(t, "asked") // any: the gateway may have an outdated state
+				if !p.running {
 					continue
 				}
-				if _, seen := p.memory.Lookup(key, now); seen {
+				if _, seen := p.keys.Lookup(key, now); seen {
 					continue
 				}
-				if Admit(key, self(p.home), w.at(p.offset), p.contact, now) != Run {
+				if Admit(key, self(p.home), log.stateAt(p.offset), p.contact, now) != Run {
 					continue
 				}
-				if p.memory.Begin(key, "attempt", now).Status == New {
+				if p.keys.Begin(key, "attempt", now).Status == New {
 					ran[key]++
 				}
 			}
@@ -196,36 +198,36 @@
 	})
 }
 
-// TestAllHomesGoneAndBack was found by TestAtMostOnce: every home left, and
-// one came back as if it were the first ever.
-func TestAllHomesGoneAndBack(t *testing.T) {
-	var w world
-	w.change(epoch, state.HomesChanged{Add: []state.Home{home(1, 1)}})
-	assert.Equal(t, Admit("opaque", self(home(1, 1)), w.at(1), epoch, epoch), Run, "the very first home knows that nothing ran")
-	w.change(epoch, state.HomesChanged{Remove: []string{"b1"}})
-	w.change(epoch, state.HomesChanged{Add: []state.Home{home(1, 2)}})
-	assert.Equal(t, Admit("opaque", self(home(1, 2)), w.at(3), epoch, epoch), Unknowable)
+// TestHomeAddedAfterAllRemoved guards against treating a home that is added after
+// all homes were removed as the first home ever.
+func TestHomeAddedAfterAllRemoved(t *testing.T) {
+	var log logModel
+	log.appendChange(epoch, state.HomesChanged{Add: []state.Home{home(1, 1)}})
+	assert.Equal(t, Admit("opaque", self(home(1, 1)), log.stateAt(1), epoch, epoch), Run, "no key can have run before the first home")
+	log.appendChange(epoch, state.HomesChanged{Remove: []string{"b1"}})
+	log.appendChange(epoch, state.HomesChanged{Add: []state.Home{home(1, 2)}})
+	assert.Equal(t, Admit("opaque", self(home(1, 2)), log.stateAt(3), epoch, epoch), Unknown)
 }
 
-func TestMemory(t *testing.T) {
-	m := Memory{Keys: 2}
-	assert.Equal(t, m.Begin("a", "1", epoch).Status, New)
-	assert.Equal(t, m.Begin("a", "1", epoch).Status, New, "the same attempt asks again")
-	assert.Equal(t, m.Begin("a", "2", epoch).Status, Running)
-	m.Finish("a", "2", false, nil)
-	assert.Equal(t, m.Begin("a", "2", epoch).Status, Running, "another attempt cannot end it")
-	m.Finish("a", "1", false, &Answer{Status: 200, Body: []byte("x")})
-	e := m.Begin("a", "2", epoch)
+func TestTable(t *testing.T) {
+	table := Table{Capacity: 2}
+	assert.Equal(t, table.Begin("a", "1", epoch).Status, New)
+	assert.Equal(t, table.Begin("a", "1", epoch).Status, New, "a repeated call of the same attempt")
+	assert.Equal(t, table.Begin("a", "2", epoch).Status, Running)
+	table.Finish("a", "2", false, nil)
+	assert.Equal(t, table.Begin("a", "2", epoch).Status, Running, "another attempt must not finish the key")
+	table.Finish("a", "1", false, &Answer{Status: 200, Body: []byte("x")})
+	e := table.Begin("a", "2", epoch)
 	assert.Equal(t, e.Status, Done)
-	assert.Equal(t, string(e.Answer.Body), "x")
+	assert.Equal(t, string(e.Response.Body), "x")
 
-	assert.Equal(t, m.Begin("b", "1", epoch).Status, New)
-	m.Refuse("b", "1", epoch)
-	assert.Equal(t, m.Begin("b", "2", epoch.Add(RefuseHold/2)).Status, Refused, "an attempt on its way must not run after not run was said")
-	assert.Equal(t, m.Begin("b", "2", epoch.Add(2*RefuseHold)).Status, New)
+	assert.Equal(t, table.Begin("b", "1", epoch).Status, New)
+	table.Refuse("b", "1", epoch)
+	assert.Equal(t, table.Begin("b", "2", epoch.Add(RefusalTTL/2)).Status, Refused, "a delayed attempt must not run after not run was reported")
+	assert.Equal(t, table.Begin("b", "2", epoch.Add(2*RefusalTTL)).Status, New)
 
-	assert.Equal(t, m.Begin("c", "1", epoch).Status, Full, "a full memory takes no key rather than forget one")
-	assert.Equal(t, m.Begin("c", "1", epoch.Add(Window+time.Second)).Status, New)
+	assert.Equal(t, table.Begin("c", "1", epoch).Status, Full, "a full table rejects new keys and evicts none")
+	assert.Equal(t, table.Begin("c", "1", epoch.Add(KeyTTL+time.Second)).Status, New)
 }
 
 func TestKeyTime(t *testing.T) {
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package drain counts a process's requests in progress, so that a planned
-// stop can refuse new ones and wait for the rest.
+// Package drain counts the in-flight requests of a process, so that a planned
+// stop can refuse new requests and wait for the others to end.
 package drain
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/juju/errors"
 )
 
-// Tracker counts requests. The zero value is ready for use; its lock is a
-// leaf.
+// Tracker counts in-flight requests. The zero value is ready for use. It is safe
+// for concurrent use; no other lock is taken while its lock is held.
 type Tracker struct {
 	mu       sync.Mutex
 	active   int
 	draining bool
-	idle     chan struct{} // closed when draining and nothing is active
+	idle     chan struct{} // closed when active falls to 0; nil unless Drain waits
 }
 
-// Enter counts a request. The caller calls Leave at its end, whatever Enter
-// returned; draining says that the request must be refused.
+// Enter counts a request. The caller must call Leave when the request ends, also
+// if draining is true, which means that the request must be refused.
 func (t *Tracker) Enter() (draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -29,7 +29,7 @@
 	return t.draining
 }
 
-// Leave ends what Enter counted.
+// Leave removes a request that Enter counted.
 func (t *Tracker) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,8 +47,9 @@
 	return t.draining
 }
 
-// Drain refuses new requests from now on and waits until none is left, or
-// until ctx ends.
+// Drain makes Enter report draining from now on and waits until no request is in
+// flight. It returns an error that wraps ctx's error if ctx ends first. It may
+// be called again.
 func (t *Tracker) Drain(ctx context.Context) error {
 	t.mu.Lock()
 	t.draining = true
@@ -65,6 +66,6 @@
 	case <-idle:
 		return nil
 	case <-ctx.Done():
-		return errors.Annotate(ctx.Err(), "requests in progress were cut")
+		return errors.Annotate(ctx.Err(), "drain stopped with requests in flight")
 	}
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -14,20 +14,20 @@
 
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var tr Tracker
-		assert.Assert(t, !tr.Enter())
+		var tracker Tracker
+		assert.Assert(t, !tracker.Enter())
 		go func() {
 			time.Sleep(5 * time.Second)
-			assert.Assert(t, tr.Enter(), "a request got in while draining")
-			tr.Leave()
-			tr.Leave()
+			assert.Assert(t, tracker.Enter(), "a request was admitted while draining")
+			tracker.Leave()
+			tracker.Leave()
 		}()
-		short, cancel := context.WithTimeout(context.Background(), time.Second)
+		shortCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		assert.Assert(t, errors.Is(tr.Drain(short), context.DeadlineExceeded))
-		began := time.Now()
-		assert.NilError(t, tr.Drain(context.Background()))
-		assert.Equal(t, time.Since(began), 4*time.Second)
-		assert.NilError(t, tr.Drain(context.Background()))
+		assert.Assert(t, errors.Is(tracker.Drain(shortCtx), context.DeadlineExceeded))
+		start := time.Now()
+		assert.NilError(t, tracker.Drain(context.Background()))
+		assert.Equal(t, time.Since(start), 4*time.Second)
+		assert.NilError(t, tracker.Drain(context.Background()))
 	})
 }
--- a/sidecar/copies.go
+++ b/sidecar/copies.go
@@ -25,25 +25,25 @@
 
 // Timing of the work on copies.
 const (
-	reconcileEvery = time.Second
-	retryEvery     = 300 * time.Millisecond
-	drainPoll      = 20 * time.Millisecond
-	manifestLimit  = 4 << 20
+	reconcileInterval = time.Second
+	stepRetryInterval     = 300 * time.Millisecond
+	drainPollInterval      = 20 * time.Millisecond
+	maxManifestBytes  = 4 << 20
 )
 
 // copies is the table of this box's copies. mu is taken before a job's mu.
 type copies struct {
 	mu     sync.Mutex
 	jobs   map[weights.Ref]*job
-	memory int64 // of the engine, 0 when not bounded
-	known  bool  // the engine has told what it holds
+	memoryBytes int64 // of the engine, 0 when not bounded
+	stateReported  bool  // the engine has told what it holds
 }
 
 // engineKnown reports whether the engine has told what it holds.
 func (c *copies) engineKnown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known
+	return c.stateReported
 }
 
 // job is the work on one copy.
@@ -52,7 +52,7 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	originBytes, peerBytes, crossBytes, bad atomic.Int64
+	originBytes, peerBytes, crossRegionBytes, badChunks atomic.Int64
 	inFlight                                atomic.Int64
 
 	mu       sync.Mutex
@@ -61,7 +61,7 @@
 	swarm    *transfer.Swarm
 	picker   *transfer.Picker
 	manifest []byte
-	blocked  string
+	blockedReason  string
 }
 
 // report describes the copies for a Status.
@@ -77,7 +77,7 @@
 	}
 	slices.SortFunc(out, func(a, b peer.Copy) int { return cmp.Compare(a.String(), b.String()) })
 	slices.SortFunc(loaded, func(a, b peer.Loaded) int { return cmp.Compare(a.String(), b.String()) })
-	return out, loaded, c.memory
+	return out, loaded, c.memoryBytes
 }
 
 func (j *job) report() peer.Copy {
@@ -88,9 +88,9 @@
 		State:       weights.Absent,
 		OriginBytes: j.originBytes.Load(),
 		PeerBytes:   j.peerBytes.Load(),
-		CrossBytes:  j.crossBytes.Load(),
-		BadChunks:   j.bad.Load(),
-		Blocked:     j.blocked,
+		CrossBytes:  j.crossRegionBytes.Load(),
+		BadChunks:   j.badChunks.Load(),
+		Blocked:     j.blockedReason,
 	}
 	if j.plan != nil {
 		r.Plan = j.plan.ID
@@ -125,15 +125,15 @@
 	return j.copy.State()
 }
 
-func (j *job) block(reason string) {
+func (j *job) setBlockedReason(reason string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.blocked = reason
+	j.blockedReason = reason
 }
 
 // serving returns the job that admits requests for a version and counts
 // the request there; the caller calls j.inFlight.Add(-1) at its end.
-func (c *copies) serving(ref weights.Ref) (*job, bool) {
+func (c *copies) acquireServing(ref weights.Ref) (*job, bool) {
 	c.mu.Lock()
 	j := c.jobs[ref]
 	c.mu.Unlock()
@@ -149,7 +149,7 @@
 	return j, true
 }
 
-func (c *copies) find(ref weights.Ref) *job {
+func (c *copies) get(ref weights.Ref) *job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[ref]
@@ -172,14 +172,14 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(reconcileEvery):
+		case <-time.After(reconcileInterval):
 		}
 	}
 	d.copies.mu.Lock()
 	jobs := d.copies.all()
 	d.copies.mu.Unlock()
 	for _, j := range jobs {
-		d.copies.end(j)
+		d.copies.stop(j)
 	}
 }
 
@@ -192,7 +192,7 @@
 }
 
 // end stops the work on a copy and waits for it.
-func (c *copies) end(j *job) {
+func (c *copies) stop(j *job) {
 	c.mu.Lock()
 	cancel, done := j.cancel, j.done
 	c.mu.Unlock()
@@ -210,7 +210,7 @@
 		return false // nothing known of the log yet: no fence to go by
 	}
 	d.orders.mu.Lock()
-	err := d.claim(ctx)
+	err := d.claimEngine(ctx)
 	d.orders.mu.Unlock()
 	if err != nil {
 		d.Log.V(1).Info("copies: engine not claimed", "error", err.Error())
@@ -221,13 +221,13 @@
 		return false
 	}
 	d.copies.mu.Lock()
-	d.copies.memory = s.MemoryBytes
+	d.copies.memoryBytes = s.MemoryBytes
 	d.copies.mu.Unlock()
 	for _, l := range s.Loaded {
 		d.adoptLoaded(ctx, l)
 	}
 	d.copies.mu.Lock()
-	d.copies.known = true
+	d.copies.stateReported = true
 	d.copies.mu.Unlock()
 	return true
 }
@@ -283,13 +283,13 @@
 		d.dropJob(ctx, j)
 	}
 	for _, p := range desired {
-		d.ensure(ctx, p)
+		d.ensureJob(ctx, p)
 	}
 }
 
 // dropJob stops the chunks of a version that no plan wants here any more.
 func (d *Daemon) dropJob(ctx context.Context, j *job) {
-	d.copies.end(j)
+	d.copies.stop(j)
 	d.copies.mu.Lock()
 	loaded := j.loadedBytes() > 0
 	if !loaded {
@@ -305,7 +305,7 @@
 	}
 }
 
-func (d *Daemon) ensure(ctx context.Context, p *intent.Plan) {
+func (d *Daemon) ensureJob(ctx context.Context, p *intent.Plan) {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
 	j := d.copies.jobs[p.Intent.Ref]
@@ -325,7 +325,7 @@
 	done := j.done
 	go func() {
 		defer close(done)
-		d.work(work, j)
+		d.runJob(work, j)
 		d.copies.mu.Lock()
 		j.cancel = nil
 		d.copies.mu.Unlock()
@@ -333,14 +333,14 @@
 	}()
 }
 
-func (j *job) planNow() *intent.Plan {
+func (j *job) currentPlan() *intent.Plan {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.plan
 }
 
 func (d *Daemon) handleManifest(w http.ResponseWriter, r *http.Request) {
-	j := d.copies.find(refOf(r))
+	j := d.copies.get(refFromPath(r))
 	if j == nil {
 		http.Error(w, "no such version here", http.StatusNotFound)
 		return
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -25,22 +25,22 @@
 
 // Errors of a pull.
 const (
-	errNothing = errors.ConstError("peer has nothing of use")
-	errBusy    = errors.ConstError("sender is busy")
-	errTaken   = errors.ConstError("chunk is held or on its way already")
+	errNoUsefulChunk = errors.ConstError("peer has nothing of use")
+	errSenderBusy    = errors.ConstError("sender is busy")
+	errDuplicateChunk   = errors.ConstError("chunk is held or on its way already")
 	errStalled = errors.ConstError("no byte came for too long")
 )
 
 // defaultChunkTurn is the time between two chunks' turns at the origin when
 // the settings do not say how fast its link is.
-const defaultChunkTurn = 10 * time.Millisecond
+const defaultChunkTime = 10 * time.Millisecond
 
 // newSwarm returns the decisions of package transfer for one copy.
 func (d *Daemon) newSwarm(p *intent.Plan, m *weights.Manifest, c *weights.Copy) (*transfer.Swarm, *transfer.Picker) {
 	params := transfer.Params{
 		Chunks:        len(m.Chunks),
 		OriginRegions: p.OriginRegions(),
-		ChunkTurn:     defaultChunkTurn,
+		ChunkTurn:     defaultChunkTime,
 		ExtraOrigin:   transfer.ExtraOrigin(len(m.Chunks), len(p.Steps), p.ExtraCopies),
 	}
 	for _, s := range p.Steps {
@@ -101,11 +101,11 @@
 	switch {
 	case err == nil:
 		j.swarm.Arrived(p, know, now.Sub(began), now)
-	case errors.Is(err, errNothing):
+	case errors.Is(err, errNoUsefulChunk):
 		j.swarm.Nothing(p, know, now)
-	case errors.Is(err, errTaken):
+	case errors.Is(err, errDuplicateChunk):
 		j.swarm.Drop(p)
-	case errors.Is(err, errBusy):
+	case errors.Is(err, errSenderBusy):
 		j.swarm.Busy(p, retryAfter(err), now)
 	case errors.Is(err, errStalled):
 		j.swarm.Stalled(p, now)
@@ -127,35 +127,35 @@
 	watch := newWatchdog(limit, func() { cancel(errStalled) })
 	defer watch.stop()
 
-	resp, err := d.ask(ctx, j, *p, has)
+	resp, err := d.sendPull(ctx, j, *p, has)
 	if err != nil {
-		return transfer.Knowledge{}, stalledOr(ctx, err)
+		return transfer.Knowledge{}, stallErrorOr(ctx, err)
 	}
 	defer resp.Body.Close()
 	know := peer.KnowledgeOf(resp.Header, len(j.copy.Manifest().Chunks))
 	chunk := p.Chunk
 	if p.Kind == transfer.FromPeer {
 		if resp.StatusCode == http.StatusNoContent {
-			return know, errNothing
+			return know, errNoUsefulChunk
 		}
 		if chunk, err = strconv.Atoi(resp.Header.Get(peer.HeaderChunk)); err != nil {
 			return know, errors.Annotate(err, "answer names no chunk")
 		}
 	}
 	if resp.StatusCode == http.StatusNoContent {
-		return know, errNothing
+		return know, errNoUsefulChunk
 	}
 	j.mu.Lock()
 	fresh := j.swarm.Offered(p, chunk)
 	j.mu.Unlock()
 	if !fresh {
-		return know, errTaken
+		return know, errDuplicateChunk
 	}
-	err = d.take(ctx, j, *p, &watchedReader{r: resp.Body, watch: watch})
-	return know, stalledOr(ctx, err)
+	err = d.stageChunk(ctx, j, *p, &watchdogReader{r: resp.Body, watchdog: watch})
+	return know, stallErrorOr(ctx, err)
 }
 
-func stalledOr(ctx context.Context, err error) error {
+func stallErrorOr(ctx context.Context, err error) error {
 	if err != nil && errors.Is(context.Cause(ctx), errStalled) {
 		return errStalled
 	}
@@ -163,7 +163,7 @@
 }
 
 // ask sends the pull to the origin or to a peer.
-func (d *Daemon) ask(ctx context.Context, j *job, p transfer.Pull, has *bitset.BitSet) (*http.Response, error) {
+func (d *Daemon) sendPull(ctx context.Context, j *job, p transfer.Pull, has *bitset.BitSet) (*http.Response, error) {
 	client, req, err := d.pullRequest(ctx, j, p, has)
 	if err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 	defer resp.Body.Close()
 	refused := call.ReadStatusError(resp)
 	if refused.Code == http.StatusTooManyRequests || refused.Code == http.StatusServiceUnavailable {
-		return nil, errors.WithType(refused, errBusy)
+		return nil, errors.WithType(refused, errSenderBusy)
 	}
 	return nil, refused
 }
@@ -189,12 +189,12 @@
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.Platform.URL(d.settings.Platform.Origin, path), nil)
 		return d.Platform, req, err
 	}
-	address, ok := d.addressOf(p.Peer)
+	address, ok := d.peerAddress(p.Peer)
 	if !ok {
 		d.Directory.Stale()
-		return nil, nil, errors.WithType(errors.Errorf("box %s is not in the box list", p.Peer), errBusy)
+		return nil, nil, errors.WithType(errors.Errorf("box %s is not in the box list", p.Peer), errSenderBusy)
 	}
-	body, err := json.Marshal(peer.PullRequest{Box: d.settings.Node.Box, Priority: j.planNow().Priority, Chunk: p.Chunk, Has: peer.EncodeBits(has)})
+	body, err := json.Marshal(peer.PullRequest{Box: d.settings.Node.Box, Priority: j.currentPlan().Priority, Chunk: p.Chunk, Has: peer.EncodeBits(has)})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -202,7 +202,7 @@
 	return d.Peers, req, err
 }
 
-func (d *Daemon) addressOf(box string) (string, bool) {
+func (d *Daemon) peerAddress(box string) (string, bool) {
 	boxes, _ := d.Directory.Boxes()
 	for _, b := range boxes {
 		if b.ID == box {
@@ -215,7 +215,7 @@
 // take streams a chunk into staging and accepts it if its digest is right.
 // The engine may hold wrong bytes for a moment, but the copy does not count
 // them: nothing unverified is passed on or loaded.
-func (d *Daemon) take(ctx context.Context, j *job, p transfer.Pull, body io.Reader) error {
+func (d *Daemon) stageChunk(ctx context.Context, j *job, p transfer.Pull, body io.Reader) error {
 	m := j.copy.Manifest()
 	size := m.Size(p.Chunk)
 	hash := weights.NewHasher()
@@ -223,7 +223,7 @@
 	if err := d.engine.Put(ctx, j.ref, p.Chunk, counted, size); err != nil {
 		return errors.Annotate(err, "chunk did not arrive")
 	}
-	j.count(p, hash.Written())
+	j.countBytes(p, hash.Written())
 	d.Metrics.Counter("mintlift_chunk_received_bytes_total", "source", sourceOf(p)).Add(int(hash.Written()))
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -231,7 +231,7 @@
 		return errors.Errorf("copy of %s is %s", j.ref, j.copy.State())
 	}
 	if err := j.copy.AcceptSum(p.Chunk, hash.Written(), hash.Digest()); err != nil {
-		j.bad.Add(1)
+		j.badChunks.Add(1)
 		d.Metrics.Counter("mintlift_chunks_bad_total", "source", sourceOf(p)).Inc()
 		return err
 	}
@@ -250,12 +250,12 @@
 	}
 }
 
-func (j *job) count(p transfer.Pull, n int64) {
+func (j *job) countBytes(p transfer.Pull, n int64) {
 	switch p.Kind {
 	case transfer.FromOrigin:
 		j.originBytes.Add(n)
 	case transfer.FromFar:
-		j.crossBytes.Add(n)
+		j.crossRegionBytes.Add(n)
 		j.peerBytes.Add(n)
 	default:
 		j.peerBytes.Add(n)
@@ -272,20 +272,20 @@
 	return &watchdog{limit: limit, timer: time.AfterFunc(limit, bark)}
 }
 
-func (w *watchdog) feed() { w.timer.Reset(w.limit) }
+func (w *watchdog) reset() { w.timer.Reset(w.limit) }
 func (w *watchdog) stop() { w.timer.Stop() }
 
 // watchedReader feeds the watchdog with every byte.
-type watchedReader struct {
+type watchdogReader struct {
 	r     io.Reader
-	watch *watchdog
+	watchdog *watchdog
 }
 
 // Read implements io.Reader.
-func (r *watchedReader) Read(b []byte) (int, error) {
+func (r *watchdogReader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
 	if n > 0 {
-		r.watch.feed()
+		r.watchdog.reset()
 	}
 	return n, err
 }
--- a/sidecar/once.go
+++ b/sidecar/once.go
@@ -15,7 +15,7 @@
 )
 
 // scoped keeps the keys of workspaces apart.
-func scoped(workspace, key string) string { return workspace + "\x00" + key }
+func scopedKey(workspace, key string) string { return workspace + "\x00" + key }
 
 // handleClaim is a gateway asking this sidecar, as a key's home, for the
 // right to run a request that is not repeatable.
@@ -32,19 +32,19 @@
 }
 
 func (d *Daemon) claimKey(c peer.Claim, now time.Time) peer.Claimed {
-	key := scoped(c.Workspace, c.Key)
-	if e, ok := d.memory.Lookup(key, now); ok && e.Status != dedup.Refused && e.Holder != c.Request {
-		return seen(e)
+	key := scopedKey(c.Workspace, c.Key)
+	if e, ok := d.keys.Lookup(key, now); ok && e.Status != dedup.Refused && e.Attempt != c.Request {
+		return claimedFromEntry(e)
 	}
 	if d.Requests.Draining() || d.replaced() {
-		return peer.Claimed{Reason: peer.ReasonDraining, Outcome: outcome.Unknown, Message: "the key's home is leaving", RetryMS: busyRetry.Milliseconds()}
+		return peer.Claimed{Reason: peer.ReasonDraining, Outcome: outcome.Unknown, Message: "the key's home is leaving", RetryMS: busyRetryAfter.Milliseconds()}
 	}
 	if no := d.admitKey(c.Key, now); no != nil {
 		return *no
 	}
-	e := d.memory.Begin(key, c.Request, now)
+	e := d.keys.Begin(key, c.Request, now)
 	if e.Status != dedup.New {
-		return seen(e)
+		return claimedFromEntry(e)
 	}
 	return peer.Claimed{Granted: true}
 }
@@ -62,9 +62,9 @@
 		return nil
 	case dedup.NotHome:
 		no.Reason, no.Message = peer.ReasonNotHome, "another sidecar is the home of this key"
-	case dedup.Silent:
+	case dedup.LeaseExpired:
 		no.Message = "this attempt did not run; the log is silent, so another home may hold an earlier one"
-		no.RetryMS = busyRetry.Milliseconds()
+		no.RetryMS = busyRetryAfter.Milliseconds()
 	default:
 		no.Message = "this attempt did not run; a former home of the key may have run an earlier one"
 	}
@@ -77,8 +77,8 @@
 	contact := d.Replica.Contact()
 	d.orders.mu.Lock()
 	defer d.orders.mu.Unlock()
-	d.orders.fencing.ran(now)
-	if woke := d.orders.fencing.woke; !woke.IsZero() && !contact.After(woke) {
+	d.orders.fencing.recordTick(now)
+	if woke := d.orders.fencing.resumedAt; !woke.IsZero() && !contact.After(woke) {
 		return time.Time{}
 	}
 	return contact
@@ -105,8 +105,8 @@
 }
 
 // seen answers a claim of a key that the memory holds.
-func seen(e dedup.Entry) peer.Claimed {
-	out := peer.Claimed{Reason: peer.ReasonSeen, Answer: e.Answer}
+func claimedFromEntry(e dedup.Entry) peer.Claimed {
+	out := peer.Claimed{Reason: peer.ReasonSeen, Answer: e.Response}
 	switch {
 	case e.Status == dedup.Done && e.Failed:
 		out.Outcome, out.Message = outcome.Failed, "the request ran before and failed"
@@ -114,10 +114,10 @@
 		out.Outcome, out.Message = outcome.Completed, "the request ran before"
 	case e.Status == dedup.Refused:
 		out.Outcome, out.Message = outcome.NotRun, "an attempt with this key was refused a moment ago"
-		out.RetryMS = dedup.RefuseHold.Milliseconds()
+		out.RetryMS = dedup.RefusalTTL.Milliseconds()
 	case e.Status == dedup.Full:
 		out.Outcome, out.Message = outcome.NotRun, "the memory of keys is full"
-		out.RetryMS = dedup.RefuseHold.Milliseconds()
+		out.RetryMS = dedup.RefusalTTL.Milliseconds()
 	default:
 		out.Outcome, out.Message = outcome.Unknown, "an attempt with this key runs or may have run"
 	}
@@ -131,11 +131,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	key := scoped(f.Workspace, f.Key)
+	key := scopedKey(f.Workspace, f.Key)
 	switch f.Outcome {
 	case outcome.NotRun:
-		d.memory.Refuse(key, f.Request, time.Now())
+		d.keys.Refuse(key, f.Request, time.Now())
 	case outcome.Completed, outcome.Failed:
-		d.memory.Finish(key, f.Request, f.Outcome == outcome.Failed, f.Answer)
+		d.keys.Finish(key, f.Request, f.Outcome == outcome.Failed, f.Answer)
 	}
 }
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -17,7 +17,7 @@
 // Errors of orders.
 const (
 	// errFence says that an order is older than what is known.
-	errFence = errors.ConstError("order carries an older fence than the highest known")
+	errStaleFence = errors.ConstError("order carries an older fence than the highest known")
 	// errReplaced says that another incarnation has taken this box over.
 	errReplaced = errors.ConstError("another sidecar has taken this box over")
 	// errPaused says that this process was paused and has not heard the log
@@ -27,45 +27,45 @@
 
 // Timing of the watch over the process's own pauses.
 const (
-	tickEvery  = 100 * time.Millisecond
-	pauseAfter = time.Second
-	orderLimit = time.Minute
+	tickInterval  = 100 * time.Millisecond
+	pauseThreshold = time.Second
+	orderTimeout = time.Minute
 )
 
 // fencing is the aggregate that decides whether an order may be given. It
 // does no I/O; the zero value knows of nothing.
 type fencing struct {
 	epoch   int64
-	highest int64
-	tick    time.Time // last time that the process was seen to run
-	woke    time.Time // end of the last pause, or zero
+	highestFence int64
+	lastTick    time.Time // last time that the process was seen to run
+	resumedAt    time.Time // end of the last pause, or zero
 }
 
 // ran notes that the process runs at now.
-func (f *fencing) ran(now time.Time) {
-	if !f.tick.IsZero() && now.Sub(f.tick) > pauseAfter {
-		f.woke = now
+func (f *fencing) recordTick(now time.Time) {
+	if !f.lastTick.IsZero() && now.Sub(f.lastTick) > pauseThreshold {
+		f.resumedAt = now
 	}
-	f.tick = now
+	f.lastTick = now
 }
 
 // claimed takes a claim's answer: the engine's fence is a lower bound.
-func (f *fencing) claimed(c engine.Claim) {
+func (f *fencing) applyClaim(c engine.Claim) {
 	f.epoch = c.Epoch
-	f.highest = max(f.highest, c.Fence)
+	f.highestFence = max(f.highestFence, c.Fence)
 }
 
 // check decides on an order with the given fence. contact is when the log
 // was last heard.
 func (f *fencing) check(fence int64, contact, now time.Time) error {
-	f.ran(now)
-	if !f.woke.IsZero() && !contact.After(f.woke) {
+	f.recordTick(now)
+	if !f.resumedAt.IsZero() && !contact.After(f.resumedAt) {
 		return errPaused
 	}
-	if fence < f.highest {
-		return errors.WithType(errors.Errorf("fence %d, highest known %d", fence, f.highest), errFence)
+	if fence < f.highestFence {
+		return errors.WithType(errors.Errorf("fence %d, highest known %d", fence, f.highestFence), errStaleFence)
 	}
-	f.highest = fence
+	f.highestFence = fence
 	return nil
 }
 
@@ -77,14 +77,14 @@
 }
 
 // watchClock notes that the process runs, so that a pause shows.
-func (d *Daemon) watchClock(ctx context.Context) {
+func (d *Daemon) detectPauses(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.orders.mu.Lock()
-		d.orders.fencing.ran(time.Now())
+		d.orders.fencing.recordTick(time.Now())
 		d.orders.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(tickEvery):
+		case <-time.After(tickInterval):
 		}
 	}
 }
@@ -112,12 +112,12 @@
 
 // order gives one order if the plan still wants it. wanted is asked under
 // the same view of the state that the fence is taken from.
-func (d *Daemon) order(ctx context.Context, ref weights.Ref, wanted func(*state.State) bool, give func(context.Context, engine.Order) error) error {
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+func (d *Daemon) sendOrder(ctx context.Context, ref weights.Ref, wanted func(*state.State) bool, give func(context.Context, engine.Order) error) error {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	d.orders.mu.Lock()
 	defer d.orders.mu.Unlock()
-	if err := d.claim(ctx); err != nil {
+	if err := d.claimEngine(ctx); err != nil {
 		return err
 	}
 	fence, ok := int64(0), false
@@ -125,7 +125,7 @@
 		fence, ok = s.Offset, wanted(s)
 	})
 	if !ok {
-		return errors.WithType(errors.Errorf("%s is not wanted at offset %d", ref, fence), errFence)
+		return errors.WithType(errors.Errorf("%s is not wanted at offset %d", ref, fence), errStaleFence)
 	}
 	if d.replaced() {
 		return errReplaced
@@ -144,7 +144,7 @@
 // claim takes hold of the engine once, before the first order. A sidecar
 // whose claim was overtaken claims again only while the log has not named
 // another for its box.
-func (d *Daemon) claim(ctx context.Context) error {
+func (d *Daemon) claimEngine(ctx context.Context) error {
 	if d.orders.claimed {
 		return nil
 	}
@@ -155,7 +155,7 @@
 	if err != nil {
 		return errors.Annotate(err, "claim of the engine")
 	}
-	d.orders.fencing.claimed(c)
+	d.orders.fencing.applyClaim(c)
 	d.orders.claimed = true
 	return nil
 }
--- a/sidecar/orders_test.go
+++ b/sidecar/orders_test.go
@@ -14,18 +14,18 @@
 
 var epoch = time.Unix(1000, 0)
 
-func TestFenceNeverFalls(t *testing.T) {
+func TestOlderFenceRejected(t *testing.T) {
 	var f fencing
-	f.claimed(engine.Claim{Epoch: 3, Fence: 10})
-	assert.Assert(t, errors.Is(f.check(9, epoch, epoch), errFence), "the engine's own fence binds a sidecar that started empty")
+	f.applyClaim(engine.Claim{Epoch: 3, Fence: 10})
+	assert.Assert(t, errors.Is(f.check(9, epoch, epoch), errStaleFence), "the engine's own fence binds a sidecar that started empty")
 	assert.NilError(t, f.check(12, epoch, epoch))
-	assert.Assert(t, errors.Is(f.check(11, epoch, epoch), errFence), "an older order after a newer one")
+	assert.Assert(t, errors.Is(f.check(11, epoch, epoch), errStaleFence), "an older order after a newer one")
 	assert.NilError(t, f.check(12, epoch, epoch))
 }
 
-func TestPausedHolderGivesNoOrder(t *testing.T) {
+func TestNoOrderAfterPauseWithoutContact(t *testing.T) {
 	var f fencing
-	f.ran(epoch)
+	f.recordTick(epoch)
 	assert.NilError(t, f.check(1, epoch, epoch))
 	woke := epoch.Add(time.Minute)
 	assert.Assert(t, errors.Is(f.check(1, epoch, woke), errPaused), "a lease that lapsed in a pause is worth nothing")
--- a/sidecar/pulls.go
+++ b/sidecar/pulls.go
@@ -15,7 +15,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-func refOf(r *http.Request) weights.Ref {
+func refFromPath(r *http.Request) weights.Ref {
 	v := pathvar.Vars(r)
 	return weights.Ref{Model: v["model"], Version: v["version"]}
 }
@@ -28,17 +28,17 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	j := d.copies.find(refOf(r))
+	j := d.copies.get(refFromPath(r))
 	if j == nil || j.state() == weights.Absent {
 		http.Error(w, "no such version here", http.StatusNotFound)
 		return
 	}
-	if err := d.uploads.Acquire(r.Context(), req.Priority, req.Box); err != nil {
+	if err := d.uploadGate.Acquire(r.Context(), req.Priority, req.Box); err != nil {
 		http.Error(w, err.Error(), http.StatusTooManyRequests)
 		return
 	}
-	defer d.uploads.Release(req.Box)
-	chunk, know, err := j.pick(req)
+	defer d.uploadGate.Release(req.Box)
+	chunk, know, err := j.pickChunk(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -48,11 +48,11 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	d.send(w, r, j, chunk)
+	d.sendChunk(w, r, j, chunk)
 }
 
 // pick chooses the chunk for a pull, or -1.
-func (j *job) pick(req peer.PullRequest) (int, transfer.Knowledge, error) {
+func (j *job) pickChunk(req peer.PullRequest) (int, transfer.Knowledge, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	know := j.swarm.Knows()
@@ -70,7 +70,7 @@
 }
 
 // send streams a verified chunk out of the engine's staging.
-func (d *Daemon) send(w http.ResponseWriter, r *http.Request, j *job, chunk int) {
+func (d *Daemon) sendChunk(w http.ResponseWriter, r *http.Request, j *job, chunk int) {
 	body, err := d.engine.Get(r.Context(), j.ref, chunk)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
--- a/sidecar/requests.go
+++ b/sidecar/requests.go
@@ -25,7 +25,7 @@
 )
 
 // busyRetry is when a caller that found no room is told to come back.
-const busyRetry = time.Second
+const busyRetryAfter = time.Second
 
 // admitted is a request that may go to the endpoint.
 type admitted struct {
@@ -33,9 +33,9 @@
 	version   weights.Ref
 	workspace string
 	priority  int
-	once      string
+	idempotencyKey      string
 	ctx       context.Context
-	leave     func()
+	release     func()
 }
 
 // refusal is a refusal at admission: nothing has reached the endpoint.
@@ -44,10 +44,10 @@
 	reason  peer.Reason
 	outcome outcome.Outcome
 	message string
-	retry   time.Duration
+	retryAfter   time.Duration
 }
 
-func refuse(status int, reason peer.Reason, message string) *refusal {
+func newRefusal(status int, reason peer.Reason, message string) *refusal {
 	return &refusal{status: status, reason: reason, outcome: outcome.NotRun, message: message}
 }
 
@@ -61,7 +61,7 @@
 		d.writeRefusal(w, r, no)
 		return
 	}
-	defer a.leave()
+	defer a.release()
 	d.forward(w, r, a)
 }
 
@@ -69,16 +69,16 @@
 func (d *Daemon) admit(r *http.Request) (*admitted, *refusal) {
 	switch {
 	case d.Requests.Draining():
-		return nil, refuse(http.StatusServiceUnavailable, peer.ReasonDraining, "the sidecar is draining")
+		return nil, newRefusal(http.StatusServiceUnavailable, peer.ReasonDraining, "the sidecar is draining")
 	case d.replaced():
-		return nil, refuse(http.StatusServiceUnavailable, peer.ReasonReplaced, "another sidecar has taken this box over")
+		return nil, newRefusal(http.StatusServiceUnavailable, peer.ReasonReplaced, "another sidecar has taken this box over")
 	}
-	a := &admitted{id: r.Header.Get(peer.HeaderRequest), workspace: r.Header.Get(peer.HeaderWorkspace), once: r.Header.Get(peer.HeaderOnce), ctx: r.Context()}
+	a := &admitted{id: r.Header.Get(peer.HeaderRequest), workspace: r.Header.Get(peer.HeaderWorkspace), idempotencyKey: r.Header.Get(peer.HeaderOnce), ctx: r.Context()}
 	a.priority, _ = strconv.Atoi(r.Header.Get(peer.HeaderPriority)) // missing counts as lowest
 	cancel := func() {}
 	if left, ok := peer.TimeLeft(r.Header); ok {
 		if left <= 0 {
-			return nil, refuse(http.StatusGatewayTimeout, peer.ReasonDeadline, "the deadline has passed")
+			return nil, newRefusal(http.StatusGatewayTimeout, peer.ReasonDeadline, "the deadline has passed")
 		}
 		a.ctx, cancel = context.WithTimeout(a.ctx, left)
 	}
@@ -87,23 +87,23 @@
 		cancel()
 		return nil, no
 	}
-	if err := d.gate.Acquire(a.ctx, a.priority, a.workspace); err != nil {
+	if err := d.requestGate.Acquire(a.ctx, a.priority, a.workspace); err != nil {
 		unlock()
 		cancel()
-		no := refuse(http.StatusTooManyRequests, peer.ReasonBusy, "no slot is free at the endpoint")
+		no := newRefusal(http.StatusTooManyRequests, peer.ReasonBusy, "no slot is free at the endpoint")
 		if !errors.Is(err, prio.ErrFull) {
-			no = refuse(http.StatusGatewayTimeout, peer.ReasonDeadline, "the deadline passed while waiting")
+			no = newRefusal(http.StatusGatewayTimeout, peer.ReasonDeadline, "the deadline passed while waiting")
 		}
-		no.retry = busyRetry
+		no.retryAfter = busyRetryAfter
 		return nil, no
 	}
-	a.leave = func() {
-		d.gate.Release(a.workspace)
+	a.release = func() {
+		d.requestGate.Release(a.workspace)
 		unlock()
 		cancel()
 	}
-	if no := d.signals.admit(clock.Now()); no != nil {
-		a.leave()
+	if no := d.endpointState.admit(clock.Now()); no != nil {
+		a.release()
 		return nil, no
 	}
 	return a, nil
@@ -113,17 +113,17 @@
 func (d *Daemon) admitVersion(r *http.Request, a *admitted) (unlock func(), no *refusal) {
 	if d.settings.Service != "" {
 		if pathvar.Vars(r)["service"] != d.settings.Service {
-			return nil, refuse(http.StatusNotFound, peer.ReasonVersion, "no such service here")
+			return nil, newRefusal(http.StatusNotFound, peer.ReasonVersion, "no such service here")
 		}
 		return func() {}, nil
 	}
 	ref, err := weights.ParseRef(r.Header.Get(peer.HeaderVersion))
 	if err != nil {
-		return nil, refuse(http.StatusBadRequest, peer.ReasonVersion, err.Error())
+		return nil, newRefusal(http.StatusBadRequest, peer.ReasonVersion, err.Error())
 	}
-	j, ok := d.copies.serving(ref)
+	j, ok := d.copies.acquireServing(ref)
 	if !ok {
-		return nil, refuse(http.StatusConflict, peer.ReasonVersion, ref.String()+" is not served here")
+		return nil, newRefusal(http.StatusConflict, peer.ReasonVersion, ref.String()+" is not served here")
 	}
 	a.version = ref
 	return func() { j.inFlight.Add(-1) }, nil
@@ -144,7 +144,7 @@
 		Code:         string(no.reason),
 		Outcome:      no.outcome,
 		RequestID:    r.Header.Get(peer.HeaderRequest),
-		RetryAfterMS: no.retry.Milliseconds(),
+		RetryAfterMS: no.retryAfter.Milliseconds(),
 	}})
 }
 
@@ -152,18 +152,18 @@
 func (d *Daemon) forward(w http.ResponseWriter, r *http.Request, a *admitted) {
 	req, err := d.endpointRequest(r, a)
 	if err != nil {
-		d.writeRefusal(w, r, refuse(http.StatusBadRequest, peer.ReasonEndpoint, err.Error()))
+		d.writeRefusal(w, r, newRefusal(http.StatusBadRequest, peer.ReasonEndpoint, err.Error()))
 		return
 	}
 	client := d.endpoint
-	if a.once != "" {
-		client = d.once
+	if a.idempotencyKey != "" {
+		client = d.endpointNoReuse
 	}
 	sent := clock.Now()
 	resp, err := client.Do(req)
 	if errors.Is(err, call.ErrNotSent) {
-		no := refuse(http.StatusServiceUnavailable, peer.ReasonEndpoint, "the endpoint does not answer")
-		no.retry = busyRetry
+		no := newRefusal(http.StatusServiceUnavailable, peer.ReasonEndpoint, "the endpoint does not answer")
+		no.retryAfter = busyRetryAfter
 		d.writeRefusal(w, r, no)
 		return
 	}
@@ -171,16 +171,16 @@
 		panic(http.ErrAbortHandler) // the request may have run: cut, so that the gateway sees no answer
 	}
 	defer resp.Body.Close()
-	d.observe(a, resp, sent)
-	if !d.correlated(a, resp) {
+	d.observeSignals(a, resp, sent)
+	if !d.responseMatches(a, resp) {
 		panic(http.ErrAbortHandler)
 	}
-	d.answer(w, a, resp)
+	d.writeResponse(w, a, resp)
 }
 
 // observe takes what an answer says of the endpoint.
-func (d *Daemon) observe(a *admitted, resp *http.Response, sent time.Time) {
-	for _, c := range d.signals.observe(resp, sent, clock.Now()) {
+func (d *Daemon) observeSignals(a *admitted, resp *http.Response, sent time.Time) {
+	for _, c := range d.endpointState.observe(resp, sent, clock.Now()) {
 		d.Metrics.Counter("mintlift_endpoint_signals_total", "signal", c.Kind.String()).Inc()
 		d.Log.Info("requests: endpoint signal", "request", a.id, "signal", c.Kind.String(), "rate", c.Rate, "backoff_ms", c.Backoff.Milliseconds(), "value", c.Value)
 	}
@@ -188,7 +188,7 @@
 
 // correlated reports whether an answer is the one that the request asked
 // for: an answer to another request, or by another version, goes nowhere.
-func (d *Daemon) correlated(a *admitted, resp *http.Response) bool {
+func (d *Daemon) responseMatches(a *admitted, resp *http.Response) bool {
 	if got := resp.Header.Get(engine.HeaderRequest); got != "" && got != a.id {
 		d.Log.Error(nil, "requests: endpoint answered another request", "want", a.id, "got", got)
 		return false
@@ -210,7 +210,7 @@
 		return nil, err
 	}
 	target.RawQuery = r.URL.RawQuery
-	req, err := http.NewRequestWithContext(a.ctx, r.Method, target.String(), bodyOf(r))
+	req, err := http.NewRequestWithContext(a.ctx, r.Method, target.String(), requestBody(r))
 	if err != nil {
 		return nil, err
 	}
@@ -226,14 +226,14 @@
 	if a.version.Valid() {
 		req.Header.Set(engine.HeaderVersion, a.version.String())
 	}
-	if a.once != "" {
-		req.Header.Set(engine.HeaderKey, a.once)
+	if a.idempotencyKey != "" {
+		req.Header.Set(engine.HeaderKey, a.idempotencyKey)
 	}
 	return req, nil
 }
 
 // bodyOf is the request's body, or http.NoBody where there is none.
-func bodyOf(r *http.Request) io.Reader {
+func requestBody(r *http.Request) io.Reader {
 	if r.ContentLength == 0 {
 		return http.NoBody
 	}
@@ -242,7 +242,7 @@
 
 // answer copies the endpoint's answer; a cut on either side ends it with a
 // cut on the other.
-func (d *Daemon) answer(w http.ResponseWriter, a *admitted, resp *http.Response) {
+func (d *Daemon) writeResponse(w http.ResponseWriter, a *admitted, resp *http.Response) {
 	h := w.Header()
 	for _, name := range []string{"Content-Type", "Content-Length", "Cache-Control"} {
 		if v := resp.Header.Get(name); v != "" {
@@ -302,7 +302,7 @@
 	}
 	defer resp.Body.Close()
 	ref, _ := weights.ParseRef(resp.Header.Get(engine.HeaderVersion)) // checked by the gateway
-	d.answer(w, &admitted{id: resp.Header.Get(engine.HeaderRequest), version: ref}, resp)
+	d.writeResponse(w, &admitted{id: resp.Header.Get(engine.HeaderRequest), version: ref}, resp)
 }
 
 // handleCancel hands a caller's cancel on to the engine.
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -43,15 +43,15 @@
 
 	settings settings.Sidecar
 	endpoint *call.Client // the endpoint on this box
-	once     *call.Client // the endpoint, without reuse of connections
+	endpointNoReuse     *call.Client // the endpoint, without reuse of connections
 	engine   *engine.Client
 
 	copies  copies
 	orders  orders
-	uploads *prio.Gate
-	gate    *prio.Gate
-	signals *signals
-	memory  dedup.Memory
+	uploadGate *prio.Gate
+	requestGate    *prio.Gate
+	endpointState *endpointState
+	keys  dedup.Table
 	server  *httpserve.Server
 }
 
@@ -65,20 +65,20 @@
 	d := &Daemon{
 		Process:  common,
 		settings: s,
-		signals:  newSignals(),
+		endpointState:  newEndpointState(),
 		endpoint: call.New("endpoint", call.Options{}),
-		once:     call.New("endpoint", call.Options{NoReuse: true}),
-		uploads:  prio.NewGate(prio.Queue{Slots: transfer.UploadSlots, Waiting: transfer.UploadWaiting}),
-		gate:     prio.NewGate(prio.Queue{Slots: s.MaxInFlight, Waiting: s.Queue, ClassSlots: s.MaxInFlight - reserved(s.MaxInFlight)}),
+		endpointNoReuse:     call.New("endpoint", call.Options{NoReuse: true}),
+		uploadGate:  prio.NewGate(prio.Queue{Slots: transfer.UploadSlots, Waiting: transfer.UploadWaiting}),
+		requestGate:     prio.NewGate(prio.Queue{Slots: s.MaxInFlight, Waiting: s.Queue, ClassSlots: s.MaxInFlight - reservedSlots(s.MaxInFlight)}),
 	}
 	d.engine = &engine.Client{Call: d.endpoint, Address: s.Endpoint}
-	d.Metrics.State(d.Replica.Offset, d.Replica.Contact, d.gate.Load)
+	d.Metrics.State(d.Replica.Offset, d.Replica.Contact, d.requestGate.Load)
 	d.server, err = d.Listen("mintlift-sidecar", s.PeerListen, s.PeerTLS, d.routes())
 	if err != nil {
 		return nil, err
 	}
 	d.Follow()
-	d.Go(d.watchClock)
+	d.Go(d.detectPauses)
 	if s.Service == "" {
 		d.Go(d.runCopies)
 	}
@@ -88,7 +88,7 @@
 
 // reserved is how many of an endpoint's slots one workspace alone cannot
 // take, so that another's request finds one free whatever the first floods.
-func reserved(slots int) int {
+func reservedSlots(slots int) int {
 	const share = 8
 	return (slots + share - 1) / share % slots
 }
@@ -108,12 +108,12 @@
 
 // status describes this process.
 func (d *Daemon) status() peer.Status {
-	active, waiting := d.gate.Load()
+	active, waiting := d.requestGate.Load()
 	s := d.Status()
 	s.Service, s.Load, s.Slots = d.settings.Service, active+waiting, d.settings.MaxInFlight
 	s.Copies, s.Loaded, s.MemoryBytes = d.copies.report()
 	s.EngineKnown = d.copies.engineKnown()
-	s.Draining = s.Draining || d.signals.draining(clock.Now())
+	s.Draining = s.Draining || d.endpointState.draining(clock.Now())
 	return s
 }
 
--- a/sidecar/signals_test.go
+++ b/sidecar/signals_test.go
@@ -14,7 +14,7 @@
 )
 
 // answers makes the answer of an endpoint that names a limit, or none if it is empty.
-func answers(limit string) *http.Response {
+func responseWithLimit(limit string) *http.Response {
 	r := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
 	if limit != "" {
 		r.Header.Set(engine.HeaderLimit, limit)
@@ -23,12 +23,12 @@
 }
 
 // An endpoint may name a limit again after one has ended: it is not closed for good.
-func TestLimitIsNamedAgain(t *testing.T) {
-	w := newSignals()
+func TestLimitAnnouncedRepeatedly(t *testing.T) {
+	w := newEndpointState()
 	now := clock.Now()
 	for range 3 {
 		for _, limit := range []string{"2", ""} {
-			w.observe(answers(limit), now, now)
+			w.observe(responseWithLimit(limit), now, now)
 			taken := 0
 			for range 80 { // 4 s
 				now = now.Add(50 * time.Millisecond)
--- a/sidecar/steps.go
+++ b/sidecar/steps.go
@@ -21,21 +21,21 @@
 
 // work brings one copy from absent to serving. Every step is tried again
 // until it succeeds or the job ends.
-func (d *Daemon) work(ctx context.Context, j *job) {
-	steps := []func(context.Context, *job) error{d.prepare, d.fetch, d.awaitWave, d.makeRoom, d.load}
+func (d *Daemon) runJob(ctx context.Context, j *job) {
+	steps := []func(context.Context, *job) error{d.prepare, d.fetch, d.awaitWave, d.freeMemory, d.load}
 	for _, step := range steps {
 		for {
 			err := step(ctx, j)
 			if err == nil {
-				j.block("")
+				j.setBlockedReason("")
 				break
 			}
 			if ctx.Err() != nil {
 				return
 			}
-			j.block(err.Error())
+			j.setBlockedReason(err.Error())
 			d.Log.V(1).Info("copies: step not done", "version", j.ref.String(), "error", err.Error())
-			clock.Sleep(ctx, retryEvery)
+			clock.Sleep(ctx, stepRetryInterval)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	if j.state() != weights.Absent {
 		return nil
 	}
-	plan := j.planNow()
+	plan := j.currentPlan()
 	m, raw, err := d.fetchManifest(ctx, plan)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	ref := p.Intent.Ref
 	var last error
 	try := func(c *call.Client, url string) (*weights.Manifest, []byte) {
-		raw, err := c.Bytes(ctx, http.MethodGet, url, nil, manifestLimit)
+		raw, err := c.Bytes(ctx, http.MethodGet, url, nil, maxManifestBytes)
 		if err != nil {
 			last = err
 			return nil, nil
@@ -101,7 +101,7 @@
 
 // awaitWave waits until the log has opened the box's wave.
 func (d *Daemon) awaitWave(ctx context.Context, j *job) error {
-	plan := j.planNow()
+	plan := j.currentPlan()
 	step, ok := plan.Step(d.settings.Node.Box)
 	if !ok || step.Wave <= plan.Wave {
 		return nil
@@ -110,13 +110,13 @@
 }
 
 // makeRoom drains and unloads what the plan evicts, until the version fits.
-func (d *Daemon) makeRoom(ctx context.Context, j *job) error {
-	plan := j.planNow()
+func (d *Daemon) freeMemory(ctx context.Context, j *job) error {
+	plan := j.currentPlan()
 	step, _ := plan.Step(d.settings.Node.Box)
-	for d.missing(j) > 0 {
-		victim := d.victim(j, step)
+	for d.missingBytes(j) > 0 {
+		victim := d.evictionCandidate(j, step)
 		if victim == nil {
-			return errors.Errorf("engine's memory lacks %d bytes and the plan evicts nothing more", d.missing(j))
+			return errors.Errorf("engine's memory lacks %d bytes and the plan evicts nothing more", d.missingBytes(j))
 		}
 		if err := d.evict(ctx, victim); err != nil {
 			return err
@@ -126,10 +126,10 @@
 }
 
 // missing is how many bytes of the engine's memory the version lacks.
-func (d *Daemon) missing(j *job) int64 {
+func (d *Daemon) missingBytes(j *job) int64 {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
-	if d.copies.memory == 0 {
+	if d.copies.memoryBytes == 0 {
 		return 0
 	}
 	j.mu.Lock()
@@ -140,12 +140,12 @@
 			used += o.loadedBytes()
 		}
 	}
-	return max(used-d.copies.memory, 0)
+	return max(used-d.copies.memoryBytes, 0)
 }
 
 // victim is the next version to leave: one that the plan names, or one that
 // no workspace is routed to first.
-func (d *Daemon) victim(j *job, step intent.Step) *job {
+func (d *Daemon) evictionCandidate(j *job, step intent.Step) *job {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
 	var spare *job
@@ -190,10 +190,10 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		clock.Sleep(ctx, drainPoll)
+		clock.Sleep(ctx, drainPollInterval)
 	}
 	always := func(*state.State) bool { return true }
-	if err := d.order(ctx, j.ref, always, d.engine.Unload); err != nil {
+	if err := d.sendOrder(ctx, j.ref, always, d.engine.Unload); err != nil {
 		return err
 	}
 	j.mu.Lock()
@@ -220,8 +220,8 @@
 	wanted := func(s *state.State) bool {
 		return slices.ContainsFunc(s.Desired(d.settings.Node.Box), func(p *intent.Plan) bool { return p.Intent.Ref == j.ref })
 	}
-	err = d.order(ctx, j.ref, wanted, d.engine.Load)
-	if err != nil && !d.holds(ctx, j) {
+	err = d.sendOrder(ctx, j.ref, wanted, d.engine.Load)
+	if err != nil && !d.engineHasLoaded(ctx, j) {
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		return errors.Wrap(err, errors.Annotate(cmp.Or(j.copy.LoadFailed(), err), "load"))
@@ -233,11 +233,11 @@
 }
 
 // holds reports whether the engine says that it has loaded the copy.
-func (d *Daemon) holds(ctx context.Context, j *job) bool {
+func (d *Daemon) engineHasLoaded(ctx context.Context, j *job) bool {
 	s, err := d.engine.State(ctx)
 	if err != nil {
 		return false
 	}
-	digest := j.planNow().ManifestDigest
+	digest := j.currentPlan().ManifestDigest
 	return slices.ContainsFunc(s.Loaded, func(l engine.Loaded) bool { return l.Ref == j.ref && l.ManifestDigest == digest })
 }
