--- a/dedup/dedup_test.go
+++ b/dedup/dedup_test.go
@@ -118,7 +118,7 @@
 // has read.
 type processModel struct {
 	home    state.Home
-	keys    Table
+	table   Table
 	offset  int
 	contact time.Time
 	running bool
@@ -179,13 +179,13 @@
 				if !p.running {
 					continue
 				}
-				if _, seen := p.keys.Lookup(key, now); seen {
+				if _, seen := p.table.Lookup(key, now); seen {
 					continue
 				}
 				if Admit(key, self(p.home), log.stateAt(p.offset), p.contact, now) != Run {
 					continue
 				}
-				if p.keys.Begin(key, "attempt", now).Status == New {
+				if p.table.Begin(key, "attempt", now).Status == New {
 					ran[key]++
 				}
 			}
