--- a/sidecar/copies.go
+++ b/sidecar/copies.go
@@ -23,63 +23,66 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Timing of the work on copies.
+// Timing and bounds of the work on copies.
 const (
 	reconcileInterval = time.Second
-	stepRetryInterval     = 300 * time.Millisecond
-	drainPollInterval      = 20 * time.Millisecond
+	stepRetryInterval = 300 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 	maxManifestBytes  = 4 << 20
 )
 
-// copies is the table of this box's copies. mu is taken before a job's mu.
+// copies holds the copies of weights on this box. mu is taken before a job's mu.
 type copies struct {
-	mu     sync.Mutex
-	jobs   map[weights.Ref]*job
-	memoryBytes int64 // of the engine, 0 when not bounded
-	stateReported  bool  // the engine has told what it holds
+	mu            sync.Mutex
+	jobs          map[weights.Ref]*job
+	memoryBytes   int64 // of the engine; 0 means unbounded
+	stateReported bool  // the engine has reported what it holds
 }
 
-// engineKnown reports whether the engine has told what it holds.
+// engineKnown reports whether the engine has reported what it holds.
 func (c *copies) engineKnown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stateReported
 }
 
-// job is the work on one copy.
+// job brings one copy from absent to serving. cancel and done belong to its goroutine;
+// cancel is nil while none runs. Both are guarded by copies.mu.
 type job struct {
 	ref    weights.Ref
 	cancel context.CancelFunc
 	done   chan struct{}
 
 	originBytes, peerBytes, crossRegionBytes, badChunks atomic.Int64
-	inFlight                                atomic.Int64
+	inFlight                                            atomic.Int64
 
-	mu       sync.Mutex
-	plan     *intent.Plan
-	copy     *weights.Copy // nil until the manifest is known
-	swarm    *transfer.Swarm
-	picker   *transfer.Picker
-	manifest []byte
-	blockedReason  string
+	mu            sync.Mutex
+	plan          *intent.Plan
+	copy          *weights.Copy // nil until the manifest is known
+	swarm         *transfer.Swarm
+	picker        *transfer.Picker
+	manifest      []byte
+	blockedReason string
 }
 
-// report describes the copies for a Status.
-func (c *copies) report() (out []peer.Copy, loaded []peer.Loaded, memory int64) {
+// report returns the copies, the versions that the engine has loaded and the engine's
+// memory in bytes, for peer.Status.
+func (c *copies) report() (held []peer.Copy, loaded []peer.Loaded, memoryBytes int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, j := range c.jobs {
 		r := j.report()
-		out = append(out, r)
+		held = append(held, r)
 		if size := j.loadedBytes(); size > 0 {
 			loaded = append(loaded, peer.Loaded{Ref: j.ref, Bytes: size})
 		}
 	}
-	slices.SortFunc(out, func(a, b peer.Copy) int { return cmp.Compare(a.String(), b.String()) })
+	slices.SortFunc(held, func(a, b peer.Copy) int { return cmp.Compare(a.String(), b.String()) })
 	slices.SortFunc(loaded, func(a, b peer.Loaded) int { return cmp.Compare(a.String(), b.String()) })
-	return out, loaded, c.memoryBytes
+	return held, loaded, c.memoryBytes
 }
 
+// report returns the job's copy for peer.Status.
 func (j *job) report() peer.Copy {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -101,7 +104,8 @@
 	return r
 }
 
-// loadedBytes is the version's size if the engine holds it, else 0.
+// loadedBytes returns the size of the version if the engine has loaded it, or may
+// have, else 0.
 func (j *job) loadedBytes() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -116,6 +120,7 @@
 	}
 }
 
+// state returns the state of the copy, Absent before the manifest is known.
 func (j *job) state() weights.CopyState {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -125,14 +130,17 @@
 	return j.copy.State()
 }
 
+// setBlockedReason sets why the current step has not succeeded; empty means that it
+// has.
 func (j *job) setBlockedReason(reason string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.blockedReason = reason
 }
 
-// serving returns the job that admits requests for a version and counts
-// the request there; the caller calls j.inFlight.Add(-1) at its end.
+// acquireServing returns the job of a version that is serving and counts a request
+// as in flight there; the caller must call j.inFlight.Add(-1) when it ends. It
+// returns false if the version is not serving.
 func (c *copies) acquireServing(ref weights.Ref) (*job, bool) {
 	c.mu.Lock()
 	j := c.jobs[ref]
@@ -149,13 +157,15 @@
 	return j, true
 }
 
+// get returns the job of a version, or nil.
 func (c *copies) get(ref weights.Ref) *job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[ref]
 }
 
-// runCopies adopts what the engine holds and then carries out the plans.
+// runCopies adopts what the engine has loaded and then reconciles the copies with
+// the plans, at each change of the state and each reconcileInterval, until ctx ends.
 func (d *Daemon) runCopies(ctx context.Context) {
 	d.copies.mu.Lock()
 	d.copies.jobs = make(map[weights.Ref]*job)
@@ -183,6 +193,7 @@
 	}
 }
 
+// all returns the jobs. The caller holds mu.
 func (c *copies) all() []*job {
 	out := make([]*job, 0, len(c.jobs))
 	for _, j := range c.jobs {
@@ -191,7 +202,7 @@
 	return out
 }
 
-// end stops the work on a copy and waits for it.
+// stop cancels a job's goroutine, if there is one, and waits until it has returned.
 func (c *copies) stop(j *job) {
 	c.mu.Lock()
 	cancel, done := j.cancel, j.done
@@ -202,12 +213,13 @@
 	}
 }
 
-// adopt learns from the engine what it holds, after a restart beside a
-// running engine. It claims the engine first, so that a former sidecar's
-// orders are refused from here on by an engine that checks.
+// adopt takes over the versions that the engine has already loaded, as after a
+// restart of the sidecar alone. It claims the engine first, so that an engine that
+// checks epochs rejects later orders of a former sidecar. It returns false if it must
+// be tried again.
 func (d *Daemon) adopt(ctx context.Context) bool {
 	if d.Replica.Contact().IsZero() && d.Replica.Offset() == 0 {
-		return false // nothing known of the log yet: no fence to go by
+		return false // no state of the event log yet, so no fence
 	}
 	d.orders.mu.Lock()
 	err := d.claimEngine(ctx)
@@ -232,8 +244,8 @@
 	return true
 }
 
-// adoptLoaded takes a version as serving that the engine holds and that a
-// plan in force vouches for by its manifest's digest.
+// adoptLoaded adds a job in state serving for a version that the engine has loaded,
+// if a plan in force has its manifest digest.
 func (d *Daemon) adoptLoaded(ctx context.Context, l engine.Loaded) {
 	var plan *intent.Plan
 	d.Replica.View(func(s *state.State) {
@@ -254,7 +266,7 @@
 	}
 	j := &job{ref: l.Ref, plan: plan, manifest: raw, copy: weights.NewCopy(m)}
 	if err := j.copy.Adopt(l.Fence); err != nil {
-		panic("sidecar: fresh copy refused adoption: " + err.Error()) // broken invariant
+		panic("sidecar: new copy rejected adoption: " + err.Error()) // broken invariant
 	}
 	j.swarm, j.picker = d.newSwarm(plan, m, j.copy)
 	d.copies.mu.Lock()
@@ -263,18 +275,19 @@
 	d.Log.Info("copies: adopted", "version", l.Ref.String())
 }
 
-// reconcile starts the jobs that plans in force want and ends the others.
+// reconcile starts a job for each version that a plan in force requires on this box
+// and drops the other versions, except loaded ones.
 func (d *Daemon) reconcile(ctx context.Context) {
 	var desired []*intent.Plan
 	d.Replica.View(func(s *state.State) { desired = s.Desired(d.settings.Node.Box) })
-	want := make(map[weights.Ref]*intent.Plan)
+	wanted := make(map[weights.Ref]*intent.Plan)
 	for _, p := range desired {
-		want[p.Intent.Ref] = p
+		wanted[p.Intent.Ref] = p
 	}
 	d.copies.mu.Lock()
 	var stale []*job
 	for ref, j := range d.copies.jobs {
-		if want[ref] == nil && j.loadedBytes() == 0 {
+		if wanted[ref] == nil && j.loadedBytes() == 0 {
 			stale = append(stale, j)
 		}
 	}
@@ -287,7 +300,8 @@
 	}
 }
 
-// dropJob stops the chunks of a version that no plan wants here any more.
+// dropJob removes a job whose version no plan requires here any more and frees its
+// staged chunks, unless the version has been loaded meanwhile.
 func (d *Daemon) dropJob(ctx context.Context, j *job) {
 	d.copies.stop(j)
 	d.copies.mu.Lock()
@@ -305,6 +319,8 @@
 	}
 }
 
+// ensureJob gives the job of the plan's version its current plan and starts the job's
+// goroutine unless it runs already or the version is serving.
 func (d *Daemon) ensureJob(ctx context.Context, p *intent.Plan) {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
@@ -320,12 +336,12 @@
 		j = &job{ref: p.Intent.Ref, plan: p}
 		d.copies.jobs[j.ref] = j
 	}
-	work, cancel := context.WithCancel(ctx)
+	jobCtx, cancel := context.WithCancel(ctx)
 	j.cancel, j.done = cancel, make(chan struct{})
 	done := j.done
 	go func() {
 		defer close(done)
-		d.runJob(work, j)
+		d.runJob(jobCtx, j)
 		d.copies.mu.Lock()
 		j.cancel = nil
 		d.copies.mu.Unlock()
@@ -333,12 +349,14 @@
 	}()
 }
 
+// currentPlan returns the newest plan for the version.
 func (j *job) currentPlan() *intent.Plan {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.plan
 }
 
+// handleManifest serves the manifest of a version to a peer.
 func (d *Daemon) handleManifest(w http.ResponseWriter, r *http.Request) {
 	j := d.copies.get(refFromPath(r))
 	if j == nil {
@@ -353,14 +371,15 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(raw) // the peer has gone if this fails
+	_, _ = w.Write(raw) // fails only if the peer has closed the connection
 }
 
-// retryAfter is the pause that an error asks for.
+// retryAfter returns the retry delay that a response with an error status requested,
+// or 0.
 func retryAfter(err error) time.Duration {
-	var se *call.StatusError
-	if errors.As(err, &se) {
-		return se.RetryAfter
+	var statusErr *call.StatusError
+	if errors.As(err, &statusErr) {
+		return statusErr.RetryAfter
 	}
 	return 0
 }
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -23,46 +23,48 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Errors of a pull.
+// Errors of a pull that brought no chunk.
 const (
-	errNoUsefulChunk = errors.ConstError("peer has nothing of use")
-	errSenderBusy    = errors.ConstError("sender is busy")
-	errDuplicateChunk   = errors.ConstError("chunk is held or on its way already")
-	errStalled = errors.ConstError("no byte came for too long")
+	errNoUsefulChunk  = errors.ConstError("sender does not hold a needed chunk")
+	errSenderBusy     = errors.ConstError("sender is busy")
+	errDuplicateChunk = errors.ConstError("chunk is held or in flight already")
+	errStalled        = errors.ConstError("chunk transfer stalled")
 )
 
-// defaultChunkTurn is the time between two chunks' turns at the origin when
-// the settings do not say how fast its link is.
+// defaultChunkTime is the time per chunk at the origin if the settings do not give
+// the rate of the origin's link.
 const defaultChunkTime = 10 * time.Millisecond
 
-// newSwarm returns the decisions of package transfer for one copy.
-func (d *Daemon) newSwarm(p *intent.Plan, m *weights.Manifest, c *weights.Copy) (*transfer.Swarm, *transfer.Picker) {
+// newSwarm returns the transfer state of one copy: the Swarm that decides which chunks
+// to pull, and the Picker that selects chunks to send.
+func (d *Daemon) newSwarm(plan *intent.Plan, manifest *weights.Manifest, c *weights.Copy) (*transfer.Swarm, *transfer.Picker) {
 	params := transfer.Params{
-		Chunks:        len(m.Chunks),
-		OriginRegions: p.OriginRegions(),
+		Chunks:        len(manifest.Chunks),
+		OriginRegions: plan.OriginRegions(),
 		ChunkTurn:     defaultChunkTime,
-		ExtraOrigin:   transfer.ExtraOrigin(len(m.Chunks), len(p.Steps), p.ExtraCopies),
+		ExtraOrigin:   transfer.ExtraOrigin(len(manifest.Chunks), len(plan.Steps), plan.ExtraCopies),
 	}
-	for _, s := range p.Steps {
+	for _, s := range plan.Steps {
 		params.Peers = append(params.Peers, transfer.Peer{Box: s.Box, Region: s.Zone.Region, Zone: s.Zone.Zone})
 	}
 	links := d.settings.Links
 	if links.Origin > 0 {
-		params.ChunkTurn = time.Duration(float64(m.ChunkBytes) / links.Origin * float64(time.Second))
+		params.ChunkTurn = time.Duration(float64(manifest.ChunkBytes) / links.Origin * float64(time.Second))
 	}
-	floor := time.Duration(len(m.Chunks)) * params.ChunkTurn
+	minDuration := time.Duration(len(manifest.Chunks)) * params.ChunkTurn
 	if links.Box > 0 {
-		floor = max(floor, time.Duration(float64(m.Bytes)/links.Box*float64(time.Second)))
+		minDuration = max(minDuration, time.Duration(float64(manifest.Bytes)/links.Box*float64(time.Second)))
 	}
-	params.TakeOver = transfer.TakeOver(floor)
+	params.TakeOver = transfer.TakeOver(minDuration)
 	box := d.settings.Node.Box
 	swarm := transfer.NewSwarm(params, transfer.NewOrder(params), box, c.Held(), time.Now())
-	return swarm, transfer.NewPicker(len(m.Chunks), xxhash.Sum64String(box))
+	return swarm, transfer.NewPicker(len(manifest.Chunks), xxhash.Sum64String(box))
 }
 
-// fetch pulls chunks until the copy is verified.
+// fetch pulls chunks, several at once, until the copy leaves the fetching state, which is
+// when all chunks are verified. It returns an error only if ctx ends first.
 func (d *Daemon) fetch(ctx context.Context, j *job) error {
-	ended := make(chan struct{}, 1)
+	pullEnded := make(chan struct{}, 1)
 	for ctx.Err() == nil {
 		j.mu.Lock()
 		if j.copy.State() != weights.Fetching {
@@ -76,7 +78,7 @@
 			go func() {
 				d.pull(ctx, j, p, has)
 				select {
-				case ended <- struct{}{}:
+				case pullEnded <- struct{}{}:
 				default:
 				}
 			}()
@@ -84,25 +86,25 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-ended:
+		case <-pullEnded:
 		case <-time.After(p.Wait):
 		}
 	}
 	return ctx.Err()
 }
 
-// pull carries out one decision and reports its end to the swarm.
+// pull executes one pull and reports its result to the swarm.
 func (d *Daemon) pull(ctx context.Context, j *job, p transfer.Pull, has *bitset.BitSet) {
-	began := time.Now()
-	know, err := d.transferChunk(ctx, j, &p, has)
+	start := time.Now()
+	availability, err := d.transferChunk(ctx, j, &p, has)
 	now := time.Now()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	switch {
 	case err == nil:
-		j.swarm.Arrived(p, know, now.Sub(began), now)
+		j.swarm.Arrived(p, availability, now.Sub(start), now)
 	case errors.Is(err, errNoUsefulChunk):
-		j.swarm.Nothing(p, know, now)
+		j.swarm.Nothing(p, availability, now)
 	case errors.Is(err, errDuplicateChunk):
 		j.swarm.Drop(p)
 	case errors.Is(err, errSenderBusy):
@@ -117,44 +119,47 @@
 	}
 }
 
-// transferChunk asks the sender and streams its answer into staging.
+// transferChunk sends the pull and streams the chunk of the response into staging. It
+// sets p.Chunk to the chunk that a peer chose. The availability is the zero value if
+// the sender did not respond or refused.
 func (d *Daemon) transferChunk(ctx context.Context, j *job, p *transfer.Pull, has *bitset.BitSet) (transfer.Knowledge, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	j.mu.Lock()
 	limit := j.swarm.StallLimit()
 	j.mu.Unlock()
-	watch := newWatchdog(limit, func() { cancel(errStalled) })
-	defer watch.stop()
+	stallWatchdog := newWatchdog(limit, func() { cancel(errStalled) })
+	defer stallWatchdog.stop()
 
 	resp, err := d.sendPull(ctx, j, *p, has)
 	if err != nil {
 		return transfer.Knowledge{}, stallErrorOr(ctx, err)
 	}
 	defer resp.Body.Close()
-	know := peer.KnowledgeOf(resp.Header, len(j.copy.Manifest().Chunks))
+	availability := peer.KnowledgeOf(resp.Header, len(j.copy.Manifest().Chunks))
 	chunk := p.Chunk
 	if p.Kind == transfer.FromPeer {
 		if resp.StatusCode == http.StatusNoContent {
-			return know, errNoUsefulChunk
+			return availability, errNoUsefulChunk
 		}
 		if chunk, err = strconv.Atoi(resp.Header.Get(peer.HeaderChunk)); err != nil {
-			return know, errors.Annotate(err, "answer names no chunk")
+			return availability, errors.Annotate(err, "response names no chunk")
 		}
 	}
 	if resp.StatusCode == http.StatusNoContent {
-		return know, errNoUsefulChunk
+		return availability, errNoUsefulChunk
 	}
 	j.mu.Lock()
-	fresh := j.swarm.Offered(p, chunk)
+	accepted := j.swarm.Offered(p, chunk)
 	j.mu.Unlock()
-	if !fresh {
-		return know, errDuplicateChunk
+	if !accepted {
+		return availability, errDuplicateChunk
 	}
-	err = d.stageChunk(ctx, j, *p, &watchdogReader{r: resp.Body, watchdog: watch})
-	return know, stallErrorOr(ctx, err)
+	err = d.stageChunk(ctx, j, *p, &watchdogReader{r: resp.Body, stallWatchdog: stallWatchdog})
+	return availability, stallErrorOr(ctx, err)
 }
 
+// stallErrorOr returns errStalled instead of err if the watchdog has canceled ctx.
 func stallErrorOr(ctx context.Context, err error) error {
 	if err != nil && errors.Is(context.Cause(ctx), errStalled) {
 		return errStalled
@@ -162,7 +167,9 @@
 	return err
 }
 
-// ask sends the pull to the origin or to a peer.
+// sendPull sends the pull to the origin or to a peer. The error is errSenderBusy if
+// the sender responded 429 or 503, or if the peer's address is unknown. The caller
+// closes the body.
 func (d *Daemon) sendPull(ctx context.Context, j *job, p transfer.Pull, has *bitset.BitSet) (*http.Response, error) {
 	client, req, err := d.pullRequest(ctx, j, p, has)
 	if err != nil {
@@ -176,13 +183,14 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	refused := call.ReadStatusError(resp)
-	if refused.Code == http.StatusTooManyRequests || refused.Code == http.StatusServiceUnavailable {
-		return nil, errors.WithType(refused, errSenderBusy)
+	statusErr := call.ReadStatusError(resp)
+	if statusErr.Code == http.StatusTooManyRequests || statusErr.Code == http.StatusServiceUnavailable {
+		return nil, errors.WithType(statusErr, errSenderBusy)
 	}
-	return nil, refused
+	return nil, statusErr
 }
 
+// pullRequest returns the request of a pull and the client to send it with.
 func (d *Daemon) pullRequest(ctx context.Context, j *job, p transfer.Pull, has *bitset.BitSet) (*call.Client, *http.Request, error) {
 	if p.Kind == transfer.FromOrigin {
 		path := fmt.Sprintf("/origin/%s/%s/chunks/%d", j.ref.Model, j.ref.Version, p.Chunk)
@@ -202,6 +210,7 @@
 	return d.Peers, req, err
 }
 
+// peerAddress returns the address of a box, or false if the box list does not have it.
 func (d *Daemon) peerAddress(box string) (string, bool) {
 	boxes, _ := d.Directory.Boxes()
 	for _, b := range boxes {
@@ -212,23 +221,23 @@
 	return "", false
 }
 
-// take streams a chunk into staging and accepts it if its digest is right.
-// The engine may hold wrong bytes for a moment, but the copy does not count
-// them: nothing unverified is passed on or loaded.
+// stageChunk streams a chunk into the engine's staging memory and verifies its digest.
+// A chunk that fails remains staged until it is pulled again, but the copy does not
+// count it as held, so it is neither sent to peers nor loaded.
 func (d *Daemon) stageChunk(ctx context.Context, j *job, p transfer.Pull, body io.Reader) error {
-	m := j.copy.Manifest()
-	size := m.Size(p.Chunk)
+	manifest := j.copy.Manifest()
+	size := manifest.Size(p.Chunk)
 	hash := weights.NewHasher()
-	counted := io.TeeReader(io.LimitReader(body, size), hash)
-	if err := d.engine.Put(ctx, j.ref, p.Chunk, counted, size); err != nil {
-		return errors.Annotate(err, "chunk did not arrive")
+	hashed := io.TeeReader(io.LimitReader(body, size), hash)
+	if err := d.engine.Put(ctx, j.ref, p.Chunk, hashed, size); err != nil {
+		return errors.Annotate(err, "stream chunk into staging")
 	}
 	j.countBytes(p, hash.Written())
 	d.Metrics.Counter("mintlift_chunk_received_bytes_total", "source", sourceOf(p)).Add(int(hash.Written()))
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.copy.State() != weights.Fetching {
-		return errors.Errorf("copy of %s is %s", j.ref, j.copy.State())
+		return errors.Errorf("copy of %s is %s, no longer fetching", j.ref, j.copy.State())
 	}
 	if err := j.copy.AcceptSum(p.Chunk, hash.Written(), hash.Digest()); err != nil {
 		j.badChunks.Add(1)
@@ -238,7 +247,7 @@
 	return nil
 }
 
-// sourceOf names where a pull's chunk comes from.
+// sourceOf returns the value of the metrics label source for a pull.
 func sourceOf(p transfer.Pull) string {
 	switch p.Kind {
 	case transfer.FromOrigin:
@@ -250,6 +259,8 @@
 	}
 }
 
+// countBytes adds n bytes received to the counters of the pull's source. Bytes from
+// another region count as bytes from a peer, too.
 func (j *job) countBytes(p transfer.Pull, n int64) {
 	switch p.Kind {
 	case transfer.FromOrigin:
@@ -262,30 +273,30 @@
 	}
 }
 
-// watchdog calls a function when it is not fed for a while.
+// watchdog calls a function when it has not been reset for limit.
 type watchdog struct {
 	limit time.Duration
 	timer *time.Timer
 }
 
-func newWatchdog(limit time.Duration, bark func()) *watchdog {
-	return &watchdog{limit: limit, timer: time.AfterFunc(limit, bark)}
+func newWatchdog(limit time.Duration, onTimeout func()) *watchdog {
+	return &watchdog{limit: limit, timer: time.AfterFunc(limit, onTimeout)}
 }
 
 func (w *watchdog) reset() { w.timer.Reset(w.limit) }
-func (w *watchdog) stop() { w.timer.Stop() }
+func (w *watchdog) stop()  { w.timer.Stop() }
 
-// watchedReader feeds the watchdog with every byte.
+// watchdogReader resets its watchdog at each read that returns bytes.
 type watchdogReader struct {
-	r     io.Reader
-	watchdog *watchdog
+	r             io.Reader
+	stallWatchdog *watchdog
 }
 
 // Read implements io.Reader.
 func (r *watchdogReader) Read(b []byte) (int, error) {
 	n, err := r.r.Read(b)
 	if n > 0 {
-		r.watchdog.reset()
+		r.stallWatchdog.reset()
 	}
 	return n, err
 }
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -14,34 +14,37 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Errors of orders.
+// Errors of an order that is not sent.
 const (
-	// errFence says that an order is older than what is known.
-	errStaleFence = errors.ConstError("order carries an older fence than the highest known")
-	// errReplaced says that another incarnation has taken this box over.
-	errReplaced = errors.ConstError("another sidecar has taken this box over")
-	// errPaused says that this process was paused and has not heard the log
-	// since.
-	errPaused = errors.ConstError("process was paused and has not heard the log since")
+	// errStaleFence means that the order has a lower fence than an earlier one,
+	// or that no plan wants it any more.
+	errStaleFence = errors.ConstError("order is stale")
+	// errReplaced means that the event log removed this incarnation from the homes.
+	errReplaced = errors.ConstError("another sidecar incarnation has replaced this one on its box")
+	// errPaused means that this process was paused and has not contacted the
+	// event log since.
+	errPaused = errors.ConstError("process was paused and has not contacted the event log since")
 )
 
-// Timing of the watch over the process's own pauses.
 const (
-	tickInterval  = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
+	// pauseThreshold is the time between two ticks above which the process
+	// counts as paused.
 	pauseThreshold = time.Second
-	orderTimeout = time.Minute
+	orderTimeout   = time.Minute
 )
 
-// fencing is the aggregate that decides whether an order may be given. It
-// does no I/O; the zero value knows of nothing.
+// fencing decides whether an order to the engine may be sent. It does no I/O and
+// is not safe for concurrent use. The zero value is ready for use.
 type fencing struct {
-	epoch   int64
-	highestFence int64
-	lastTick    time.Time // last time that the process was seen to run
-	resumedAt    time.Time // end of the last pause, or zero
+	epoch        int64     // of this sidecar's claim of the engine
+	highestFence int64     // of an order sent, or reported by the engine
+	lastTick     time.Time // last call of recordTick
+	resumedAt    time.Time // end of the last pause; zero if there was none
 }
 
-// ran notes that the process runs at now.
+// recordTick records that the process runs at now, and a pause if the last tick is
+// longer ago than pauseThreshold.
 func (f *fencing) recordTick(now time.Time) {
 	if !f.lastTick.IsZero() && now.Sub(f.lastTick) > pauseThreshold {
 		f.resumedAt = now
@@ -49,34 +52,36 @@
 	f.lastTick = now
 }
 
-// claimed takes a claim's answer: the engine's fence is a lower bound.
-func (f *fencing) applyClaim(c engine.Claim) {
-	f.epoch = c.Epoch
-	f.highestFence = max(f.highestFence, c.Fence)
+// applyClaim records the result of a claim. The fence in it is a lower bound for the
+// fences of later orders.
+func (f *fencing) applyClaim(claim engine.Claim) {
+	f.epoch = claim.Epoch
+	f.highestFence = max(f.highestFence, claim.Fence)
 }
 
-// check decides on an order with the given fence. contact is when the log
-// was last heard.
+// check returns an error if an order with the given fence must not be sent.
+// contact is the time of the last contact with the event log.
 func (f *fencing) check(fence int64, contact, now time.Time) error {
 	f.recordTick(now)
 	if !f.resumedAt.IsZero() && !contact.After(f.resumedAt) {
 		return errPaused
 	}
 	if fence < f.highestFence {
-		return errors.WithType(errors.Errorf("fence %d, highest known %d", fence, f.highestFence), errStaleFence)
+		return errors.WithType(errors.Errorf("fence %d, highest used %d", fence, f.highestFence), errStaleFence)
 	}
 	f.highestFence = fence
 	return nil
 }
 
-// orders gives the engine orders, one at a time.
+// orders is the state of the engine's claim and orders. mu is held while an order is
+// sent, so that there is one at a time.
 type orders struct {
 	mu      sync.Mutex
 	fencing fencing
-	claimed bool
+	claimed bool // a claim succeeded, and no order was rejected as stale since
 }
 
-// watchClock notes that the process runs, so that a pause shows.
+// detectPauses records a tick every tickInterval until ctx ends.
 func (d *Daemon) detectPauses(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.orders.mu.Lock()
@@ -89,30 +94,31 @@
 	}
 }
 
-// replaced reports whether the log names another incarnation for this box
-// after it had named this one, or names one that came later.
+// replaced reports whether the event log removed this incarnation from the homes
+// after it had last added it.
 func (d *Daemon) replaced() bool {
-	gone := false
+	removed := false
 	d.Replica.View(func(s *state.State) {
 		for _, c := range s.Changes {
 			for _, h := range c.Removed {
 				if h.Box == d.settings.Node.Box && h.Incarnation == d.Incarnation {
-					gone = true
+					removed = true
 				}
 			}
 			for _, h := range c.Added {
 				if h.Box == d.settings.Node.Box && h.Incarnation == d.Incarnation {
-					gone = false
+					removed = false
 				}
 			}
 		}
 	})
-	return gone
+	return removed
 }
 
-// order gives one order if the plan still wants it. wanted is asked under
-// the same view of the state that the fence is taken from.
-func (d *Daemon) sendOrder(ctx context.Context, ref weights.Ref, wanted func(*state.State) bool, give func(context.Context, engine.Order) error) error {
+// sendOrder sends one order for ref if wanted returns true for the current state;
+// the order's fence is the offset of that state. It claims the engine first if
+// necessary. Errors are errStaleFence, errReplaced, errPaused, and those of send.
+func (d *Daemon) sendOrder(ctx context.Context, ref weights.Ref, wanted func(*state.State) bool, send func(context.Context, engine.Order) error) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	d.orders.mu.Lock()
@@ -125,7 +131,7 @@
 		fence, ok = s.Offset, wanted(s)
 	})
 	if !ok {
-		return errors.WithType(errors.Errorf("%s is not wanted at offset %d", ref, fence), errStaleFence)
+		return errors.WithType(errors.Errorf("no plan requires %s at state offset %d", ref, fence), errStaleFence)
 	}
 	if d.replaced() {
 		return errReplaced
@@ -133,17 +139,17 @@
 	if err := d.orders.fencing.check(fence, d.Replica.Contact(), time.Now()); err != nil {
 		return err
 	}
-	err := give(ctx, engine.Order{Ref: ref, Epoch: d.orders.fencing.epoch, Fence: fence})
+	err := send(ctx, engine.Order{Ref: ref, Epoch: d.orders.fencing.epoch, Fence: fence})
 	if errors.Is(err, engine.ErrStale) {
 		d.orders.claimed = false
-		d.Log.Info("orders: engine knows a newer holder or fence", "version", ref.String(), "fence", fence)
+		d.Log.Info("orders: engine rejected order, it has a newer claim or fence", "version", ref.String(), "fence", fence)
 	}
 	return err
 }
 
-// claim takes hold of the engine once, before the first order. A sidecar
-// whose claim was overtaken claims again only while the log has not named
-// another for its box.
+// claimEngine claims the engine unless this sidecar holds it already. It returns
+// errReplaced if the event log removed this incarnation from the homes. The caller
+// holds orders.mu.
 func (d *Daemon) claimEngine(ctx context.Context) error {
 	if d.orders.claimed {
 		return nil
@@ -153,7 +159,7 @@
 	}
 	c, err := d.engine.Claim(ctx)
 	if err != nil {
-		return errors.Annotate(err, "claim of the engine")
+		return errors.Annotate(err, "claim engine")
 	}
 	d.orders.fencing.applyClaim(c)
 	d.orders.claimed = true
--- a/sidecar/orders_test.go
+++ b/sidecar/orders_test.go
@@ -17,9 +17,9 @@
 func TestOlderFenceRejected(t *testing.T) {
 	var f fencing
 	f.applyClaim(engine.Claim{Epoch: 3, Fence: 10})
-	assert.Assert(t, errors.Is(f.check(9, epoch, epoch), errStaleFence), "the engine's own fence binds a sidecar that started empty")
+	assert.Assert(t, errors.Is(f.check(9, epoch, epoch), errStaleFence), "a new sidecar must respect the fence that the engine reports")
 	assert.NilError(t, f.check(12, epoch, epoch))
-	assert.Assert(t, errors.Is(f.check(11, epoch, epoch), errStaleFence), "an older order after a newer one")
+	assert.Assert(t, errors.Is(f.check(11, epoch, epoch), errStaleFence), "an order with a lower fence than the one before")
 	assert.NilError(t, f.check(12, epoch, epoch))
 }
 
@@ -27,9 +27,9 @@
 	var f fencing
 	f.recordTick(epoch)
 	assert.NilError(t, f.check(1, epoch, epoch))
-	woke := epoch.Add(time.Minute)
-	assert.Assert(t, errors.Is(f.check(1, epoch, woke), errPaused), "a lease that lapsed in a pause is worth nothing")
-	assert.Assert(t, errors.Is(f.check(1, epoch, woke.Add(time.Millisecond)), errPaused))
-	heard := woke.Add(10 * time.Millisecond)
-	assert.NilError(t, f.check(1, heard, heard))
+	resumed := epoch.Add(time.Minute)
+	assert.Assert(t, errors.Is(f.check(1, epoch, resumed), errPaused), "no order after a pause without contact since")
+	assert.Assert(t, errors.Is(f.check(1, epoch, resumed.Add(time.Millisecond)), errPaused))
+	contact := resumed.Add(10 * time.Millisecond)
+	assert.NilError(t, f.check(1, contact, contact))
 }
--- a/sidecar/pulls.go
+++ b/sidecar/pulls.go
@@ -15,13 +15,15 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
+// refFromPath returns the version in a request's path variables.
 func refFromPath(r *http.Request) weights.Ref {
 	v := pathvar.Vars(r)
 	return weights.Ref{Model: v["model"], Version: v["version"]}
 }
 
-// handlePull passes on a chunk: the one asked for, or the one that this box
-// has sent the fewest times. The highest priority gets a slot first.
+// handlePull sends a verified chunk to a peer: the requested one, or the missing one
+// that this box has sent the fewest times. It responds 204 if there is none. Upload
+// slots are assigned by the priority in the request.
 func (d *Daemon) handlePull(w http.ResponseWriter, r *http.Request) {
 	var req peer.PullRequest
 	if err := httpserve.ReadJSON(r, &req); err != nil {
@@ -38,12 +40,12 @@
 		return
 	}
 	defer d.uploadGate.Release(req.Box)
-	chunk, know, err := j.pickChunk(req)
+	chunk, availability, err := j.pickChunk(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	peer.SetKnowledge(w.Header(), know)
+	peer.SetKnowledge(w.Header(), availability)
 	if chunk < 0 {
 		w.WriteHeader(http.StatusNoContent)
 		return
@@ -51,25 +53,26 @@
 	d.sendChunk(w, r, j, chunk)
 }
 
-// pick chooses the chunk for a pull, or -1.
+// pickChunk returns the chunk to send for a pull, or -1, and the availability for the
+// response. The error means that the request's bitmap is invalid.
 func (j *job) pickChunk(req peer.PullRequest) (int, transfer.Knowledge, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	know := j.swarm.Knows()
+	availability := j.swarm.Knows()
 	has, err := peer.DecodeBits(req.Has, len(j.copy.Manifest().Chunks))
 	if err != nil {
-		return -1, know, err
+		return -1, availability, err
 	}
 	if req.Chunk < 0 {
-		return j.picker.Pick(know.Held, has), know, nil
+		return j.picker.Pick(availability.Held, has), availability, nil
 	}
-	if know.Held.Test(uint(req.Chunk)) {
-		return req.Chunk, know, nil
+	if availability.Held.Test(uint(req.Chunk)) {
+		return req.Chunk, availability, nil
 	}
-	return -1, know, nil
+	return -1, availability, nil
 }
 
-// send streams a verified chunk out of the engine's staging.
+// sendChunk streams a verified chunk from the engine's staging memory.
 func (d *Daemon) sendChunk(w http.ResponseWriter, r *http.Request, j *job, chunk int) {
 	body, err := d.engine.Get(r.Context(), j.ref, chunk)
 	if err != nil {
@@ -79,6 +82,6 @@
 	defer body.Close()
 	w.Header().Set(peer.HeaderChunk, strconv.Itoa(chunk))
 	w.Header().Set("Content-Length", strconv.FormatInt(j.copy.Manifest().Size(chunk), 10))
-	n, _ := io.Copy(w, body) // the receiver checks the digest and sees a cut
+	n, _ := io.Copy(w, body) // the receiver verifies length and digest
 	d.Metrics.Counter("mintlift_chunk_sent_bytes_total").Add(int(n))
 }
--- a/sidecar/requests.go
+++ b/sidecar/requests.go
@@ -24,48 +24,51 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// busyRetry is when a caller that found no room is told to come back.
+// busyRetryAfter is the retry delay in refusals for lack of capacity.
 const busyRetryAfter = time.Second
 
-// admitted is a request that may go to the endpoint.
+// admitted is a request that may be sent to the endpoint.
 type admitted struct {
-	id        string
-	version   weights.Ref
-	workspace string
-	priority  int
-	idempotencyKey      string
-	ctx       context.Context
-	release     func()
+	id             string
+	version        weights.Ref
+	workspace      string
+	priority       int
+	idempotencyKey string          // empty for an idempotent request
+	ctx            context.Context // ends at the request's deadline, if it has one
+	release        func()          // frees the slot and the version
 }
 
-// refusal is a refusal at admission: nothing has reached the endpoint.
+// refusal is the response to a request that was refused before anything of it reached
+// the endpoint.
 type refusal struct {
-	status  int
-	reason  peer.Reason
-	outcome outcome.Outcome
-	message string
-	retryAfter   time.Duration
+	status     int
+	reason     peer.Reason
+	outcome    outcome.Outcome
+	message    string
+	retryAfter time.Duration // 0 if none is given
 }
 
+// newRefusal returns a refusal with outcome NotRun and no retry delay.
 func newRefusal(status int, reason peer.Reason, message string) *refusal {
 	return &refusal{status: status, reason: reason, outcome: outcome.NotRun, message: message}
 }
 
-// handleRun is a caller's request, sent on by a gateway. A request that is
-// not repeatable carries the key that its home has granted.
+// handleRun serves a caller's request that a gateway forwards. A non-idempotent request
+// carries its idempotency key, which the key's home has granted.
 func (d *Daemon) handleRun(w http.ResponseWriter, r *http.Request) {
 	d.Requests.Enter()
 	defer d.Requests.Leave()
-	a, no := d.admit(r)
-	if no != nil {
-		d.writeRefusal(w, r, no)
+	a, refused := d.admit(r)
+	if refused != nil {
+		d.writeRefusal(w, r, refused)
 		return
 	}
 	defer a.release()
 	d.forward(w, r, a)
 }
 
-// admit decides whether a request may go to the endpoint now.
+// admit waits for a slot at the endpoint and returns the admitted request, whose
+// release the caller must call, or a refusal.
 func (d *Daemon) admit(r *http.Request) (*admitted, *refusal) {
 	switch {
 	case d.Requests.Draining():
@@ -74,43 +77,44 @@
 		return nil, newRefusal(http.StatusServiceUnavailable, peer.ReasonReplaced, "another sidecar has taken this box over")
 	}
 	a := &admitted{id: r.Header.Get(peer.HeaderRequest), workspace: r.Header.Get(peer.HeaderWorkspace), idempotencyKey: r.Header.Get(peer.HeaderOnce), ctx: r.Context()}
-	a.priority, _ = strconv.Atoi(r.Header.Get(peer.HeaderPriority)) // missing counts as lowest
+	a.priority, _ = strconv.Atoi(r.Header.Get(peer.HeaderPriority)) // the lowest if missing
 	cancel := func() {}
-	if left, ok := peer.TimeLeft(r.Header); ok {
-		if left <= 0 {
+	if remaining, ok := peer.TimeLeft(r.Header); ok {
+		if remaining <= 0 {
 			return nil, newRefusal(http.StatusGatewayTimeout, peer.ReasonDeadline, "the deadline has passed")
 		}
-		a.ctx, cancel = context.WithTimeout(a.ctx, left)
+		a.ctx, cancel = context.WithTimeout(a.ctx, remaining)
 	}
-	unlock, no := d.admitVersion(r, a)
-	if no != nil {
+	releaseVersion, refused := d.admitVersion(r, a)
+	if refused != nil {
 		cancel()
-		return nil, no
+		return nil, refused
 	}
 	if err := d.requestGate.Acquire(a.ctx, a.priority, a.workspace); err != nil {
-		unlock()
+		releaseVersion()
 		cancel()
-		no := newRefusal(http.StatusTooManyRequests, peer.ReasonBusy, "no slot is free at the endpoint")
+		refused := newRefusal(http.StatusTooManyRequests, peer.ReasonBusy, "no slot is free at the endpoint")
 		if !errors.Is(err, prio.ErrFull) {
-			no = newRefusal(http.StatusGatewayTimeout, peer.ReasonDeadline, "the deadline passed while waiting")
+			refused = newRefusal(http.StatusGatewayTimeout, peer.ReasonDeadline, "the deadline passed while waiting")
 		}
-		no.retryAfter = busyRetryAfter
-		return nil, no
+		refused.retryAfter = busyRetryAfter
+		return nil, refused
 	}
 	a.release = func() {
 		d.requestGate.Release(a.workspace)
-		unlock()
+		releaseVersion()
 		cancel()
 	}
-	if no := d.endpointState.admit(clock.Now()); no != nil {
+	if refused := d.endpointState.admit(clock.Now()); refused != nil {
 		a.release()
-		return nil, no
+		return nil, refused
 	}
 	return a, nil
 }
 
-// admitVersion holds the version for the request, where there is one.
-func (d *Daemon) admitVersion(r *http.Request, a *admitted) (unlock func(), no *refusal) {
+// admitVersion checks that the request is for this service or a serving version, and
+// counts it as in flight at the version. The caller must call release when it ends.
+func (d *Daemon) admitVersion(r *http.Request, a *admitted) (release func(), refused *refusal) {
 	if d.settings.Service != "" {
 		if pathvar.Vars(r)["service"] != d.settings.Service {
 			return nil, newRefusal(http.StatusNotFound, peer.ReasonVersion, "no such service here")
@@ -129,26 +133,29 @@
 	return func() { j.inFlight.Add(-1) }, nil
 }
 
-func (d *Daemon) writeRefusal(w http.ResponseWriter, r *http.Request, no *refusal) {
-	d.Metrics.Counter("mintlift_requests_refused_total", "reason", string(no.reason)).Inc()
+// writeRefusal responds with a refusal, and with what this box serves and its state
+// offset in the headers.
+func (d *Daemon) writeRefusal(w http.ResponseWriter, r *http.Request, refused *refusal) {
+	d.Metrics.Counter("mintlift_requests_refused_total", "reason", string(refused.reason)).Inc()
 	h := w.Header()
 	h.Set(peer.HeaderRequest, r.Header.Get(peer.HeaderRequest))
-	h.Set(peer.HeaderOutcome, string(no.outcome))
-	h.Set(peer.HeaderReason, string(no.reason))
+	h.Set(peer.HeaderOutcome, string(refused.outcome))
+	h.Set(peer.HeaderReason, string(refused.reason))
 	status := d.status()
 	h.Set(peer.HeaderServing, peer.JoinRefs(status.Serving()))
 	h.Set(peer.HeaderOffset, strconv.FormatInt(d.Replica.Offset(), 10))
-	httpserve.WriteJSON(w, no.status, peer.Refusal{Error: peer.RefusalError{
-		Message:      no.message,
+	httpserve.WriteJSON(w, refused.status, peer.Refusal{Error: peer.RefusalError{
+		Message:      refused.message,
 		Type:         "refused",
-		Code:         string(no.reason),
-		Outcome:      no.outcome,
+		Code:         string(refused.reason),
+		Outcome:      refused.outcome,
 		RequestID:    r.Header.Get(peer.HeaderRequest),
-		RetryAfterMS: no.retryAfter.Milliseconds(),
+		RetryAfterMS: refused.retryAfter.Milliseconds(),
 	}})
 }
 
-// forward sends the request to the endpoint and its answer back.
+// forward sends the request to the endpoint and the response back. If the request may
+// have run without a usable response, it aborts the connection to the gateway.
 func (d *Daemon) forward(w http.ResponseWriter, r *http.Request, a *admitted) {
 	req, err := d.endpointRequest(r, a)
 	if err != nil {
@@ -159,47 +166,49 @@
 	if a.idempotencyKey != "" {
 		client = d.endpointNoReuse
 	}
-	sent := clock.Now()
+	sentAt := clock.Now()
 	resp, err := client.Do(req)
 	if errors.Is(err, call.ErrNotSent) {
-		no := newRefusal(http.StatusServiceUnavailable, peer.ReasonEndpoint, "the endpoint does not answer")
-		no.retryAfter = busyRetryAfter
-		d.writeRefusal(w, r, no)
+		refused := newRefusal(http.StatusServiceUnavailable, peer.ReasonEndpoint, "the endpoint does not answer")
+		refused.retryAfter = busyRetryAfter
+		d.writeRefusal(w, r, refused)
 		return
 	}
 	if err != nil {
-		panic(http.ErrAbortHandler) // the request may have run: cut, so that the gateway sees no answer
+		panic(http.ErrAbortHandler) // the request may have run, so no response may claim otherwise
 	}
 	defer resp.Body.Close()
-	d.observeSignals(a, resp, sent)
+	d.observeSignals(a, resp, sentAt)
 	if !d.responseMatches(a, resp) {
 		panic(http.ErrAbortHandler)
 	}
 	d.writeResponse(w, a, resp)
 }
 
-// observe takes what an answer says of the endpoint.
-func (d *Daemon) observeSignals(a *admitted, resp *http.Response, sent time.Time) {
-	for _, c := range d.endpointState.observe(resp, sent, clock.Now()) {
+// observeSignals records the backpressure signals in a response of the endpoint, and
+// counts and logs what changed.
+func (d *Daemon) observeSignals(a *admitted, resp *http.Response, sentAt time.Time) {
+	for _, c := range d.endpointState.observe(resp, sentAt, clock.Now()) {
 		d.Metrics.Counter("mintlift_endpoint_signals_total", "signal", c.Kind.String()).Inc()
 		d.Log.Info("requests: endpoint signal", "request", a.id, "signal", c.Kind.String(), "rate", c.Rate, "backoff_ms", c.Backoff.Milliseconds(), "value", c.Value)
 	}
 }
 
-// correlated reports whether an answer is the one that the request asked
-// for: an answer to another request, or by another version, goes nowhere.
+// responseMatches reports whether a response has the request's ID and version. Headers
+// that the endpoint does not set are not compared.
 func (d *Daemon) responseMatches(a *admitted, resp *http.Response) bool {
 	if got := resp.Header.Get(engine.HeaderRequest); got != "" && got != a.id {
-		d.Log.Error(nil, "requests: endpoint answered another request", "want", a.id, "got", got)
+		d.Log.Error(nil, "requests: endpoint response has the ID of another request", "want", a.id, "got", got)
 		return false
 	}
 	if got := resp.Header.Get(engine.HeaderVersion); got != "" && got != a.version.String() {
-		d.Log.Error(nil, "requests: endpoint answered with another version", "want", a.version.String(), "got", got)
+		d.Log.Error(nil, "requests: endpoint response is from another version", "want", a.version.String(), "got", got)
 		return false
 	}
 	return true
 }
 
+// endpointRequest returns the request to send to the endpoint.
 func (d *Daemon) endpointRequest(r *http.Request, a *admitted) (*http.Request, error) {
 	path := strings.TrimPrefix(r.URL.Path, peer.PathRun)
 	if d.settings.Service != "" {
@@ -232,7 +241,7 @@
 	return req, nil
 }
 
-// bodyOf is the request's body, or http.NoBody where there is none.
+// requestBody returns the request's body, or http.NoBody if there is none.
 func requestBody(r *http.Request) io.Reader {
 	if r.ContentLength == 0 {
 		return http.NoBody
@@ -240,8 +249,8 @@
 	return r.Body
 }
 
-// answer copies the endpoint's answer; a cut on either side ends it with a
-// cut on the other.
+// writeResponse copies the endpoint's response to the gateway. If either connection
+// fails, it aborts the other.
 func (d *Daemon) writeResponse(w http.ResponseWriter, a *admitted, resp *http.Response) {
 	h := w.Header()
 	for _, name := range []string{"Content-Type", "Content-Length", "Cache-Control"} {
@@ -259,9 +268,8 @@
 	}
 }
 
-// copyFlushing copies piece by piece, so that a stream's tokens do not wait
-// for a buffer to fill. It holds one piece at a time, however slowly the
-// reader reads.
+// copyFlushing copies body to w and flushes after each read, so that the tokens of a
+// stream are not delayed. It buffers at most 16 KiB.
 func copyFlushing(w http.ResponseWriter, body io.Reader) error {
 	rc := http.NewResponseController(w)
 	buf := make([]byte, 16<<10)
@@ -284,7 +292,8 @@
 	}
 }
 
-// handleResume takes up a stream whose connection to the gateway was cut.
+// handleResume resumes a stream, after the position in the query, whose connection to
+// the gateway was lost.
 func (d *Daemon) handleResume(w http.ResponseWriter, r *http.Request) {
 	d.Requests.Enter()
 	defer d.Requests.Leave()
@@ -305,7 +314,7 @@
 	d.writeResponse(w, &admitted{id: resp.Header.Get(engine.HeaderRequest), version: ref}, resp)
 }
 
-// handleCancel hands a caller's cancel on to the engine.
+// handleCancel forwards a caller's cancellation to the engine.
 func (d *Daemon) handleCancel(w http.ResponseWriter, r *http.Request) {
 	target := d.endpoint.URL(d.settings.Endpoint, "/control/cancel/"+url.PathEscape(pathvar.Vars(r)["id"]))
 	if err := d.endpoint.JSON(r.Context(), http.MethodPost, target, nil, nil); err != nil {
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -1,22 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package sidecar is the process beside each endpoint. It wires the
-// decision packages to the network and decides nothing by itself:
+// Package sidecar is the process that runs beside each endpoint. It connects the
+// decision packages to the network:
 //
-//   - copies.go carries out the plans that name this box: fetch, verify,
-//     load, serve, drain.
-//   - fetch.go pulls chunks as package transfer decides; pulls.go passes
-//     them on to other boxes.
-//   - orders.go gives the engine fenced orders.
+//   - copies.go and steps.go execute the plans that name this box: fetch,
+//     verify, load, serve, drain.
+//   - fetch.go pulls chunks as package transfer decides; pulls.go sends chunks
+//     to other boxes.
+//   - orders.go sends fenced orders to the engine.
 //   - requests.go is the only path to the endpoint: it admits, refuses and
-//     forwards, and holds the memory of package dedup.
+//     forwards requests. signals.go enforces the endpoint's backpressure.
+//   - claims.go grants the idempotency keys whose home is this sidecar.
 //
-// The weights themselves stand in the engine's staging memory: a chunk
-// streams through the sidecar into it and is read back from it to be passed
-// on, so the sidecar's own memory does not grow with the model.
+// Weights are stored in the engine's staging memory only: a chunk is streamed
+// through the sidecar into it, and read from it to be sent to a peer. The
+// sidecar's memory use therefore does not grow with the model.
 //
-// Locks, in the order in which they may be taken: copies.mu, then a job's
-// mu, then the leaves (state.Replica, prio.Gate, dedup.Memory).
+// Lock order: copies.mu, then job.mu, then the locks of state.Replica,
+// prio.Gate and dedup.Table, which are held while no other lock is taken.
 package sidecar
 
 import (
@@ -37,38 +38,38 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// Daemon is a running sidecar. Use Start.
+// Daemon is a running sidecar. Use Start to create one.
 type Daemon struct {
 	*process.Process
 
-	settings settings.Sidecar
-	endpoint *call.Client // the endpoint on this box
-	endpointNoReuse     *call.Client // the endpoint, without reuse of connections
-	engine   *engine.Client
+	settings        settings.Sidecar
+	endpoint        *call.Client // for requests to the endpoint on this box
+	endpointNoReuse *call.Client // like endpoint, with a new connection per request
+	engine          *engine.Client
 
-	copies  copies
-	orders  orders
-	uploadGate *prio.Gate
-	requestGate    *prio.Gate
+	copies        copies
+	orders        orders
+	uploadGate    *prio.Gate
+	requestGate   *prio.Gate
 	endpointState *endpointState
-	keys  dedup.Table
-	server  *httpserve.Server
+	keys          dedup.Table
+	server        *httpserve.Server
 }
 
-// Start runs a sidecar until Stop or Kill. It returns once the peer port is
-// bound; everything else starts behind it.
+// Start runs a sidecar until Stop or Kill. It returns once the peer port is bound; the
+// remaining work starts in the background.
 func Start(s settings.Sidecar, log logr.Logger) (*Daemon, error) {
 	common, err := process.New(process.Config{Node: s.Node, Platform: s.Platform, PeerTLS: s.PeerTLS, PeerKeyFile: s.PeerKeyFile, Log: log})
 	if err != nil {
 		return nil, err
 	}
 	d := &Daemon{
-		Process:  common,
-		settings: s,
-		endpointState:  newEndpointState(),
-		endpoint: call.New("endpoint", call.Options{}),
-		endpointNoReuse:     call.New("endpoint", call.Options{NoReuse: true}),
-		uploadGate:  prio.NewGate(prio.Queue{Slots: transfer.UploadSlots, Waiting: transfer.UploadWaiting}),
+		Process:         common,
+		settings:        s,
+		endpointState:   newEndpointState(),
+		endpoint:        call.New("endpoint", call.Options{}),
+		endpointNoReuse: call.New("endpoint", call.Options{NoReuse: true}),
+		uploadGate:      prio.NewGate(prio.Queue{Slots: transfer.UploadSlots, Waiting: transfer.UploadWaiting}),
 		requestGate:     prio.NewGate(prio.Queue{Slots: s.MaxInFlight, Waiting: s.Queue, ClassSlots: s.MaxInFlight - reservedSlots(s.MaxInFlight)}),
 	}
 	d.engine = &engine.Client{Call: d.endpoint, Address: s.Endpoint}
@@ -86,27 +87,28 @@
 	return d, nil
 }
 
-// reserved is how many of an endpoint's slots one workspace alone cannot
-// take, so that another's request finds one free whatever the first floods.
+// reservedSlots returns how many of an endpoint's slots a single workspace cannot
+// occupy, so that slots remain for other workspaces: an eighth, rounded up, but not
+// all.
 func reservedSlots(slots int) int {
 	const share = 8
 	return (slots + share - 1) / share % slots
 }
 
-// Address is the address of the peer port.
+// Address returns the address of the peer port.
 func (d *Daemon) Address() string { return d.server.Address() }
 
-// Stop drains: it refuses new work, lets requests in progress end, and
-// returns nil once they have, or an error when the bound of the settings
-// has passed.
+// Stop drains the sidecar and stops it: it refuses new requests and waits until no
+// request is in flight. It returns an error if ctx ends or the drain timeout of the
+// settings passes first, or if the server does not stop.
 func (d *Daemon) Stop(ctx context.Context) error {
 	return d.Process.Stop(ctx, d.settings.DrainTimeout, d.server)
 }
 
-// Kill ends at once, as a crash would, for tests.
+// Kill stops the sidecar without draining, to simulate a crash in tests.
 func (d *Daemon) Kill() { d.Process.Kill(d.server) }
 
-// status describes this process.
+// status returns the status that this process serves to peers.
 func (d *Daemon) status() peer.Status {
 	active, waiting := d.requestGate.Load()
 	s := d.Status()
@@ -117,6 +119,7 @@
 	return s
 }
 
+// routes returns the routes of the peer port.
 func (d *Daemon) routes() []httpserve.Route {
 	routes := append(d.Routes(d.status), []httpserve.Route{
 		{Method: http.MethodPost, Path: "/peer/v1/weights/:model/:version/pull", Handler: d.Guard(d.handlePull)},
--- a/sidecar/signals.go
+++ b/sidecar/signals.go
@@ -13,69 +13,72 @@
 	"github.com/mintlift/mintlift/peer"
 )
 
-// lifeTry is how long after an endpoint said that it drains one request finds out
-// whether another life has begun, which says nothing of the kind: endpoints tell
-// their birth nowhere here.
+// drainProbeDelay is the time after the last draining signal of an endpoint until one
+// request is sent as a probe. A new incarnation of the endpoint answers it without the
+// signal; its start time is not available here.
 const drainProbeDelay = 10 * time.Second
 
-// signals is what the endpoint of this box says of itself. All requests for it come
-// through its sidecar, which so holds it to its limit alone. It is safe for
-// concurrent use; its lock is a leaf.
+// endpointState holds the backpressure signals of the endpoint on this box: rate
+// limit, backoff and draining. All requests to the endpoint pass through its sidecar,
+// so the sidecar alone enforces the limit. It is safe for concurrent use; no other
+// lock is taken while its lock is held.
 type endpointState struct {
-	mu   sync.Mutex
-	backpressure *backpressure.State
-	// drainedAt is when the endpoint last said that it drains.
+	mu    sync.Mutex
+	state *backpressure.State
+	// drainedAt is the time of the last draining signal, or of the last probe after it.
 	drainedAt time.Time
 }
 
 func newEndpointState() *endpointState {
-	w := &endpointState{}
-	w.reset()
-	return w
+	s := &endpointState{}
+	s.reset()
+	return s
 }
 
-// begin begins what a life says; signals.mu is held, or nobody else knows it.
-func (w *endpointState) reset() {
-	w.backpressure = backpressure.NewTable().Of("endpoint", 0)
-	w.backpressure.Alone(clock.Now()) // nobody else sends to the endpoint
+// reset discards the signals of the previous incarnation of the endpoint. The caller
+// holds mu, or no other goroutine has access yet.
+func (s *endpointState) reset() {
+	s.state = backpressure.NewTable().Of("endpoint", 0)
+	s.state.Alone(clock.Now()) // no permit allocator: this sidecar is the only sender
 }
 
-// draining reports whether the endpoint takes nothing new any more.
-func (w *endpointState) draining(now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.backpressure.Draining() && now.Sub(w.drainedAt) < drainProbeDelay
+// draining reports whether the endpoint drains and no probe is due yet.
+func (s *endpointState) draining(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.Draining() && now.Sub(s.drainedAt) < drainProbeDelay
 }
 
-// admit counts a request that goes to the endpoint, or returns why it does not.
-func (w *endpointState) admit(now time.Time) *refusal {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.backpressure.Draining() {
-		if now.Sub(w.drainedAt) < drainProbeDelay {
+// admit counts a request to the endpoint, or returns a refusal.
+func (s *endpointState) admit(now time.Time) *refusal {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.state.Draining() {
+		if now.Sub(s.drainedAt) < drainProbeDelay {
 			return newRefusal(http.StatusServiceUnavailable, peer.ReasonDraining, "the endpoint is draining")
 		}
-		w.drainedAt = now
+		s.drainedAt = now
 	}
-	if from := w.backpressure.From(now); from.After(now) {
-		no := newRefusal(http.StatusTooManyRequests, peer.ReasonClosed, "the endpoint takes no more requests now")
-		no.retryAfter = from.Sub(now)
-		return no
+	if allowedAt := s.state.From(now); allowedAt.After(now) {
+		refused := newRefusal(http.StatusTooManyRequests, peer.ReasonClosed, "the endpoint takes no more requests now")
+		refused.retryAfter = allowedAt.Sub(now)
+		return refused
 	}
-	w.backpressure.Take(now)
+	s.state.Take(now)
 	return nil
 }
 
-// observe takes what an answer says; sent is when its request was sent.
-func (w *endpointState) observe(resp *http.Response, sent, now time.Time) []backpressure.Change {
+// observe records the signals in the headers and status of a response and returns the
+// changes; sent is when the request was sent.
+func (s *endpointState) observe(resp *http.Response, sent, now time.Time) []backpressure.Change {
 	signal := engine.Signal(resp.StatusCode, resp.Header)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
 	case signal.Draining:
-		w.drainedAt = now
-	case w.backpressure.Draining() && !sent.Before(w.drainedAt):
-		w.reset()
+		s.drainedAt = now
+	case s.state.Draining() && !sent.Before(s.drainedAt):
+		s.reset()
 	}
-	return w.backpressure.Observe(signal, sent, now)
+	return s.state.Observe(signal, sent, now)
 }
--- a/sidecar/signals_test.go
+++ b/sidecar/signals_test.go
@@ -13,7 +13,7 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// answers makes the answer of an endpoint that names a limit, or none if it is empty.
+// responseWithLimit returns a response of an endpoint that announces a rate limit, or none if limit is empty.
 func responseWithLimit(limit string) *http.Response {
 	r := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
 	if limit != "" {
@@ -22,25 +22,25 @@
 	return r
 }
 
-// An endpoint may name a limit again after one has ended: it is not closed for good.
+// TestLimitAnnouncedRepeatedly guards against refusing all requests once a limit is announced again after one has ended.
 func TestLimitAnnouncedRepeatedly(t *testing.T) {
-	w := newEndpointState()
+	s := newEndpointState()
 	now := clock.Now()
 	for range 3 {
 		for _, limit := range []string{"2", ""} {
-			w.observe(responseWithLimit(limit), now, now)
-			taken := 0
+			s.observe(responseWithLimit(limit), now, now)
+			admitted := 0
 			for range 80 { // 4 s
 				now = now.Add(50 * time.Millisecond)
-				if w.admit(now) == nil {
-					taken++
+				if s.admit(now) == nil {
+					admitted++
 				}
 			}
 			if limit == "" {
-				assert.Equal(t, taken, 80)
+				assert.Equal(t, admitted, 80)
 				continue
 			}
-			assert.Assert(t, taken >= 6 && taken <= 17, "%d of 80 taken", taken)
+			assert.Assert(t, admitted >= 6 && admitted <= 17, "%d of 80 admitted", admitted)
 		}
 	}
 }
--- a/sidecar/steps.go
+++ b/sidecar/steps.go
@@ -19,8 +19,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// work brings one copy from absent to serving. Every step is tried again
-// until it succeeds or the job ends.
+// runJob brings one copy from absent to serving. It retries each step until the step
+// succeeds or ctx ends.
 func (d *Daemon) runJob(ctx context.Context, j *job) {
 	steps := []func(context.Context, *job) error{d.prepare, d.fetch, d.awaitWave, d.freeMemory, d.load}
 	for _, step := range steps {
@@ -34,13 +34,13 @@
 				return
 			}
 			j.setBlockedReason(err.Error())
-			d.Log.V(1).Info("copies: step not done", "version", j.ref.String(), "error", err.Error())
+			d.Log.V(1).Info("copies: step failed, retrying", "version", j.ref.String(), "error", err.Error())
 			clock.Sleep(ctx, stepRetryInterval)
 		}
 	}
 }
 
-// prepare learns the manifest and opens staging.
+// prepare fetches the manifest and lets the engine allocate staging memory.
 func (d *Daemon) prepare(ctx context.Context, j *job) error {
 	if j.state() != weights.Absent {
 		return nil
@@ -51,7 +51,7 @@
 		return err
 	}
 	if err := d.engine.Stage(ctx, m); err != nil {
-		return errors.Annotate(err, "engine does not stage")
+		return errors.Annotate(err, "open staging at the engine")
 	}
 	c := weights.NewCopy(m)
 	if err := c.Fetch(); err != nil {
@@ -64,20 +64,21 @@
 	return nil
 }
 
-// fetchManifest asks this sidecar's gateway, then the weight store, then
-// peers of the plan. The plan's digest decides, whoever sent it.
+// fetchManifest fetches the manifest from this sidecar's gateway, else the weight
+// store, else a peer of the plan, and verifies it against the plan's digest. It
+// returns the manifest parsed and raw.
 func (d *Daemon) fetchManifest(ctx context.Context, p *intent.Plan) (*weights.Manifest, []byte, error) {
 	ref := p.Intent.Ref
-	var last error
+	var lastErr error
 	try := func(c *call.Client, url string) (*weights.Manifest, []byte) {
 		raw, err := c.Bytes(ctx, http.MethodGet, url, nil, maxManifestBytes)
 		if err != nil {
-			last = err
+			lastErr = err
 			return nil, nil
 		}
 		m, err := weights.ParseManifest(raw, p.ManifestDigest)
 		if err != nil {
-			last = err
+			lastErr = err
 			return nil, nil
 		}
 		return m, raw
@@ -96,10 +97,10 @@
 			return m, raw, nil
 		}
 	}
-	return nil, nil, errors.Annotate(last, "no manifest from a gateway, the store or a peer")
+	return nil, nil, errors.Annotate(lastErr, "no manifest from a gateway, the weight store or a peer")
 }
 
-// awaitWave waits until the log has opened the box's wave.
+// awaitWave returns an error until the event log has opened the wave of this box.
 func (d *Daemon) awaitWave(ctx context.Context, j *job) error {
 	plan := j.currentPlan()
 	step, ok := plan.Step(d.settings.Node.Box)
@@ -109,23 +110,23 @@
 	return errors.Errorf("waits for wave %d, wave %d is open", step.Wave, plan.Wave)
 }
 
-// makeRoom drains and unloads what the plan evicts, until the version fits.
+// freeMemory evicts versions from the engine until the job's version fits.
 func (d *Daemon) freeMemory(ctx context.Context, j *job) error {
 	plan := j.currentPlan()
 	step, _ := plan.Step(d.settings.Node.Box)
 	for d.missingBytes(j) > 0 {
-		victim := d.evictionCandidate(j, step)
-		if victim == nil {
+		candidate := d.evictionCandidate(j, step)
+		if candidate == nil {
 			return errors.Errorf("engine's memory lacks %d bytes and the plan evicts nothing more", d.missingBytes(j))
 		}
-		if err := d.evict(ctx, victim); err != nil {
+		if err := d.evict(ctx, candidate); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// missing is how many bytes of the engine's memory the version lacks.
+// missingBytes returns how much more engine memory the job's version needs, in bytes.
 func (d *Daemon) missingBytes(j *job) int64 {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
@@ -135,34 +136,35 @@
 	j.mu.Lock()
 	used := j.copy.Manifest().Bytes
 	j.mu.Unlock()
-	for _, o := range d.copies.jobs {
-		if o != j {
-			used += o.loadedBytes()
+	for _, other := range d.copies.jobs {
+		if other != j {
+			used += other.loadedBytes()
 		}
 	}
 	return max(used-d.copies.memoryBytes, 0)
 }
 
-// victim is the next version to leave: one that the plan names, or one that
-// no workspace is routed to first.
+// evictionCandidate returns the next loaded version to evict, or nil: one that the
+// plan step names, else one that is no workspace's first route.
 func (d *Daemon) evictionCandidate(j *job, step intent.Step) *job {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
-	var spare *job
-	for _, o := range d.copies.jobs {
-		if o == j || o.loadedBytes() == 0 {
+	var fallback *job
+	for _, other := range d.copies.jobs {
+		if other == j || other.loadedBytes() == 0 {
 			continue
 		}
-		if slices.Contains(step.Evicts, o.ref) {
-			return o
+		if slices.Contains(step.Evicts, other.ref) {
+			return other
 		}
-		if !d.routedFirst(o.ref) {
-			spare = o
+		if !d.routedFirst(other.ref) {
+			fallback = other
 		}
 	}
-	return spare
+	return fallback
 }
 
+// routedFirst reports whether the version is the first route of a workspace.
 func (d *Daemon) routedFirst(ref weights.Ref) bool {
 	first := false
 	d.Replica.View(func(s *state.State) {
@@ -175,7 +177,7 @@
 	return first
 }
 
-// evict drains a version, waits for its requests to end and unloads it.
+// evict drains a version, waits until no request is in flight and unloads it.
 func (d *Daemon) evict(ctx context.Context, j *job) error {
 	j.mu.Lock()
 	if j.copy.State() == weights.Serving {
@@ -202,8 +204,9 @@
 	return j.copy.Unload()
 }
 
-// load orders the engine to load the verified copy and starts to serve. An
-// order whose answer was lost is settled by asking the engine.
+// load orders the engine to load the verified copy and marks it as serving; a draining
+// copy resumes serving instead. After a failed order, whose response may have been
+// lost, the engine's state decides whether the copy is loaded.
 func (d *Daemon) load(ctx context.Context, j *job) error {
 	j.mu.Lock()
 	plan := j.plan
@@ -232,7 +235,8 @@
 	return j.copy.Serve()
 }
 
-// holds reports whether the engine says that it has loaded the copy.
+// engineHasLoaded reports whether the engine's state has the copy as loaded. It returns
+// false if the state cannot be read.
 func (d *Daemon) engineHasLoaded(ctx context.Context, j *job) bool {
 	s, err := d.engine.State(ctx)
 	if err != nil {
