--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -25,10 +25,10 @@
 
 // Errors of a pull that brought no chunk.
 const (
-	errNoUsefulChunk  = errors.ConstError("sender does not hold a needed chunk")
+	errNoUsefulChunk  = errors.ConstError("peer has nothing of use")
 	errSenderBusy     = errors.ConstError("sender is busy")
-	errDuplicateChunk = errors.ConstError("chunk is held or in flight already")
-	errStalled        = errors.ConstError("chunk transfer stalled")
+	errDuplicateChunk = errors.ConstError("chunk is held or on its way already")
+	errStalled        = errors.ConstError("no byte came for too long")
 )
 
 // defaultChunkTime is the time per chunk at the origin if the settings do not give
@@ -143,7 +143,7 @@
 			return availability, errNoUsefulChunk
 		}
 		if chunk, err = strconv.Atoi(resp.Header.Get(peer.HeaderChunk)); err != nil {
-			return availability, errors.Annotate(err, "response names no chunk")
+			return availability, errors.Annotate(err, "answer names no chunk")
 		}
 	}
 	if resp.StatusCode == http.StatusNoContent {
@@ -230,14 +230,14 @@
 	hash := weights.NewHasher()
 	hashed := io.TeeReader(io.LimitReader(body, size), hash)
 	if err := d.engine.Put(ctx, j.ref, p.Chunk, hashed, size); err != nil {
-		return errors.Annotate(err, "stream chunk into staging")
+		return errors.Annotate(err, "chunk did not arrive")
 	}
 	j.countBytes(p, hash.Written())
 	d.Metrics.Counter("mintlift_chunk_received_bytes_total", "source", sourceOf(p)).Add(int(hash.Written()))
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.copy.State() != weights.Fetching {
-		return errors.Errorf("copy of %s is %s, no longer fetching", j.ref, j.copy.State())
+		return errors.Errorf("copy of %s is %s", j.ref, j.copy.State())
 	}
 	if err := j.copy.AcceptSum(p.Chunk, hash.Written(), hash.Digest()); err != nil {
 		j.badChunks.Add(1)
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -18,12 +18,12 @@
 const (
 	// errStaleFence means that the order has a lower fence than an earlier one,
 	// or that no plan wants it any more.
-	errStaleFence = errors.ConstError("order is stale")
+	errStaleFence = errors.ConstError("order carries an older fence than the highest known")
 	// errReplaced means that the event log removed this incarnation from the homes.
-	errReplaced = errors.ConstError("another sidecar incarnation has replaced this one on its box")
+	errReplaced = errors.ConstError("another sidecar has taken this box over")
 	// errPaused means that this process was paused and has not contacted the
 	// event log since.
-	errPaused = errors.ConstError("process was paused and has not contacted the event log since")
+	errPaused = errors.ConstError("process was paused and has not heard the log since")
 )
 
 const (
@@ -67,7 +67,7 @@
 		return errPaused
 	}
 	if fence < f.highestFence {
-		return errors.WithType(errors.Errorf("fence %d, highest used %d", fence, f.highestFence), errStaleFence)
+		return errors.WithType(errors.Errorf("fence %d, highest known %d", fence, f.highestFence), errStaleFence)
 	}
 	f.highestFence = fence
 	return nil
@@ -131,7 +131,7 @@
 		fence, ok = s.Offset, wanted(s)
 	})
 	if !ok {
-		return errors.WithType(errors.Errorf("no plan requires %s at state offset %d", ref, fence), errStaleFence)
+		return errors.WithType(errors.Errorf("%s is not wanted at offset %d", ref, fence), errStaleFence)
 	}
 	if d.replaced() {
 		return errReplaced
--- a/sidecar/steps.go
+++ b/sidecar/steps.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	if err := d.engine.Stage(ctx, m); err != nil {
-		return errors.Annotate(err, "open staging at the engine")
+		return errors.Annotate(err, "engine does not stage")
 	}
 	c := weights.NewCopy(m)
 	if err := c.Fetch(); err != nil {
@@ -97,7 +97,7 @@
 			return m, raw, nil
 		}
 	}
-	return nil, nil, errors.Annotate(lastErr, "no manifest from a gateway, the weight store or a peer")
+	return nil, nil, errors.Annotate(lastErr, "no manifest from a gateway, the store or a peer")
 }
 
 // awaitWave returns an error until the event log has opened the wave of this box.
