--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -17,48 +17,49 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// errSpoilt says that a chunk did not fit its digest.
-const errSpoilt = errors.ConstError("chunk does not fit its digest")
+// errDigestMismatch is returned for a received chunk that does not match its
+// digest.
+const errDigestMismatch = errors.ConstError("chunk does not match its digest")
 
-// badManifest is how many chunks must not fit, with none that does, before
-// the manifest itself is doubted.
-const badManifest = 4
+// manifestMismatchLimit is the number of digest mismatches, with no matching
+// chunk, after which the manifest itself is assumed to be corrupt.
+const manifestMismatchLimit = 4
 
-// fetch pulls chunks until the copy is whole; it returns false if that did
-// not succeed in this round.
-func (i *Installer) fetch(ctx context.Context, w want, r *replica) bool {
-	if i.complete(r) {
+// fetch pulls chunks until r is complete. It returns false if the round timed
+// out, ctx ended or the manifest was discarded first.
+func (i *Installer) fetch(ctx context.Context, task fetchTask, r *replica) bool {
+	if i.isComplete(r) {
 		return true
 	}
 	began := clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, fetchRound+rand.N(fetchRoundMore))
+	ctx, cancel := context.WithTimeout(ctx, fetchRoundTimeout+rand.N(fetchRoundJitter))
 	defer cancel()
-	swarm := i.join(ctx, w, r)
+	swarm := i.startSwarm(ctx, task, r)
 	ended := make(chan struct{}, 1)
-	flying := 0 // under Installer.mu
-	for ctx.Err() == nil && !i.complete(r) {
-		if i.doubtful(r) {
-			i.forget(r)
+	inFlight := 0 // guarded by Installer.mu
+	for ctx.Err() == nil && !i.isComplete(r) {
+		if i.manifestSuspect(r) {
+			i.dropReplica(r)
 			return false
 		}
 		i.mu.Lock()
-		p := transfer.Pull{Wait: busyWait}
-		switch limit := i.parallel(r, w, clock.Now()); {
-		case flying < limit:
+		p := transfer.Pull{Wait: pullPollInterval}
+		switch limit := i.pullLimit(r, task, clock.Now()); {
+		case inFlight < limit:
 			p = swarm.Next(clock.Now())
-		case limit > 1 && flying < limit+firstExtra:
+		case limit > 1 && inFlight < limit+extraFirstFetches:
 			p = swarm.NextFirst(clock.Now())
 		}
 		has := swarm.Wants()
 		if p.Kind != transfer.None {
-			flying++
+			inFlight++
 		}
 		i.mu.Unlock()
 		if p.Kind != transfer.None {
 			go func() {
 				i.pull(ctx, r, swarm, p, has)
 				i.mu.Lock()
-				flying--
+				inFlight--
 				i.mu.Unlock()
 				select {
 				case ended <- struct{}{}:
@@ -75,47 +76,50 @@
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	done := r.whole()
-	i.log.Info("fetch ended", "version", w.version, "whole", done, "held", r.held.Count(), "origin", r.fromSrc, "far", r.fromFar,
-		"peers", r.fromPeers, "spoilt", r.bad, "ms", clock.Since(began).Milliseconds())
+	done := r.complete()
+	i.log.Info("fetch ended", "version", task.version, "whole", done, "held", r.held.Count(), "origin", r.fromOrigin, "far", r.fromRemoteRegion,
+		"peers", r.fromPeers, "spoilt", r.mismatches, "ms", clock.Since(began).Milliseconds())
 	return done
 }
 
-func (i *Installer) complete(r *replica) bool {
+// isComplete reports whether r holds all chunks. It takes Installer.mu.
+func (i *Installer) isComplete(r *replica) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return r.whole()
+	return r.complete()
 }
 
-func (i *Installer) doubtful(r *replica) bool {
+// manifestSuspect reports whether the manifest of r is assumed to be corrupt.
+func (i *Installer) manifestSuspect(r *replica) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return r.held.Count() == 0 && r.bad >= badManifest
+	return r.held.Count() == 0 && r.mismatches >= manifestMismatchLimit
 }
 
-// forget drops a copy whose manifest is doubted.
-func (i *Installer) forget(r *replica) {
+// dropReplica removes a replica whose manifest is suspect, so that the manifest
+// is fetched again.
+func (i *Installer) dropReplica(r *replica) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for at, other := range i.copies {
+	for at, other := range i.replicas {
 		if other == r {
-			i.copies = append(i.copies[:at:at], i.copies[at+1:]...)
+			i.replicas = append(i.replicas[:at:at], i.replicas[at+1:]...)
 			break
 		}
 	}
-	i.log.Info("manifest dropped", "version", r.manifest.Version, "spoilt", r.bad)
+	i.log.Info("manifest discarded", "version", r.manifest.Version, "spoilt", r.mismatches)
 }
 
-// join begins a swarm of r over the sidecars of the list. Pulls that an
-// earlier swarm of the copy has under way report to that one.
-func (i *Installer) join(ctx context.Context, w want, r *replica) *transfer.Swarm {
-	peers := i.list(ctx)
+// startSwarm replaces the swarm of r by a new one over the current sidecar list.
+// Pulls of the previous swarm that are in flight still report to that one.
+func (i *Installer) startSwarm(ctx context.Context, task fetchTask, r *replica) *transfer.Swarm {
+	peers := i.listPeers(ctx)
 	params := transfer.Params{
 		Chunks:        len(r.manifest.Digests),
-		OriginRegions: []string{i.originRegion(w, peers)},
-		ChunkTurn:     chunkTurn(w.params),
-		TakeOver:      takeOver,
-		Quiet:         lostAfter,
+		OriginRegions: []string{i.originRegion(task, peers)},
+		ChunkTurn:     chunkInterval(task.params),
+		TakeOver:      takeOverDelay,
+		Quiet:         chunkLostAfter,
 		Patient:       true,
 	}
 	addresses := make(map[string]string, len(peers))
@@ -137,56 +141,59 @@
 	r.swarm = swarm
 	r.addresses = addresses
 	i.mu.Unlock()
-	i.askPartners(ctx, r.manifest, swarm, addresses, order.Partners(i.settings.Region, i.settings.Box))
+	i.queryPartners(ctx, r.manifest, swarm, addresses, order.Partners(i.settings.Region, i.settings.Box))
 	return swarm
 }
 
-// listFresh is how old the list of sidecars may be for a swarm: what it names
-// may be gone anyway, as an entry outlives its box by three heartbeats.
-const listFresh = time.Second
+// peerListMaxAge is the maximum age of the sidecar list for a new swarm. A
+// fresher list would not exclude stopped boxes, as an entry outlives its box by
+// three heartbeats.
+const peerListMaxAge = time.Second
 
-// list returns the service's sidecars, this one included, as read within
-// listFresh, or the last that were had.
-func (i *Installer) list(ctx context.Context) []Peer {
+// listPeers returns the service's sidecars, this one included. It reads the list
+// if the cached one is older than peerListMaxAge, and returns the cached one if
+// that fails.
+func (i *Installer) listPeers(ctx context.Context) []Peer {
 	i.mu.Lock()
-	known, at := i.known, i.knownAt
+	cached, at := i.peerList, i.peerListAt
 	i.mu.Unlock()
-	if clock.Since(at) < listFresh {
-		return known
+	if clock.Since(at) < peerListMaxAge {
+		return cached
 	}
 	peers, err := i.peers(ctx)
 	if err != nil {
-		i.log.Info("list of sidecars not had", "error", err.Error(), "last", len(known))
-		return known
+		i.log.Info("sidecar list read failed", "error", err.Error(), "last", len(cached))
+		return cached
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.known, i.knownAt = peers, clock.Now()
+	i.peerList, i.peerListAt = peers, clock.Now()
 	return peers
 }
 
-// partnersWait is how long a swarm waits for what its partners hold before it
-// reads anything first: they answer within some milliseconds, and one that
-// stands still must not hold up the others.
-const partnersWait = 60 * time.Millisecond
+// partnerTimeout bounds how long a new swarm waits for its partners' answers
+// before it starts to read chunks, so that an unresponsive partner does not
+// delay the fetch.
+const partnerTimeout = 60 * time.Millisecond
 
-// askPartners asks the boxes that stand beside this one in the order of its
-// chunks what they hold, so that nothing is read first that has come already,
-// and nobody waits for one that does not answer.
-func (i *Installer) askPartners(ctx context.Context, m *Manifest, swarm *transfer.Swarm, addresses map[string]string, partners []string) {
+// queryPartners asks the boxes that rank next to this one in the order of its
+// chunks what they hold, so that no chunk is read from the origin that one of
+// them holds already. A partner that does not answer is passed over in that
+// order.
+func (i *Installer) queryPartners(ctx context.Context, m *Manifest, swarm *transfer.Swarm, addresses map[string]string, partners []string) {
 	answered := make(chan struct{})
 	var group sync.WaitGroup
 	for _, box := range partners {
 		group.Go(func() {
-			know, err := i.client.held(ctx, addresses[box], m)
+			availability, err := i.client.held(ctx, addresses[box], m)
 			i.mu.Lock()
 			defer i.mu.Unlock()
 			switch {
 			case err == nil:
-				swarm.Known(box, know)
+				swarm.Known(box, availability)
 			case ctx.Err() == nil:
 				swarm.Silent(box, clock.Now())
-				i.log.Info("partner silent", "version", m.Version, "peer", box, "error", err.Error())
+				i.log.Info("partner query failed", "version", m.Version, "peer", box, "error", err.Error())
 			}
 		})
 	}
@@ -196,73 +203,78 @@
 	}()
 	select {
 	case <-answered:
-	case <-time.After(partnersWait):
+	case <-time.After(partnerTimeout):
 	case <-ctx.Done():
 	}
 }
 
-// Bounds of the pulls under way at once. What is under way queues at a
-// narrow link ahead of the requests and answers of the engine, so that a
-// link that turns out narrow gets a single one.
+// Limits of concurrent pulls. Pulls in flight queue on the box's link ahead of
+// the requests and answers of the engine, so a link that turns out to be slow
+// gets a single one.
 const (
-	pullsAtOnce = 3
-	// firstExtra are pulls beyond these of chunks that nobody else has.
-	firstExtra = 1
-	narrow     = 5
-	busyWait   = 15 * time.Millisecond
+	maxPulls = 3
+	// extraFirstFetches is the number of pulls beyond the limit that are allowed
+	// for chunks that no other box is known to hold.
+	extraFirstFetches = 1
+	// slowLinkFactor is the multiple of the expected chunk time above which the
+	// link counts as slow.
+	slowLinkFactor   = 5
+	pullPollInterval = 15 * time.Millisecond
 )
 
-// parallel is how many pulls may be under way; Installer.mu is held. While
-// an older version is completed, the newer one gets none until the origin has
-// sent what the older one lacks, and a single one until that has come.
-func (i *Installer) parallel(r *replica, w want, now time.Time) int {
+// pullLimit returns how many pulls of r may be in flight; Installer.mu is held.
+// While an older version is still being fetched, the newer one gets none until
+// all chunks of the older one are held by boxes within reach, and a single one
+// until they have arrived here.
+func (i *Installer) pullLimit(r *replica, task fetchTask, now time.Time) int {
 	for _, t := range i.targets {
-		if t.version >= w.version || !i.completes(t, now) {
+		if t.version >= task.version || !i.finishesOlder(t, now) {
 			continue
 		}
-		older := i.copyOf(t.version)
+		older := i.replicaLocked(t.version)
 		if older.reachable() < len(older.chunks) {
 			return 0
 		}
 		return 1
 	}
 	if i.settings.LinkRate <= 0 {
-		return pullsAtOnce
+		return maxPulls
 	}
-	usual := time.Duration(pullsAtOnce * float64(r.manifest.ChunkBytes) / i.settings.LinkRate * float64(time.Second))
-	if r.swarm.ChunkTime() > narrow*usual {
+	expected := time.Duration(maxPulls * float64(r.manifest.ChunkBytes) / i.settings.LinkRate * float64(time.Second))
+	if r.swarm.ChunkTime() > slowLinkFactor*expected {
 		return 1
 	}
-	return pullsAtOnce
+	return maxPulls
 }
 
-// A version has seconds to be everywhere, so that what a dead box had read
-// for all is soon read by another.
+// Failover delays of a swarm. They are short because a version has seconds to
+// reach all engines.
 const (
-	// takeOver is how long each further rank waits for a silent one.
-	takeOver = 900 * time.Millisecond
-	// lostAfter is how long nothing new must have come before a chunk is
-	// taken for lost with the box that read it.
-	lostAfter = 400 * time.Millisecond
+	// takeOverDelay is how long each further rank waits before it reads a chunk
+	// in place of a box that has not reported it.
+	takeOverDelay = 900 * time.Millisecond
+	// chunkLostAfter is how long no new chunk must have appeared before a chunk
+	// counts as lost with the box that read it.
+	chunkLostAfter = 400 * time.Millisecond
 )
 
-// defaultTurn is the time of a chunk at the origin where its rate is not
-// known.
-const defaultTurn = 20 * time.Millisecond
+// defaultChunkInterval is used if the origin's rate is unknown.
+const defaultChunkInterval = 20 * time.Millisecond
 
-func chunkTurn(p Params) time.Duration {
+// chunkInterval returns how long the origin takes to send one chunk.
+func chunkInterval(p Params) time.Duration {
 	if p.OriginRate <= 0 {
-		return defaultTurn
+		return defaultChunkInterval
 	}
 	return time.Duration(float64(p.ChunkBytes) / p.OriginRate * float64(time.Second))
 }
 
-// originRegion is the region that reads from the origin: the origin's own
-// if a sidecar is there.
-func (i *Installer) originRegion(w want, peers []Peer) string {
+// originRegion returns the region whose boxes read from the origin: the origin's
+// own if it has a sidecar, otherwise the first by name.
+func (i *Installer) originRegion(task fetchTask, peers []Peer) string {
 	lowest := i.settings.Region
 	for _, p := range peers {
-		if p.Region == w.params.OriginRegion {
+		if p.Region == task.params.OriginRegion {
 			return p.Region
 		}
 		lowest = min(lowest, p.Region)
@@ -270,107 +282,111 @@
 	return lowest
 }
 
-// pull carries out one decision and reports its end to the swarm.
+// pull executes p and reports its result to the swarm. has is the set of chunks
+// that are held here or in flight.
 func (i *Installer) pull(ctx context.Context, r *replica, swarm *transfer.Swarm, p transfer.Pull, has *bitset.BitSet) {
 	began := clock.Now()
-	know, data, err := i.transfer(ctx, r, swarm, &p, has, func() { began = clock.Now() })
+	availability, data, err := i.requestChunk(ctx, r, swarm, &p, has, func() { began = clock.Now() })
 	if err == nil {
-		err = i.take(r, p, data)
+		err = i.storeChunk(r, p, data)
 	}
 	now := clock.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch {
 	case err == nil:
-		swarm.Arrived(p, know, now.Sub(began), now)
-		i.count(r, p)
-		go i.layEarly(r, p.Chunk)
+		swarm.Arrived(p, availability, now.Sub(began), now)
+		i.countChunk(r, p)
+		go i.stageChunk(r, p.Chunk)
 	case ctx.Err() != nil:
-		swarm.Drop(p) // the copy is whole, or no longer wanted
-	case errors.Is(err, errNothing):
-		swarm.Nothing(p, know, now)
-	case errors.Is(err, errTaken):
+		swarm.Drop(p) // the replica is complete, or the task was cancelled
+	case errors.Is(err, errNoUsefulChunk):
+		swarm.Nothing(p, availability, now)
+	case errors.Is(err, errChunkNotNeeded):
 		swarm.Drop(p)
 	case errors.Is(err, errBusy):
 		swarm.Busy(p, 0, now)
 	case errors.Is(err, stall.Err):
 		swarm.Stalled(p, now)
-	case errors.Is(err, errSpoilt):
+	case errors.Is(err, errDigestMismatch):
 		swarm.Bad(p, now)
-	case timedOut(err):
+	case isTimeout(err):
 		swarm.Unreachable(p, now)
-		i.log.Info("peer did not answer", "version", r.manifest.Version, "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
+		i.log.Info("chunk pull timed out", "version", r.manifest.Version, "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
 	default:
 		swarm.Broken(p, now)
-		i.log.Info("chunk not had", "version", r.manifest.Version, "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
+		i.log.Info("chunk pull failed", "version", r.manifest.Version, "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
 	}
 }
 
-// timedOut reports whether a call failed because nothing came, rather than by
-// an answer or a refusal of the connection.
-func timedOut(err error) bool {
+// isTimeout reports whether a call failed by a network timeout, rather than by
+// an error status or a refused connection.
+func isTimeout(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-func (i *Installer) count(r *replica, p transfer.Pull) {
+// countChunk counts a received chunk by its source; Installer.mu is held.
+func (i *Installer) countChunk(r *replica, p transfer.Pull) {
 	source := "peer"
 	switch p.Kind {
 	case transfer.FromOrigin:
 		source = "origin"
-		r.fromSrc++
+		r.fromOrigin++
 	case transfer.FromFar:
 		source = "far"
-		r.fromFar++
+		r.fromRemoteRegion++
 	default:
 		r.fromPeers++
 	}
 	i.metrics.Counter("mintlift_installer_chunks_total", "source", source).Inc()
 }
 
-// transfer asks the sender for a chunk; comes is called when a peer that may
-// have waited for the chunk itself begins to send it.
-func (i *Installer) transfer(ctx context.Context, r *replica, swarm *transfer.Swarm, p *transfer.Pull, has *bitset.BitSet, comes func()) (transfer.Knowledge, []byte, error) {
+// requestChunk requests the chunk of p from the origin or a peer. sending is
+// called when a peer of another region, which may have waited for the chunk
+// itself, starts to send it.
+func (i *Installer) requestChunk(ctx context.Context, r *replica, swarm *transfer.Swarm, p *transfer.Pull, has *bitset.BitSet, sending func()) (transfer.Knowledge, []byte, error) {
 	i.mu.Lock()
-	limit := swarm.StallLimit()
+	stallTimeout := swarm.StallLimit()
 	address := r.addresses[p.Peer]
 	i.mu.Unlock()
 	if p.Kind == transfer.FromOrigin {
 		data, err := i.origin.Chunk(ctx, r.manifest.Model, r.manifest.Version, p.Chunk)
 		return transfer.Knowledge{}, data, err
 	}
-	first := limit
+	firstByteTimeout := stallTimeout
 	if p.Kind == transfer.FromFar {
-		first += chunkHold
+		firstByteTimeout += chunkWaitTimeout
 	}
-	offered := func(chunk int) bool {
+	accept := func(chunk int) bool {
 		if p.Kind == transfer.FromFar {
-			comes()
+			sending()
 		}
 		i.mu.Lock()
 		defer i.mu.Unlock()
 		return swarm.Offered(p, chunk)
 	}
-	return i.client.pull(ctx, address, i.settings.Box, r.manifest, p.Chunk, has, first, limit, offered)
+	return i.client.pull(ctx, address, i.settings.Box, r.manifest, p.Chunk, has, firstByteTimeout, stallTimeout, accept)
 }
 
-// take checks a chunk and keeps it.
-func (i *Installer) take(r *replica, p transfer.Pull, data []byte) error {
-	if !r.manifest.Fits(p.Chunk, data) {
+// storeChunk verifies the digest of a received chunk and adds it to r. It returns
+// errDigestMismatch if the digest does not match.
+func (i *Installer) storeChunk(r *replica, p transfer.Pull, data []byte) error {
+	if !r.manifest.ChunkMatches(p.Chunk, data) {
 		i.mu.Lock()
-		r.bad++
+		r.mismatches++
 		i.mu.Unlock()
 		i.metrics.Counter("mintlift_installer_spoilt_total").Inc()
-		return errSpoilt
+		return errDigestMismatch
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	r.chunks[p.Chunk] = data
 	r.held.Set(uint(p.Chunk))
-	close(r.arrived)
-	r.arrived = make(chan struct{})
-	if r.whole() {
-		r.wholeAt = clock.Now()
+	close(r.chunkArrived)
+	r.chunkArrived = make(chan struct{})
+	if r.complete() {
+		r.completedAt = clock.Now()
 	}
 	return nil
 }
--- a/installer/installer.go
+++ b/installer/installer.go
@@ -1,16 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package installer brings the engine beside a sidecar to the version that
-// the operator named last.
+// Package installer updates the engine beside a sidecar to the model version
+// that the operator named last.
 //
-// Every sidecar draws its own steps from the same records: it fetches the
-// version's chunks from the origin and from the other sidecars by the rules
-// of package transfer, lays them ready beside the engine, checks them once
-// more, and orders the engine to take them. No sidecar is in charge, and
-// none waits for another.
+// Every sidecar plans its own steps from the same records, without a
+// coordinator: it fetches the version's chunks from the origin and from other
+// sidecars by the rules of package transfer, stages them beside the engine,
+// verifies them again and orders the engine to load them.
 //
-// Installer.mu covers all tables; no call to another process is made while
-// it is held. Installer.staging is for what lies ready beside the engine.
+// Installer.mu guards all state; it is never held during a call to another
+// process. Installer.stagingMu guards the chunks staged beside the engine.
 package installer
 
 import (
@@ -32,11 +31,11 @@
 // Digest is the SHA-256 of a chunk.
 type Digest [sha256.Size]byte
 
-// MarshalText writes a digest in hex: as an array of numbers it would take
-// twice the bytes, and each box sends its manifest to several others.
+// MarshalText encodes the digest in hex, which is shorter than a JSON array of
+// numbers.
 func (d Digest) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, d[:]), nil }
 
-// UnmarshalText reads a digest in hex.
+// UnmarshalText decodes a digest in hex.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(d) {
 		return errors.NotValidf("digest %q", text)
@@ -45,7 +44,7 @@
 	return errors.Trace(err)
 }
 
-// Manifest are the digests of a version's chunks.
+// Manifest lists the digests of a version's chunks.
 type Manifest struct {
 	Model      string   `json:"model"`
 	Version    int      `json:"version"`
@@ -53,82 +52,90 @@
 	Digests    []Digest `json:"digests"`
 }
 
-// Fits reports whether data is chunk n.
-func (m *Manifest) Fits(n int, data []byte) bool {
+// ChunkMatches reports whether data matches the digest of chunk n. It is false
+// for an n out of range.
+func (m *Manifest) ChunkMatches(n int, data []byte) bool {
 	return n >= 0 && n < len(m.Digests) && sha256.Sum256(data) == m.Digests[n]
 }
 
-// EngineState is what the engine says of itself.
+// EngineState is the state that the engine reports.
 type EngineState struct {
 	Model string
-	// Version is what the engine holds whole, or 0.
+	// Version is the version whose chunks the engine has all loaded, or 0.
 	Version int
-	// Busy says that an order is under way; Orders counts those taken.
-	Busy   bool
+	// Busy is set while the engine executes an order.
+	Busy bool
+	// Orders is the number of orders that the engine has accepted.
 	Orders int64
-	Queued int
-	// Running requests; Pace above 1 is how many times slower than usual.
+	// Queued and Running are numbers of requests.
+	Queued  int
 	Running int
-	Pace    float64
-	// Born is when the engine's process started, in Unix milliseconds, or 0 if
-	// it does not tell.
+	// Pace is the engine's slowdown: above 1, how many times slower than usual it
+	// runs.
+	Pace float64
+	// StartedMS is when the engine's process started, in Unix milliseconds, or 0
+	// if the engine does not report it.
 	Born int64
-	// Signal is what the engine's answer said of itself.
+	// Signal is the backpressure signal that came with the engine's report.
 	Signal backpressure.Signal
 }
 
 // Engine is the engine beside the sidecar.
 type Engine interface {
 	State(ctx context.Context) (EngineState, error)
+	// Put stages a chunk.
 	Put(ctx context.Context, model string, chunk int, data []byte) error
-	// Get returns nil for a chunk that does not lie ready.
+	// Get returns a staged chunk, or nil if the chunk is not staged.
 	Get(ctx context.Context, model string, chunk int) ([]byte, error)
-	// Start orders the engine to take what lies ready. The error says why the
-	// outcome is not Taken.
+	// Start orders the engine to load the staged chunks. Unless the outcome is
+	// Accepted, the error is the reason.
 	Start(ctx context.Context, s Start) (Outcome, error)
 }
 
-// Origin is where weights come from.
+// Origin is the source of model weights.
 type Origin interface {
 	Manifest(ctx context.Context, model string, version int) (*Manifest, error)
 	Chunk(ctx context.Context, model string, version, chunk int) ([]byte, error)
 }
 
-// Peer is another sidecar of the service.
+// Peer is a sidecar of the service.
 type Peer struct {
-	// Box names the sidecar: the IP number of its box.
+	// Box identifies the sidecar: the IP address of its box.
 	Box string
 	// Address of its installer, IP:PORT.
 	Address string
 	Region  string
 	Zone    string
-	// Leaving says that the endpoint beside it is being drained.
+	// Draining is set while the endpoint beside the sidecar is being drained.
 	Leaving bool
 }
 
-// Params are the figures of the service.
+// Params describe the service's model and its rollouts.
 type Params struct {
 	Model      string
 	Chunks     int
 	ChunkBytes int
-	// OriginRate is the origin's link in bytes a second.
+	// OriginRate is the rate of the origin's link in bytes a second, or 0 if
+	// unknown.
 	OriginRate float64
 	// OriginRegion is the region that the origin is in.
 	OriginRegion string
-	// Deadline is how long after its naming a version must be everywhere.
+	// Deadline is how long after its naming a version must be served by all
+	// engines.
 	Deadline time.Duration
 }
 
-// Settings of an Installer.
+// Settings identify the box of an Installer.
 type Settings struct {
 	Box    string
 	Region string
 	Zone   string
-	// LinkRate is the box's link in bytes a second, or zero if unknown.
+	// LinkRate is the rate of the box's link in bytes a second, or 0 if unknown.
 	LinkRate float64
 }
 
-// Installer is the work of one sidecar. Run it with Run.
+// Installer fetches named versions and loads them into the engine of one
+// sidecar. It does nothing until Run is called.
 type Installer struct {
 	settings Settings
 	engine   Engine
@@ -136,79 +143,86 @@
 	// peers reads the list of the service's sidecars, this one included.
 	peers  func(ctx context.Context) ([]Peer, error)
 	client *peerClient
-	// up and down keep transfers below the link's rate.
-	up, down *pacer
-	// manifestHop is the constant of that name; tests that must not depend on
-	// the machine's speed lengthen it.
-	manifestHop time.Duration
-	log         logr.Logger
-	metrics     *telemetry.Metrics
-
-	// staging is taken before mu.
-	staging sync.Mutex
-
-	mu      sync.Mutex
-	params  Params
-	targets []target // by version, the newest last
-	state   EngineState
-	heard   time.Time // when the engine was heard last
-	leaving bool      // nothing new should be sent to the engine
-	// expected is what the engine tells once it has taken the start that was
-	// sent last, and vouched what was checked after it was taken.
-	expected, vouched loading
-	// promised says that the engine will take its turn of a rollout.
-	promised bool
-	copies   []*replica
-	known    []Peer // the last list of sidecars, and when it was read
-	knownAt  time.Time
-	change   chan struct{}
+	// upPacer and downPacer keep transfers below the rate of the box's link.
+	upPacer, downPacer *pacer
+	// manifestHopTimeout is the constant of that name, unless a test overrides
+	// it.
+	manifestHopTimeout time.Duration
+	log                logr.Logger
+	metrics            *telemetry.Metrics
+
+	// stagingMu is locked before mu.
+	stagingMu sync.Mutex
+
+	mu            sync.Mutex
+	params        Params
+	targets       []target // in ascending order of version
+	engineState   EngineState
+	engineStateAt time.Time // when engineState was reported; zero before the first report
+	draining      bool      // gateways should send the engine no new requests
+	// expectedLoad is the load that results from the last start order if the
+	// engine accepts it. verifiedLoad is the load whose chunks were verified after
+	// the engine had accepted it.
+	expectedLoad, verifiedLoad loadID
+	// updateScheduled is set while the engine has a slot in a rollout.
+	updateScheduled bool
+	replicas        []*replica
+	peerList        []Peer // the sidecar list as last read, at peerListAt
+	peerListAt      time.Time
+	// changed is closed and replaced when a waiter must look at the state again.
+	changed chan struct{}
 }
 
-// target is a named version.
+// target is a version that the operator named.
 type target struct {
 	version int
-	named   time.Time // zero if that is not known
-	// assumed says that named is only when this process heard of it.
-	assumed bool
+	namedAt time.Time // zero if unknown
+	// ageUnknown is set if namedAt is when this process learned of the version,
+	// or was moved back because the version is overdue.
+	ageUnknown bool
 }
 
-// keptTargets is how many named versions are remembered.
-const keptTargets = 3
+// maxTargets is how many named versions are kept.
+const maxTargets = 3
 
-// replica is this box's copy of a version.
+// replica is this box's copy of a version, complete or not.
 type replica struct {
 	manifest *Manifest
 	chunks   [][]byte
 	held     *bitset.BitSet
-	// arrived is closed, and made anew, when a chunk comes.
-	arrived chan struct{}
-	// wholeAt is when the last chunk came.
-	wholeAt time.Time
-	// swarm is nil while nothing is fetched.
-	swarm     *transfer.Swarm
+	// chunkArrived is closed and replaced when a chunk arrives.
+	chunkArrived chan struct{}
+	// completedAt is when the last chunk arrived.
+	completedAt time.Time
+	// swarm is nil until the first fetch starts.
+	swarm *transfer.Swarm
+	// addresses maps the boxes of the swarm to their installers' addresses.
 	addresses map[string]string
 	picker    *transfer.Picker
-	bad       int // chunks that did not fit their digests
-	fromPeers int
-	fromFar   int
-	fromSrc   int
+	// mismatches counts received chunks that did not match their digests.
+	mismatches int
+	// fromPeers, fromRemoteRegion and fromOrigin count received chunks by source;
+	// fromPeers are those of the own region.
+	fromPeers        int
+	fromRemoteRegion int
+	fromOrigin       int
 }
 
-// keptCopies is how many versions are kept for other sidecars: the newest and
-// the one that may bridge the time to it.
-const keptCopies = 2
+// maxReplicas is how many replicas are kept for other sidecars: the newest
+// version and the one that may be served until the newest is complete.
+const maxReplicas = 2
 
 // New returns an Installer; peers reads the list of the service's sidecars.
 func New(s Settings, e Engine, o Origin, peers func(context.Context) ([]Peer, error), log logr.Logger, m *telemetry.Metrics) *Installer {
 	down := newPacer(s.LinkRate)
 	return &Installer{
 		settings: s, engine: e, origin: o, peers: peers, log: log, metrics: m,
-		client: newPeerClient(down), up: newPacer(s.LinkRate), down: down, manifestHop: manifestHop,
-		change: make(chan struct{}),
+		client: newPeerClient(down), upPacer: newPacer(s.LinkRate), downPacer: down, manifestHopTimeout: manifestHopTimeout,
+		changed: make(chan struct{}),
 	}
 }
 
-// Configure takes the figures of the service.
+// Configure sets the parameters of the service.
 func (i *Installer) Configure(p Params) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -216,109 +230,110 @@
 		return
 	}
 	i.params = p
-	i.wakeLocked()
+	i.notifyLocked()
 }
 
-// Name takes a named version of the model; named is when, or zero if that is
-// not known. The earliest time that is known counts.
-func (i *Installer) Name(model string, version int, named time.Time) {
+// AddTarget records that the operator named a version of the model. namedAt is
+// when, or zero if unknown; of several reports the earliest known time counts.
+func (i *Installer) Name(model string, version int, namedAt time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.nameLocked(model, target{version: version, named: named})
+	i.addTargetLocked(model, target{version: version, namedAt: namedAt})
 }
 
-// assumedFor is how long a sidecar waits for a gateway that knows a version's
-// age before it believes others that the version is overdue: a gateway that has
-// just started says so amid a rollout, too.
-const assumedFor = 1200 * time.Millisecond
+// overdueGrace is how long a sidecar waits for a gateway that knows a version's
+// age before it accepts reports that the version is overdue. Gateways that
+// started during a rollout report that, too.
+const overdueGrace = 1200 * time.Millisecond
 
-// NameAssumed takes a named version whose age the gateway that tells of it does
-// not know. Overdue says that it has left older versions: it saw the version
-// served, and serves nothing older. Where no gateway knows better, as after all
-// have started anew, the engine then changes at once, since it gets no
-// requests until it has; its turn would come seconds later.
+// AddTargetOfUnknownAge records a named version whose age the reporting gateway
+// does not know. overdue is set if that gateway has seen the version served and
+// routes to no older one. If no gateway has reported the age within overdueGrace,
+// the version's deadline counts as passed: the engine gets no requests until it
+// is updated, so it does not wait for its slot.
 func (i *Installer) NameAssumed(model string, version int, overdue bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.nameLocked(model, target{version: version, named: now, assumed: true})
+	i.addTargetLocked(model, target{version: version, namedAt: now, ageUnknown: true})
 	for at := range i.targets {
 		t := &i.targets[at]
-		if t.version != version || !t.assumed || !overdue || now.Sub(t.named) < assumedFor || now.Sub(t.named) >= i.params.Deadline {
+		if t.version != version || !t.ageUnknown || !overdue || now.Sub(t.namedAt) < overdueGrace || now.Sub(t.namedAt) >= i.params.Deadline {
 			continue
 		}
-		t.named = now.Add(-i.params.Deadline)
+		t.namedAt = now.Add(-i.params.Deadline)
 		i.log.Info("version overdue", "version", version)
-		i.wakeLocked()
+		i.notifyLocked()
 	}
 }
 
-// nameLocked takes a word of a named version; Installer.mu is held.
-func (i *Installer) nameLocked(model string, word target) {
+// addTargetLocked merges a report of a named version into the targets;
+// Installer.mu is held. Reports of another model are ignored.
+func (i *Installer) addTargetLocked(model string, reported target) {
 	if i.params.Model != "" && model != i.params.Model {
 		return
 	}
 	for at := range i.targets {
-		if t := &i.targets[at]; t.version == word.version && t.learn(word) {
-			i.wakeLocked()
+		if t := &i.targets[at]; t.version == reported.version && t.update(reported) {
+			i.notifyLocked()
 		}
 	}
-	if word.version <= i.newest().version {
+	if reported.version <= i.newestTarget().version {
 		return
 	}
-	i.targets = append(i.targets, word)
-	if len(i.targets) > keptTargets {
+	i.targets = append(i.targets, reported)
+	if len(i.targets) > maxTargets {
 		i.targets = i.targets[1:]
 	}
-	i.log.Info("version named", "model", model, "version", word.version, "age_unknown", word.named.IsZero() || word.assumed)
-	i.wakeLocked()
+	i.log.Info("version named", "model", model, "version", reported.version, "age_unknown", reported.namedAt.IsZero() || reported.ageUnknown)
+	i.notifyLocked()
 }
 
-// earlier is by how much two gateways' words of one naming differ without
-// saying anything: when they heard of it, and the way of their datagrams.
-const earlier = 100 * time.Millisecond
+// namingSkew is the tolerance within which two gateways' times of the same naming
+// count as equal.
+const namingSkew = 100 * time.Millisecond
 
-// learn takes another word of the same version, and reports whether that
-// changes anything: a known time goes before an assumed one, and the earlier
-// before the later.
-func (t *target) learn(word target) bool {
+// update merges another report of the same version into t and returns whether t
+// changed. A known time replaces an assumed one, and an earlier time a later one.
+func (t *target) update(reported target) bool {
 	switch {
-	case word.named.IsZero(), word.assumed && !t.named.IsZero():
+	case reported.namedAt.IsZero(), reported.ageUnknown && !t.namedAt.IsZero():
 		return false
-	case t.assumed:
-		// What was assumed is never earlier than the time itself.
-		t.assumed = false
-	case !t.named.IsZero() && word.named.After(t.named.Add(-earlier)):
+	case t.ageUnknown:
+		// The known time replaces the assumed one below, even if it is later.
+		t.ageUnknown = false
+	case !t.namedAt.IsZero() && reported.namedAt.After(t.namedAt.Add(-namingSkew)):
 		return false
 	}
-	t.named, t.assumed = word.named, word.assumed
+	t.namedAt, t.ageUnknown = reported.namedAt, reported.ageUnknown
 	return true
 }
 
-// newest is the version named last; versions begin at 1, which nobody
-// names. Installer.mu is held.
-func (i *Installer) newest() target {
+// newestTarget returns the version named last. Without one it is version 1, which
+// is never named. Installer.mu is held.
+func (i *Installer) newestTarget() target {
 	if len(i.targets) == 0 {
 		return target{version: 1}
 	}
 	return i.targets[len(i.targets)-1]
 }
 
-// wakeLocked wakes who waits for a change; Installer.mu is held.
-func (i *Installer) wakeLocked() {
-	close(i.change)
-	i.change = make(chan struct{})
+// notifyLocked wakes the goroutines that wait for a change; Installer.mu is held.
+func (i *Installer) notifyLocked() {
+	close(i.changed)
+	i.changed = make(chan struct{})
 }
 
-// State returns the engine's state and when it was heard.
+// State returns the last state that the engine reported and when it did.
 func (i *Installer) State() (EngineState, time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.state, i.heard
+	return i.engineState, i.engineStateAt
 }
 
-// Changing reports whether a newer version than the engine's is named.
+// UpdatePending reports whether the engine has a version loaded and a newer one
+// than its verified version is named.
 func (i *Installer) Changing() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.state.Version > 0 && i.holds() < i.newest().version
+	return i.engineState.Version > 0 && i.verifiedVersion() < i.newestTarget().version
 }
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -95,8 +95,8 @@
 	return Taken, nil
 }
 
-// holds lays a version ready and loads it.
-func (e *fakeEngine) holds(version int) {
+// load lays a version ready and loads it.
+func (e *fakeEngine) load(version int) {
 	for n := range testChunks {
 		e.stage[n] = chunkOf(version, n)
 	}
@@ -190,13 +190,13 @@
 	return c
 }
 
-func (c *cluster) name(version int) {
+func (c *cluster) announce(version int) {
 	for _, i := range c.installers {
 		i.Name(testModel, version, time.Now())
 	}
 }
 
-func (c *cluster) await(version int, among ...int) {
+func (c *cluster) awaitVersion(version int, among ...int) {
 	c.t.Helper()
 	if len(among) == 0 {
 		for k := range c.engines {
@@ -216,7 +216,7 @@
 	}
 }
 
-func (c *cluster) check() {
+func (c *cluster) checkLoads() {
 	c.t.Helper()
 	for k, e := range c.engines {
 		e.mu.Lock()
@@ -225,82 +225,82 @@
 	}
 }
 
-func holding(version int) func(int, *fakeEngine) {
-	return func(_ int, e *fakeEngine) { e.holds(version) }
+func engineLoadedWith(version int) func(int, *fakeEngine) {
+	return func(_ int, e *fakeEngine) { e.load(version) }
 }
 
 func TestNamedVersionReachesAll(t *testing.T) {
-	c := newCluster(t, 6, 3, 500*time.Millisecond, holding(1))
-	c.name(2)
-	c.await(2)
-	c.check()
+	c := newCluster(t, 6, 3, 500*time.Millisecond, engineLoadedWith(1))
+	c.announce(2)
+	c.awaitVersion(2)
+	c.checkLoads()
 	assert.Assert(t, c.origin.sent < testChunks*3, "the origin sent %d chunks for %d", c.origin.sent, testChunks)
 }
 
 func TestEmptyEngineIsFilledByPeers(t *testing.T) {
 	c := newCluster(t, 4, 1, 500*time.Millisecond, func(k int, e *fakeEngine) {
 		if k > 0 {
-			e.holds(1)
+			e.load(1)
 		}
 	})
-	c.await(1)
-	c.check()
+	c.awaitVersion(1)
+	c.checkLoads()
 	assert.Assert(t, c.origin.sent < testChunks, "the origin sent %d chunks", c.origin.sent)
 }
 
 func TestSpoiltChunksAreNotTaken(t *testing.T) {
-	c := newCluster(t, 3, 1, 300*time.Millisecond, holding(1))
+	c := newCluster(t, 3, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.spoil = func(sent int) bool { return sent%3 == 0 }
-	c.name(2)
-	c.await(2)
-	c.check()
+	c.announce(2)
+	c.awaitVersion(2)
+	c.checkLoads()
 }
 
 func TestSpoiltManifestIsFetchedAgain(t *testing.T) {
-	c := newCluster(t, 1, 1, 300*time.Millisecond, holding(1))
+	c := newCluster(t, 1, 1, 300*time.Millisecond, engineLoadedWith(1))
 	time.Sleep(50 * time.Millisecond)
 	c.origin.mu.Lock()
 	c.origin.badManifests = 1
 	c.origin.mu.Unlock()
-	c.name(2)
-	c.await(2)
-	c.check()
+	c.announce(2)
+	c.awaitVersion(2)
+	c.checkLoads()
 }
 
 // What lies beside the engine may turn bad until the very start.
 func TestRottenChunkIsLaidAgain(t *testing.T) {
-	c := newCluster(t, 1, 1, 900*time.Millisecond, holding(1))
-	c.name(2)
+	c := newCluster(t, 1, 1, 900*time.Millisecond, engineLoadedWith(1))
+	c.announce(2)
 	time.Sleep(100 * time.Millisecond)
 	e := c.engines[0]
 	e.mu.Lock()
 	e.stage[3] = []byte("rotten")
 	e.stage[4] = nil
 	e.mu.Unlock()
-	c.await(2)
-	c.check()
+	c.awaitVersion(2)
+	c.checkLoads()
 }
 
 func TestOriginDownForAWhile(t *testing.T) {
-	c := newCluster(t, 2, 1, 300*time.Millisecond, holding(1))
+	c := newCluster(t, 2, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.down = true
-	c.name(2)
+	c.announce(2)
 	time.Sleep(300 * time.Millisecond)
 	c.origin.mu.Lock()
 	c.origin.down = false
 	c.origin.mu.Unlock()
-	c.await(2)
-	c.check()
+	c.awaitVersion(2)
+	c.checkLoads()
 }
 
 func TestNewerVersionSupersedes(t *testing.T) {
-	c := newCluster(t, 4, 2, 600*time.Millisecond, holding(1))
+	c := newCluster(t, 4, 2, 600*time.Millisecond, engineLoadedWith(1))
 	c.origin.delay = 5 * time.Millisecond
-	c.name(2)
+	c.announce(2)
 	time.Sleep(20 * time.Millisecond)
-	c.name(3)
-	c.await(3)
-	c.check()
+	c.announce(3)
+	c.awaitVersion(3)
+	c.checkLoads()
 	for k, e := range c.engines {
 		e.mu.Lock()
 		for at := 1; at < len(e.started); at++ {
@@ -313,29 +313,29 @@
 // A box that dies amid a transfer does not keep the others from the
 // version.
 func TestPeerDies(t *testing.T) {
-	c := newCluster(t, 4, 1, 300*time.Millisecond, holding(1))
+	c := newCluster(t, 4, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.delay = 3 * time.Millisecond
-	c.name(2)
+	c.announce(2)
 	time.Sleep(15 * time.Millisecond)
 	c.cancels[0]()
-	c.await(2, 1, 2, 3)
-	c.check()
+	c.awaitVersion(2, 1, 2, 3)
+	c.checkLoads()
 }
 
 // An engine is drained before it changes its version, and what runs longer
 // is broken off rather than waited for.
 func TestDrainThenCut(t *testing.T) {
 	c := newCluster(t, 1, 1, 300*time.Millisecond, func(_ int, e *fakeEngine) {
-		e.holds(1)
+		e.load(1)
 		e.running = 3
 	})
-	c.name(2)
+	c.announce(2)
 	left := false
 	for began := time.Now(); time.Since(began) < 3*time.Second && !left; time.Sleep(5 * time.Millisecond) {
 		left = c.installers[0].Leaving()
 	}
 	assert.Assert(t, left)
-	c.await(2)
+	c.awaitVersion(2)
 	assert.Equal(t, c.engines[0].cut, 3)
 	for began := time.Now(); c.installers[0].Leaving(); time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 3*time.Second, "it takes nothing new any more")
@@ -350,7 +350,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	assert.Equal(t, len(i.targets), 1)
-	assert.Equal(t, i.newest().version, 3)
+	assert.Equal(t, i.newestTarget().version, 3)
 }
 
 // The earliest known time of a naming counts: an engine's turn is the same
@@ -360,11 +360,11 @@
 	now := time.Now()
 	i.Name(testModel, 2, time.Time{})
 	i.Name(testModel, 2, now)
-	assert.Equal(t, i.newest().named, now, "a known time replaces an unknown one")
+	assert.Equal(t, i.newestTarget().namedAt, now, "a known time replaces an unknown one")
 	i.Name(testModel, 2, now.Add(-time.Second))
-	i.Name(testModel, 2, now.Add(-earlier/2))
+	i.Name(testModel, 2, now.Add(-namingSkew/2))
 	i.Name(testModel, 2, time.Time{})
-	assert.Equal(t, i.newest().named, now.Add(-time.Second))
+	assert.Equal(t, i.newestTarget().namedAt, now.Add(-time.Second))
 	assert.Equal(t, len(i.targets), 1)
 }
 
@@ -376,11 +376,11 @@
 		held  uint          // chunks of it, or none opened if 0
 		want  int
 	}{
-		{"just named", slowStart / 2, 0, 0},
-		{"not even its manifest", slowStart + time.Second, 0, 2},
-		{"comes along", slowStart + time.Second, testChunks / 2, 0},
-		{"has come to a stop", slowStart + 2*time.Second, 1, 2},
-		{"whole", slowStart + 2*time.Second, testChunks, 3},
+		{"just named", firstChunksGrace / 2, 0, 0},
+		{"not even its manifest", firstChunksGrace + time.Second, 0, 2},
+		{"comes along", firstChunksGrace + time.Second, testChunks / 2, 0},
+		{"has come to a stop", firstChunksGrace + 2*time.Second, 1, 2},
+		{"whole", firstChunksGrace + 2*time.Second, testChunks, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const linkRate = testChunks * testBytes // a copy a second
@@ -394,18 +394,18 @@
 			for n := range uint(testChunks) {
 				older.held.Set(n)
 			}
-			i.copies = append(i.copies, older)
+			i.replicas = append(i.replicas, older)
 			if c.held > 0 {
 				newer := newReplica(manifestOf(3), "a")
 				for n := range c.held {
 					newer.held.Set(n)
 				}
-				i.copies = append(i.copies, newer)
+				i.replicas = append(i.replicas, newer)
 			}
-			s, _ := i.nextStart(now)
+			s, _ := i.nextUpdate(now)
 			got := 0
 			if s != nil {
-				got = s.copy.manifest.Version
+				got = s.replica.manifest.Version
 			}
 			assert.Equal(t, got, c.want)
 		})
--- a/installer/manifest.go
+++ b/installer/manifest.go
@@ -14,23 +14,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A manifest goes down a tree in each region: the boxes have an order that
-// follows from the version, its first box asks the origin, and each other
-// one its parent in a tree of manifestFan children a box. So the origin, which
-// accepts few connections, sends one a region and not one a box.
+// Manifests are distributed along a tree in each region: the boxes have an order
+// derived from the version, the first box asks the origin, and every other box
+// asks its ancestors in a tree of manifestFanOut children a box. So the origin,
+// which accepts few connections, sends one manifest a region and not one a box.
 const (
-	manifestFan = 3
-	// manifestHop is how long a box waits for its parent for each level above
-	// it: a call to the origin is some milliseconds, and a parent that stands
-	// still is passed over before a TakeOver's time is lost.
-	manifestHop = 250 * time.Millisecond
-	// manifestHold is how long a box that has no manifest yet lets its
-	// children wait, in hops: as deep as a tree of 120 boxes is.
-	manifestHold = 4
+	manifestFanOut = 3
+	// manifestHopTimeout is how long a box waits for an ancestor, times the
+	// ancestor's depth in the tree plus one. It is far above the duration of a call
+	// to the origin and below takeOverDelay, so that an unresponsive ancestor is
+	// skipped in time.
+	manifestHopTimeout = 250 * time.Millisecond
+	// manifestHoldHops is how long a box without the manifest holds a request for
+	// it, in multiples of manifestHopTimeout: the depth of a tree of 120 boxes.
+	manifestHoldHops = 4
 )
 
-// ancestors returns the boxes that self asks for the manifest of a version,
-// its parent first; the first box of the region has none.
+// ancestors returns the boxes that the box of s asks for the manifest of a
+// version, its parent first. It is empty for the root of the region and for a box
+// that is not listed.
 func ancestors(peers []Peer, s Settings, version int) []Peer {
 	var region []Peer
 	for _, p := range peers {
@@ -43,60 +45,61 @@
 	at := slices.IndexFunc(region, func(p Peer) bool { return p.Box == s.Box })
 	var out []Peer
 	for at > 0 {
-		at = (at - 1) / manifestFan
+		at = (at - 1) / manifestFanOut
 		out = append(out, region[at])
 	}
 	return out
 }
 
-// manifest asks the boxes above this one in the region's tree, then the
-// origin.
-func (i *Installer) manifest(ctx context.Context, w want) *Manifest {
-	above := ancestors(i.list(ctx), i.settings, w.version)
+// fetchManifest asks this box's ancestors in the region's tree for the manifest,
+// then the origin. It returns nil if none has a manifest of the expected length.
+func (i *Installer) fetchManifest(ctx context.Context, task fetchTask) *Manifest {
+	above := ancestors(i.listPeers(ctx), i.settings, task.version)
 	for at, p := range above {
-		wait := time.Duration(len(above)-at) * i.manifestHop
-		m, err := i.client.manifest(ctx, p, w.params.Model, w.version, wait)
-		if err == nil && len(m.Digests) == w.params.Chunks {
+		timeout := time.Duration(len(above)-at) * i.manifestHopTimeout
+		m, err := i.client.manifest(ctx, p, task.params.Model, task.version, timeout)
+		if err == nil && len(m.Digests) == task.params.Chunks {
 			return m
 		}
-		i.log.Info("manifest not had from a peer", "version", w.version, "peer", p.Box, "error", errorText(err))
+		i.log.Info("manifest fetch from peer failed", "version", task.version, "peer", p.Box, "error", errorText(err))
 	}
-	m, err := i.origin.Manifest(ctx, w.params.Model, w.version)
+	m, err := i.origin.Manifest(ctx, task.params.Model, task.version)
 	if err != nil {
-		i.log.Info("manifest not had", "version", w.version, "error", err.Error())
+		i.log.Info("manifest fetch from origin failed", "version", task.version, "error", err.Error())
 		return nil
 	}
-	if len(m.Digests) != w.params.Chunks {
-		i.log.Info("manifest does not fit", "version", w.version, "digests", len(m.Digests), "chunks", w.params.Chunks)
+	if len(m.Digests) != task.params.Chunks {
+		i.log.Info("manifest has the wrong number of digests", "version", task.version, "digests", len(m.Digests), "chunks", task.params.Chunks)
 		return nil
 	}
 	return m
 }
 
-// errorText is the text of an error for a log line; a manifest that came but
-// does not fit has none.
+// errorText returns the text of err for a log line. A nil error stands for a
+// manifest or chunk that was received but does not match.
 func errorText(err error) string {
 	if err == nil {
-		return "does not fit"
+		return "content mismatch"
 	}
 	return err.Error()
 }
 
-// serveManifest answers with a manifest, as soon as there is one.
+// serveManifest answers with a manifest. It holds the request until there is one,
+// for manifestHoldHops hops at most.
 func (i *Installer) serveManifest(w http.ResponseWriter, r *http.Request) {
-	hold := time.NewTimer(manifestHold * i.manifestHop)
+	hold := time.NewTimer(manifestHoldHops * i.manifestHopTimeout)
 	defer hold.Stop()
 	for {
 		i.mu.Lock()
-		change := i.change
+		changed := i.changed
 		i.mu.Unlock()
-		if found := i.replicaOf(r); found != nil {
+		if found := i.requestedReplica(r); found != nil {
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(found.manifest) // a peer that left asks again
+			_ = json.NewEncoder(w).Encode(found.manifest) // a peer whose connection broke asks again
 			return
 		}
 		select {
-		case <-change:
+		case <-changed:
 		case <-hold.C:
 			w.WriteHeader(http.StatusNotFound)
 			return
--- a/installer/obtain.go
+++ b/installer/obtain.go
@@ -18,121 +18,124 @@
 
 // Timing of an Installer.
 const (
-	// keepEvery is how often an idle installer looks whether it has what
-	// other sidecars may ask for.
-	keepEvery = time.Second
-	// retryPause is slept after a step that failed; between two tries to
-	// obtain a version it is longer by up to as much.
-	retryPause = 250 * time.Millisecond
-	// fetchRound bounds one look at the list of peers; after it the list is
-	// read again. It is longer by up to fetchRoundMore, so that not all boxes
-	// drop what they are pulling at the same moment.
-	fetchRound     = 6 * time.Second
-	fetchRoundMore = 4 * time.Second
-	// startWait is how long a start may take before it is ordered again.
-	startWait = 3 * time.Second
+	// idleInterval is how often Run and runUpdates look for work if no change
+	// wakes them.
+	idleInterval = time.Second
+	// retryDelay is the pause after a failed update. After a failed fetch it is
+	// longer by a random part of itself.
+	retryDelay = 250 * time.Millisecond
+	// fetchRoundTimeout bounds a fetch with one sidecar list; then the list is read
+	// again. Each round is longer by a random part of fetchRoundJitter, so that
+	// boxes do not abort their pulls in step.
+	fetchRoundTimeout = 6 * time.Second
+	fetchRoundJitter  = 4 * time.Second
+	// startTimeout is how long the engine may take to load the version of an
+	// accepted start.
+	startTimeout = 3 * time.Second
 )
 
-// Close closes connections to other sidecars that rest.
+// Close closes idle connections to other sidecars.
 func (i *Installer) Close() { i.client.client.CloseIdleConnections() }
 
-// job is the fetch of one version, under way.
+// job is a running fetchTask.
 type job struct {
-	want   want
+	task   fetchTask
 	cancel context.CancelFunc
 }
 
-// Run works until ctx ends. Each version that is wanted has a job of its own.
+// Run fetches and loads versions until ctx ends. Each fetchTask has a job of its
+// own, which is cancelled once the task is no longer listed.
 func (i *Installer) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
-	group.Go(func() { i.starts(ctx) })
+	group.Go(func() { i.runUpdates(ctx) })
 	jobs := make(map[int]job)
 	ended := make(chan int)
 	for ctx.Err() == nil {
-		wants, change := i.wanted()
+		tasks, changed := i.fetchTasks()
 		for version, j := range jobs {
-			if !slices.Contains(wants, j.want) {
+			if !slices.Contains(tasks, j.task) {
 				j.cancel()
 				delete(jobs, version)
 			}
 		}
-		for _, w := range wants {
-			if _, running := jobs[w.version]; !running {
-				jobs[w.version] = i.begin(ctx, w, ended)
+		for _, task := range tasks {
+			if _, running := jobs[task.version]; !running {
+				jobs[task.version] = i.startJob(ctx, task, ended)
 			}
 		}
 		select {
-		case <-change:
+		case <-changed:
 		case version := <-ended:
 			delete(jobs, version)
-		case <-time.After(keepEvery):
+		case <-time.After(idleInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// begin starts a job that sends its version to ended unless it is cancelled.
-func (i *Installer) begin(ctx context.Context, w want, ended chan<- int) job {
+// startJob starts a job, which sends its version to ended unless it is cancelled.
+func (i *Installer) startJob(ctx context.Context, task fetchTask, ended chan<- int) job {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		defer cancel()
-		if !i.obtain(ctx, w) {
-			clock.Sleep(ctx, retryPause+rand.N(retryPause))
+		if !i.obtain(ctx, task) {
+			clock.Sleep(ctx, retryDelay+rand.N(retryDelay))
 		}
 		select {
-		case ended <- w.version:
+		case ended <- task.version:
 		case <-ctx.Done():
 		}
 	}()
-	return job{want: w, cancel: cancel}
+	return job{task: task, cancel: cancel}
 }
 
-// want is a version to be fetched.
-type want struct {
+// fetchTask is a version to be fetched.
+type fetchTask struct {
 	params  Params
 	version int
-	// only says that the engine has the version: what lies ready is kept for
-	// others, and nothing is fetched.
-	only bool
+	// stagedOnly is set if the engine has the version loaded: the staged chunks are
+	// read into a replica for other sidecars, and nothing is fetched.
+	stagedOnly bool
 }
 
-// nearlyWhole is the share of an older version's chunks that must be within
-// reach, here or at other sidecars, for it to be fetched to its end where the
-// ages of the versions are not known.
-const nearlyWhole = 0.6
+// finishOlderShare is the share of an older version's chunks that must be within
+// reach, here or at other sidecars, for its fetch to be finished if the ages of
+// the versions are unknown.
+const finishOlderShare = 0.6
 
-// wanted returns what is to be fetched now, the older version first.
-func (i *Installer) wanted() ([]want, <-chan struct{}) {
+// fetchTasks returns what is to be fetched now, older versions before the newest,
+// and a channel that is closed when the state changes.
+func (i *Installer) fetchTasks() ([]fetchTask, <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.params.Chunks == 0 || i.heard.IsZero() {
-		return nil, i.change
+	if i.params.Chunks == 0 || i.engineStateAt.IsZero() {
+		return nil, i.changed
 	}
-	var out []want
+	var out []fetchTask
 	now := clock.Now()
 	for _, t := range i.targets {
-		if i.completes(t, now) {
-			out = append(out, want{params: i.params, version: t.version})
+		if i.finishesOlder(t, now) {
+			out = append(out, fetchTask{params: i.params, version: t.version})
 		}
 	}
-	newest := want{params: i.params, version: i.newest().version}
-	newest.only = i.holds() >= newest.version
-	if r := i.copyOf(newest.version); r == nil || !newest.only && !r.whole() {
+	newest := fetchTask{params: i.params, version: i.newestTarget().version}
+	newest.stagedOnly = i.verifiedVersion() >= newest.version
+	if r := i.replicaLocked(newest.version); r == nil || !newest.stagedOnly && !r.complete() {
 		out = append(out, newest)
 	}
-	if version := i.detour(); version > 0 {
-		out = append(out, want{params: i.params, version: version})
+	if version := i.intermediateVersion(); version > 0 {
+		out = append(out, fetchTask{params: i.params, version: version})
 	}
-	return out, i.change
+	return out, i.changed
 }
 
-// whole reports whether all chunks are held; Installer.mu is held.
-func (r *replica) whole() bool { return int(r.held.Count()) == len(r.chunks) }
+// complete reports whether all chunks are held; Installer.mu is held.
+func (r *replica) complete() bool { return int(r.held.Count()) == len(r.chunks) }
 
-// copyOf returns the copy of a version, or nil; Installer.mu is held.
-func (i *Installer) copyOf(version int) *replica {
-	for _, r := range i.copies {
+// replicaLocked returns the replica of a version, or nil; Installer.mu is held.
+func (i *Installer) replicaLocked(version int) *replica {
+	for _, r := range i.replicas {
 		if r.manifest.Version == version {
 			return r
 		}
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// reachable counts the chunks that are held here or known to be held by other
+// reachable returns how many chunks are held here or known to be held by other
 // sidecars; Installer.mu is held.
 func (r *replica) reachable() int {
 	if r.swarm == nil {
@@ -149,73 +152,76 @@
 	return r.swarm.Reachable()
 }
 
-// obtain fetches w until it is whole; it returns false if that failed.
-func (i *Installer) obtain(ctx context.Context, w want) bool {
-	r := i.open(ctx, w)
+// obtain fetches the version of task until its replica is complete, in as many
+// rounds as that takes. It returns false if there is no manifest, the replica was
+// dropped or ctx ended.
+func (i *Installer) obtain(ctx context.Context, task fetchTask) bool {
+	r := i.openReplica(ctx, task)
 	if r == nil {
 		return false
 	}
-	if w.only {
+	if task.stagedOnly {
 		return true
 	}
-	for !i.fetch(ctx, w, r) {
-		if ctx.Err() != nil || i.copyGone(r) {
+	for !i.fetch(ctx, task, r) {
+		if ctx.Err() != nil || i.replicaDropped(r) {
 			return false
 		}
 	}
 	i.mu.Lock()
-	i.wakeLocked()
+	i.notifyLocked()
 	i.mu.Unlock()
 	return true
 }
 
-// copyGone reports whether r was dropped.
-func (i *Installer) copyGone(r *replica) bool {
+// replicaDropped reports whether r is no longer among the replicas.
+func (i *Installer) replicaDropped(r *replica) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return !slices.Contains(i.copies, r)
+	return !slices.Contains(i.replicas, r)
 }
 
-// replica returns the copy of a version, or nil.
+// replica returns the replica of a version, or nil. It takes Installer.mu.
 func (i *Installer) replica(version int) *replica {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.copyOf(version)
+	return i.replicaLocked(version)
 }
 
-// open returns the copy of w's version, with what lies ready beside the
-// engine already.
-func (i *Installer) open(ctx context.Context, w want) *replica {
-	if r := i.replica(w.version); r != nil {
+// openReplica returns the replica of the task's version. A new one starts with
+// the matching chunks that are staged beside the engine. It returns nil if there
+// is no manifest.
+func (i *Installer) openReplica(ctx context.Context, task fetchTask) *replica {
+	if r := i.replica(task.version); r != nil {
 		return r
 	}
-	m := i.manifest(ctx, w)
+	m := i.fetchManifest(ctx, task)
 	if m == nil {
 		return nil
 	}
 	r := newReplica(m, i.settings.Box)
 	i.readStage(ctx, r)
-	if r.whole() {
-		r.wholeAt = clock.Now()
+	if r.complete() {
+		r.completedAt = clock.Now()
 	}
-	i.log.Info("copy opened", "version", w.version, "held", r.held.Count(), "chunks", len(r.chunks))
+	i.log.Info("replica opened", "version", task.version, "held", r.held.Count(), "chunks", len(r.chunks))
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	defer i.wakeLocked() // others wait for the manifest
-	i.copies = append(i.copies, r)
-	if len(i.copies) > keptCopies {
-		i.copies = slices.Delete(i.copies, 0, len(i.copies)-keptCopies)
+	defer i.notifyLocked() // serveManifest holds requests for the manifest
+	i.replicas = append(i.replicas, r)
+	if len(i.replicas) > maxReplicas {
+		i.replicas = slices.Delete(i.replicas, 0, len(i.replicas)-maxReplicas)
 	}
 	return r
 }
 
-// newReplica returns an empty copy at box.
+// newReplica returns an empty replica at box.
 func newReplica(m *Manifest, box string) *replica {
 	return &replica{
-		manifest: m,
-		chunks:   make([][]byte, len(m.Digests)),
-		held:     bitset.New(uint(len(m.Digests))),
-		arrived:  make(chan struct{}),
-		picker:   transfer.NewPicker(len(m.Digests), xxhash.Sum64String(box)),
+		manifest:     m,
+		chunks:       make([][]byte, len(m.Digests)),
+		held:         bitset.New(uint(len(m.Digests))),
+		chunkArrived: make(chan struct{}),
+		picker:       transfer.NewPicker(len(m.Digests), xxhash.Sum64String(box)),
 	}
 }
--- a/installer/order.go
+++ b/installer/order.go
@@ -4,85 +4,88 @@
 
 import "time"
 
-// arriveTime is how long after a version's last chunk has left the origin its
-// engines serve it: 0.9 s until the boxes hold it whole, over links that need
-// 2.2 s for a copy, and 0.4 s until an engine has taken it.
-const arriveTime = 1300 * time.Millisecond
+// serveDelay is the estimated time from when a version's last chunk has left the
+// origin until engines serve the version: 0.9 s until the boxes hold it completely,
+// over links that need 2.2 s for a copy, and 0.4 s for the load.
+const serveDelay = 1300 * time.Millisecond
 
-// rest is what is left to do for a version.
-type rest struct {
-	// send is how long the origin sends what no box within reach holds.
-	send time.Duration
-	// due is when gateways leave engines with older versions.
+// remainingWork is what is left to do until a version can be served.
+type remainingWork struct {
+	// originTime is how long the origin takes to send the chunks that no box
+	// within reach holds.
+	originTime time.Duration
+	// due is when gateways stop routing to engines with older versions; zero if
+	// unknown.
 	due time.Time
 }
 
-// outlook is what an order of two versions leads to.
-type outlook struct {
-	// gap is for how long no version may be served that engines hold, and
-	// slack the least time by which one comes ahead of a deadline.
+// forecast is the estimated result of a fetch order of two versions.
+type forecast struct {
+	// gap is how long gateways route to no version that engines have loaded. slack
+	// is the least time by which a version is served before it is due; it is
+	// negative if one is late.
 	gap, slack time.Duration
 }
 
-// better reports whether o serves callers better than other: without a gap, or
-// with a shorter one, and otherwise with more time left for what goes wrong.
-func (o outlook) better(other outlook) bool {
+// better reports whether o has a shorter gap than other or, with the same gap,
+// more slack.
+func (o forecast) better(other forecast) bool {
 	if o.gap != other.gap {
 		return o.gap < other.gap
 	}
 	return o.slack > other.slack
 }
 
-// olderFirst is the outlook if the origin sends the rest of an older version
-// before the newer one.
-func olderFirst(older, newer rest, now time.Time) outlook {
-	served := now.Add(older.send + arriveTime)
-	next := served.Add(newer.send)
+// forecastOlderFirst returns the forecast if the origin sends the rest of the
+// older version before the newer one.
+func forecastOlderFirst(older, newer remainingWork, now time.Time) forecast {
+	served := now.Add(older.originTime + serveDelay)
+	next := served.Add(newer.originTime)
 	useful := max(newer.due.Sub(older.due), 0)
-	return outlook{
+	return forecast{
 		gap:   min(max(served.Sub(older.due), 0), useful) + max(next.Sub(newer.due), 0),
 		slack: min(older.due.Sub(served), newer.due.Sub(next)),
 	}
 }
 
-// newerOnly is the outlook if the older version is dropped.
-func newerOnly(older, newer rest, now time.Time) outlook {
-	slack := older.due.Sub(now.Add(newer.send + arriveTime))
-	return outlook{gap: max(-slack, 0), slack: slack}
+// forecastNewerOnly returns the forecast if the fetch of the older version is
+// abandoned.
+func forecastNewerOnly(older, newer remainingWork, now time.Time) forecast {
+	slack := older.due.Sub(now.Add(newer.originTime + serveDelay))
+	return forecast{gap: max(-slack, 0), slack: slack}
 }
 
-// rest is what is left to do for t; Installer.mu is held.
-func (i *Installer) rest(t target) rest {
-	lacking := i.params.Chunks
-	if r := i.copyOf(t.version); r != nil {
-		lacking -= r.reachable()
+// remainingWork returns what is left to do for t; Installer.mu is held.
+func (i *Installer) remainingWork(t target) remainingWork {
+	missing := i.params.Chunks
+	if r := i.replicaLocked(t.version); r != nil {
+		missing -= r.reachable()
 	}
-	return rest{send: time.Duration(lacking) * chunkTurn(i.params), due: i.due(t)}
+	return remainingWork{originTime: time.Duration(missing) * chunkInterval(i.params), due: i.routingCutoff(t)}
 }
 
-// completes reports whether t, a version older than the newest, is fetched to
-// its end ahead of it. The newer one supersedes it, but when the origin goes
-// away between two versions, or is slow, the older one bridges the time until
-// the newer can be served; where both come in time it leaves more time for what
-// goes wrong. Installer.mu is held.
-func (i *Installer) completes(t target, now time.Time) bool {
-	newest := i.newest()
-	r := i.copyOf(t.version)
-	if t.version >= newest.version || t.version <= i.holds() || r == nil || r.whole() {
+// finishesOlder reports whether the fetch of t, a version older than the newest,
+// is finished first. The newest version supersedes t, but if the origin is slow or
+// was unavailable, t can be served until the newest is complete; if both are in
+// time, finishing t first may leave more slack. Installer.mu is held.
+func (i *Installer) finishesOlder(t target, now time.Time) bool {
+	newest := i.newestTarget()
+	r := i.replicaLocked(t.version)
+	if t.version >= newest.version || t.version <= i.verifiedVersion() || r == nil || r.complete() {
 		return false
 	}
-	if n := i.copyOf(newest.version); n != nil && n.whole() {
+	if n := i.replicaLocked(newest.version); n != nil && n.complete() {
 		return false
 	}
-	older, newer := i.rest(t), i.rest(newest)
+	older, newer := i.remainingWork(t), i.remainingWork(newest)
 	if older.due.IsZero() || newer.due.IsZero() {
-		return float64(r.reachable()) >= nearlyWhole*float64(len(r.chunks))
+		return float64(r.reachable()) >= finishOlderShare*float64(len(r.chunks))
 	}
 	if !now.Before(newer.due) {
 		return false
 	}
-	if i.holds() == 0 {
-		older.due = now // an empty engine waits for either
+	if i.verifiedVersion() == 0 {
+		older.due = now // the engine serves nothing: either version is needed now
 	}
-	return olderFirst(older, newer, now).better(newerOnly(older, newer, now))
+	return forecastOlderFirst(older, newer, now).better(forecastNewerOnly(older, newer, now))
 }
--- a/installer/pace.go
+++ b/installer/pace.go
@@ -10,27 +10,27 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of pacing. A transfer that fills a box's link delays the answers
-// that the engine sends over it, so transfers leave a part of it free.
+// Limits of pacing. A transfer that saturates a box's link delays the answers that
+// the engine sends over it, so transfers leave a share of the link free.
 const (
 	linkShare = 0.88
-	// paceStep is how much is sent at once, in bytes.
+	// paceStep is the number of bytes sent or read at once.
 	paceStep = 4 << 10
 )
 
 // pacer keeps transfers in one direction below the rate of the box's link.
 type pacer struct{ limiter *rate.Limiter }
 
-// newPacer returns a pacer for a link of so many bytes a second; zero is no
-// bound.
-func newPacer(link float64) *pacer {
-	if link <= 0 {
+// newPacer returns a pacer for a link of the given rate in bytes a second; 0 means
+// unlimited.
+func newPacer(linkRate float64) *pacer {
+	if linkRate <= 0 {
 		return &pacer{limiter: rate.NewLimiter(rate.Inf, paceStep)}
 	}
-	return &pacer{limiter: rate.NewLimiter(rate.Limit(linkShare*link), paceStep)}
+	return &pacer{limiter: rate.NewLimiter(rate.Limit(linkShare*linkRate), paceStep)}
 }
 
-// write sends data in steps.
+// write sends data at the pacer's rate and flushes after each step.
 func (p *pacer) write(ctx context.Context, w http.ResponseWriter, data []byte) error {
 	control := http.NewResponseController(w)
 	for len(data) > 0 {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// pacedReader reads in steps.
+// pacedReader reads from another reader at the rate of a pacer.
 type pacedReader struct {
 	ctx   context.Context
 	from  io.Reader
@@ -60,8 +60,8 @@
 func (r *pacedReader) Read(b []byte) (int, error) {
 	n, err := r.from.Read(b[:min(len(b), paceStep)])
 	if n > 0 {
-		if wait := r.pacer.limiter.WaitN(r.ctx, n); wait != nil && err == nil {
-			err = wait
+		if waitErr := r.pacer.limiter.WaitN(r.ctx, n); waitErr != nil && err == nil {
+			err = waitErr
 		}
 	}
 	return n, err
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -21,57 +21,59 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// Errors of a pull from another sidecar.
+// Errors of calls to another sidecar.
 const (
-	errNothing = errors.ConstError("peer has nothing of use")
-	errBusy    = errors.ConstError("peer is busy")
-	errTaken   = errors.ConstError("chunk is held or on its way already")
-	errNotHeld = errors.ConstError("peer has no copy of the version")
+	errNoUsefulChunk  = errors.ConstError("peer has no chunk that is missing here")
+	errBusy           = errors.ConstError("peer is busy")
+	errChunkNotNeeded = errors.ConstError("chunk is already held or in flight")
+	errNoReplica      = errors.ConstError("peer has no replica of the version")
 )
 
-// Paths between sidecars: model and version follow.
+// URL path patterns of calls between sidecars.
 const (
 	pathPull     = "/weights/{model}/{version}/pull"
 	pathHeld     = "/weights/{model}/{version}/held"
 	pathManifest = "/weights/{model}/{version}/manifest"
 )
 
-func pathOf(model string, version int, call string) string {
+// weightsPath returns the URL path of a call between sidecars.
+func weightsPath(model string, version int, call string) string {
 	return fmt.Sprintf("/weights/%s/%d/%s", model, version, call)
 }
 
-// Bounds of calls between sidecars.
+// Limits of calls between sidecars.
 const (
-	peerDial      = 400 * time.Millisecond
-	peerIdle      = 5 * time.Second
-	heldTimeout   = 200 * time.Millisecond
-	maxManifest   = 4 << 20
-	maxChunkBytes = 16 << 20
-	// uploadsWaiting may wait for one of uploadsAtOnce.
-	uploadsWaiting = 3
-	// uploadsAtOnce bounds the chunks that are sent at once, for the same
-	// reason as pullsAtOnce.
-	uploadsAtOnce = 3
+	peerDialTimeout  = 400 * time.Millisecond
+	peerIdleTimeout  = 5 * time.Second
+	heldTimeout      = 200 * time.Millisecond
+	maxManifestBytes = 4 << 20
+	maxChunkBytes    = 16 << 20
+	// maxQueuedUploads is how many pulls may wait for one of maxUploads slots.
+	maxQueuedUploads = 3
+	// maxUploads bounds concurrent uploads, for the same reason as maxPulls.
+	maxUploads = 3
 )
 
 // peerClient calls other sidecars.
 type peerClient struct {
 	client *http.Client
-	down   *pacer
+	// pacer limits the rate at which chunks are received.
+	pacer *pacer
 }
 
 func newPeerClient(down *pacer) *peerClient {
-	dialer := tcpconn.Dialer(peerDial, tcpconn.ProbeLater)
-	return &peerClient{down: down, client: &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, IdleConnTimeout: peerIdle, MaxIdleConnsPerHost: 2, DisableCompression: true,
+	dialer := tcpconn.Dialer(peerDialTimeout, tcpconn.ProbeLater)
+	return &peerClient{pacer: down, client: &http.Client{Transport: &http.Transport{
+		DialContext: dialer.DialContext, IdleConnTimeout: peerIdleTimeout, MaxIdleConnsPerHost: 2, DisableCompression: true,
 	}}}
 }
 
-// manifest asks a peer for a version's digests; it may wait until it has them.
-func (c *peerClient) manifest(ctx context.Context, p Peer, model string, version int, wait time.Duration) (*Manifest, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// manifest fetches a version's manifest from a peer, which may hold the request
+// until it has one.
+func (c *peerClient) manifest(ctx context.Context, p Peer, model string, version int, timeout time.Duration) (*Manifest, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	body, _, err := c.get(ctx, p.Address, pathOf(model, version, "manifest"))
+	body, _, err := c.get(ctx, p.Address, weightsPath(model, version, "manifest"))
 	if err != nil {
 		return nil, err
 	}
@@ -85,6 +87,8 @@
 	return &m, nil
 }
 
+// get sends a GET request and returns the body and the header of the answer. The
+// header is returned with errNoReplica, too.
 func (c *peerClient) get(ctx context.Context, address, path string) ([]byte, http.Header, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -95,7 +99,7 @@
 		return nil, nil, errors.Trace(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxManifest))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxManifestBytes))
 	if err != nil {
 		return nil, nil, errors.Trace(err)
 	}
@@ -103,78 +107,79 @@
 	case http.StatusOK:
 		return body, response.Header, nil
 	case http.StatusNotFound:
-		return nil, response.Header, errNotHeld
+		return nil, response.Header, errNoReplica
 	default:
 		return nil, nil, errors.Errorf("%s: status %d", path, response.StatusCode)
 	}
 }
 
-// held asks a peer what it holds of a version; one without a copy holds
-// nothing.
+// held asks a peer which chunks of a version it holds. A peer without a replica
+// holds none.
 func (c *peerClient) held(ctx context.Context, address string, m *Manifest) (transfer.Knowledge, error) {
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
 	defer cancel()
-	_, header, err := c.get(ctx, address, pathOf(m.Model, m.Version, "held"))
-	if err != nil && !errors.Is(err, errNotHeld) {
+	_, header, err := c.get(ctx, address, weightsPath(m.Model, m.Version, "held"))
+	if err != nil && !errors.Is(err, errNoReplica) {
 		return transfer.Knowledge{}, err
 	}
 	return peer.KnowledgeOf(header, len(m.Digests)), nil
 }
 
-// pull asks a peer for a chunk, or for any if chunk is -1. offered is asked
-// whether the chunk is still wanted before its bytes are read. The answer may
-// take first to begin, and stop for limit.
-func (c *peerClient) pull(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, first, limit time.Duration, offered func(int) bool) (transfer.Knowledge, []byte, error) {
-	ctx, guard := stall.New(ctx, first, limit)
+// pull requests a chunk from a peer, or any chunk that is not in has if chunk is
+// -1. accept is called with the number of the offered chunk before its bytes are
+// read; if it returns false, pull returns errChunkNotNeeded. pull returns
+// stall.Err if no byte arrives within firstByteTimeout, or later for stallTimeout.
+func (c *peerClient) pull(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, firstByteTimeout, stallTimeout time.Duration, accept func(int) bool) (transfer.Knowledge, []byte, error) {
+	ctx, guard := stall.New(ctx, firstByteTimeout, stallTimeout)
 	defer guard.Stop()
-	know, data, err := c.pullOnce(ctx, address, self, m, chunk, has, offered, guard)
-	return know, data, stall.Cause(ctx, err)
+	availability, data, err := c.pullOnce(ctx, address, self, m, chunk, has, accept, guard)
+	return availability, data, stall.Cause(ctx, err)
 }
 
-func (c *peerClient) pullOnce(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, offered func(int) bool, guard *stall.Guard) (transfer.Knowledge, []byte, error) {
-	var know transfer.Knowledge
+func (c *peerClient) pullOnce(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, accept func(int) bool, guard *stall.Guard) (transfer.Knowledge, []byte, error) {
+	var availability transfer.Knowledge
 	body, err := json.Marshal(peer.PullRequest{Box: self, Chunk: chunk, Has: peer.EncodeBits(has)})
 	if err != nil {
-		return know, nil, errors.Trace(err)
+		return availability, nil, errors.Trace(err)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+pathOf(m.Model, m.Version, "pull"), bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+weightsPath(m.Model, m.Version, "pull"), bytes.NewReader(body))
 	if err != nil {
-		return know, nil, errors.Trace(err)
+		return availability, nil, errors.Trace(err)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return know, nil, errors.Trace(err)
+		return availability, nil, errors.Trace(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	know = peer.KnowledgeOf(response.Header, len(m.Digests))
+	availability = peer.KnowledgeOf(response.Header, len(m.Digests))
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNoContent, http.StatusNotFound:
-		return know, nil, errNothing
+		return availability, nil, errNoUsefulChunk
 	case http.StatusTooManyRequests:
-		return know, nil, errBusy
+		return availability, nil, errBusy
 	default:
-		return know, nil, errors.Errorf("pull: status %d", response.StatusCode)
+		return availability, nil, errors.Errorf("pull: status %d", response.StatusCode)
 	}
 	number, err := strconv.Atoi(response.Header.Get(peer.HeaderChunk))
 	if err != nil {
-		return know, nil, errors.Annotate(err, "answer names no chunk")
+		return availability, nil, errors.Annotate(err, "invalid chunk number in pull response")
 	}
-	if !offered(number) {
-		return know, nil, errTaken
+	if !accept(number) {
+		return availability, nil, errChunkNotNeeded
 	}
-	paced := &pacedReader{ctx: ctx, from: guard.Reader(response.Body), pacer: c.down}
+	paced := &pacedReader{ctx: ctx, from: guard.Reader(response.Body), pacer: c.pacer}
 	data, err := io.ReadAll(io.LimitReader(paced, maxChunkBytes))
-	return know, data, err
+	return availability, data, err
 }
 
-// Handler serves other sidecars.
+// Handler returns the HTTP handler for the calls of other sidecars.
 func (i *Installer) Handler() http.Handler {
 	u := &uploads{
-		installer: i,
-		slots:     make(chan struct{}, uploadsAtOnce),
-		waiting:   make(chan struct{}, uploadsAtOnce+uploadsWaiting),
-		holding:   make(chan struct{}, chunksHeldFor),
+		installer:    i,
+		slots:        make(chan struct{}, maxUploads),
+		queue:        make(chan struct{}, maxUploads+maxQueuedUploads),
+		chunkWaiters: make(chan struct{}, maxChunkWaiters),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathManifest, i.serveManifest)
@@ -183,7 +188,9 @@
 	return mux
 }
 
-func (i *Installer) replicaOf(r *http.Request) *replica {
+// requestedReplica returns the replica of the model and version in the path of r,
+// or nil.
+func (i *Installer) requestedReplica(r *http.Request) *replica {
 	version, err := strconv.Atoi(r.PathValue("version"))
 	if err != nil {
 		return nil
@@ -195,15 +202,16 @@
 	return found
 }
 
+// serveHeld answers with the chunks held, in the headers of package peer.
 func (i *Installer) serveHeld(w http.ResponseWriter, r *http.Request) {
-	found := i.replicaOf(r)
+	found := i.requestedReplica(r)
 	if found == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	i.mu.Lock()
-	know := found.knowledge()
+	availability := found.availability()
 	i.mu.Unlock()
-	peer.SetKnowledge(w.Header(), know)
+	peer.SetKnowledge(w.Header(), availability)
 	w.WriteHeader(http.StatusOK)
 }
--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -20,8 +20,8 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// narrowOrigin resets calls beyond the connections that it accepts.
-type narrowOrigin struct {
+// limitedOrigin resets calls beyond the connections that it accepts.
+type limitedOrigin struct {
 	*fakeOrigin
 	connections int64
 	open        atomic.Int64
@@ -30,7 +30,7 @@
 }
 
 // accept counts a connection; it fails beyond the bound.
-func (o *narrowOrigin) accept() error {
+func (o *limitedOrigin) accept() error {
 	if o.open.Add(1) > o.connections {
 		o.resets.Add(1)
 		return errors.New("connection reset")
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (o *narrowOrigin) Manifest(ctx context.Context, model string, version int) (*Manifest, error) {
+func (o *limitedOrigin) Manifest(ctx context.Context, model string, version int) (*Manifest, error) {
 	defer o.open.Add(-1)
 	if err := o.accept(); err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 	return o.fakeOrigin.Manifest(ctx, model, version)
 }
 
-func (o *narrowOrigin) Chunk(ctx context.Context, model string, version, n int) ([]byte, error) {
+func (o *limitedOrigin) Chunk(ctx context.Context, model string, version, n int) ([]byte, error) {
 	defer o.open.Add(-1)
 	if err := o.accept(); err != nil {
 		return nil, err
@@ -62,20 +62,20 @@
 // many chunks the origin sends is held on virtual time (linksim).
 func TestFleetBeginsWithoutAHerd(t *testing.T) {
 	const boxes, regions = 60, 5
-	origin := &narrowOrigin{fakeOrigin: &fakeOrigin{delay: 2 * time.Millisecond}, connections: 24}
+	origin := &limitedOrigin{fakeOrigin: &fakeOrigin{delay: 2 * time.Millisecond}, connections: 24}
 	var held, lists atomic.Int64
 	var peers []Peer
 	var installers []*Installer
 	var engines []*fakeEngine
 	for k := range boxes {
 		e := &fakeEngine{}
-		e.holds(1)
+		e.load(1)
 		region := fmt.Sprint("r", k%regions)
 		i := New(Settings{Box: fmt.Sprint("box", k), Region: region, Zone: region}, e, origin, func(context.Context) ([]Peer, error) {
 			lists.Add(1)
 			return peers, nil
 		}, logr.Discard(), telemetry.NewMetrics())
-		i.manifestHop = time.Minute
+		i.manifestHopTimeout = time.Minute
 		handler := i.Handler()
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/held") {
@@ -103,7 +103,7 @@
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		whole := 0
 		for _, i := range installers {
-			if r := i.replica(2); r != nil && i.complete(r) {
+			if r := i.replica(2); r != nil && i.isComplete(r) {
 				whole++
 			}
 		}
@@ -138,7 +138,7 @@
 	}
 	assert.Equal(t, roots, 2, "one box a region asks the origin")
 	for box, n := range children {
-		assert.Assert(t, n <= manifestFan, "%d boxes ask %s", n, box)
+		assert.Assert(t, n <= manifestFanOut, "%d boxes ask %s", n, box)
 	}
 	assert.Equal(t, len(ancestors(peers, Settings{Box: "unlisted", Region: "r0"}, 2)), 0)
 }
@@ -162,7 +162,7 @@
 	for _, p := range peers {
 		i := New(Settings{Box: p.Box, Region: p.Region}, &fakeEngine{}, origin, func(context.Context) ([]Peer, error) { return peers, nil }, logr.Discard(), telemetry.NewMetrics())
 		began := time.Now()
-		m := i.manifest(context.Background(), want{params: Params{Model: testModel, Chunks: testChunks}, version: 2})
+		m := i.fetchManifest(context.Background(), fetchTask{params: Params{Model: testModel, Chunks: testChunks}, version: 2})
 		assert.Assert(t, m != nil)
 		assert.DeepEqual(t, m, manifestOf(2))
 		assert.Assert(t, time.Since(began) < 10*time.Second)
@@ -174,7 +174,7 @@
 func TestPullWaitsForAChunk(t *testing.T) {
 	i := New(Settings{Box: "a"}, &fakeEngine{}, &fakeOrigin{}, nil, logr.Discard(), telemetry.NewMetrics())
 	r := newReplica(manifestOf(2), "a")
-	i.copies = append(i.copies, r)
+	i.replicas = append(i.replicas, r)
 	s := httptest.NewServer(i.Handler())
 	t.Cleanup(s.Close)
 	client := newPeerClient(newPacer(0))
@@ -187,9 +187,9 @@
 		data []byte
 		err  error
 	}
-	const waiting = uploadsAtOnce + uploadsWaiting + 2
+	const waiting = maxUploads + maxQueuedUploads + 2
 	_, err := pull(-1)
-	assert.ErrorIs(t, err, errNothing)
+	assert.ErrorIs(t, err, errNoUsefulChunk)
 	answers := make(chan answer, waiting)
 	for range waiting {
 		go func() {
@@ -197,8 +197,8 @@
 			answers <- answer{data, err}
 		}()
 	}
-	time.Sleep(chunkHold / 10)
-	assert.NilError(t, i.take(r, transfer.Pull{Chunk: 5}, chunkOf(2, 5)))
+	time.Sleep(chunkWaitTimeout / 10)
+	assert.NilError(t, i.storeChunk(r, transfer.Pull{Chunk: 5}, chunkOf(2, 5)))
 	served := 0
 	for range waiting {
 		a := <-answers
@@ -209,5 +209,5 @@
 	}
 	assert.Assert(t, served > 0, "no pull of %d got the chunk", waiting)
 	_, err = pull(6)
-	assert.ErrorIs(t, err, errNothing)
+	assert.ErrorIs(t, err, errNoUsefulChunk)
 }
--- a/installer/stage_test.go
+++ b/installer/stage_test.go
@@ -15,15 +15,15 @@
 
 // A sidecar that is killed amid a fetch begins again with what it had.
 func TestChunksOutlastTheSidecar(t *testing.T) {
-	c := newCluster(t, 1, 1, 20*time.Second, holding(1))
+	c := newCluster(t, 1, 1, 20*time.Second, engineLoadedWith(1))
 	c.origin.delay = 2 * time.Millisecond
-	c.name(2)
+	c.announce(2)
 	laid := func() int {
 		c.engines[0].mu.Lock()
 		defer c.engines[0].mu.Unlock()
 		n := 0
 		for at, data := range c.engines[0].stage {
-			if manifestOf(2).Fits(at, data) {
+			if manifestOf(2).ChunkMatches(at, data) {
 				n++
 			}
 		}
@@ -43,13 +43,13 @@
 // not overwrite it.
 func TestFullerCopyLiesReady(t *testing.T) {
 	now := time.Now()
-	i := decided([]target{{version: 2, named: now}, {version: 3, named: now}}, 2)
+	i := newLoadedInstaller([]target{{version: 2, namedAt: now}, {version: 3, namedAt: now}}, 2)
 	newer := newReplica(manifestOf(3), "box0")
 	newer.held.Set(0)
-	i.copies = append(i.copies, newer)
-	assert.Assert(t, i.laysEarly(i.copies[0]))
-	assert.Assert(t, !i.laysEarly(newer))
-	i.state.Version = 2
-	assert.Assert(t, !i.laysEarly(i.copies[0]), "the engine has it")
-	assert.Assert(t, i.laysEarly(newer))
+	i.replicas = append(i.replicas, newer)
+	assert.Assert(t, i.shouldStage(i.replicas[0]))
+	assert.Assert(t, !i.shouldStage(newer))
+	i.engineState.Version = 2
+	assert.Assert(t, !i.shouldStage(i.replicas[0]), "the engine has it")
+	assert.Assert(t, i.shouldStage(newer))
 }
--- a/installer/start.go
+++ b/installer/start.go
@@ -13,154 +13,161 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Turns of a rollout: not all engines change at once, so that the others serve
-// meanwhile. The first turn is when this box's copy is whole, but not before
-// firstTurn, a share of the version's deadline; the last is turnMargin, or
-// turnMarginShare of a short deadline, before it. A drain begins there, after
-// which the engine starts no request on its old version.
+// Slots of a rollout: every engine is updated in a slot of its own, so that the
+// others serve meanwhile. The first slot is when this box's replica is complete,
+// but not before firstSlotShare of the version's deadline; the last is
+// lastSlotMargin before the deadline, or lastSlotMarginShare of a short one. The
+// drain starts with the slot; after it the engine starts no request on its old
+// version.
 //
-// A box whose copy is whole in time promises in its reports that it will take
-// its turn, and gateways go on with its older version until then. Other engines
-// with an older version they leave dueMargin before the deadline, which is
-// 0.7 s sooner: so much longer is a rollout in which fewer engines are out at a
-// time.
+// A box whose replica is complete in time reports that its update is scheduled,
+// and gateways keep routing requests for its older version to it until its slot.
+// To other engines with an older version they stop routing routingCutoffMargin
+// before the deadline, which is 0.7 s earlier than the last slot. The later last
+// slot lengthens the rollout, so that fewer engines are out of service at a time.
 const (
-	firstTurn       = 0.3
-	turnMargin      = 1200 * time.Millisecond
-	turnMarginShare = 0.15
+	firstSlotShare      = 0.3
+	lastSlotMargin      = 1200 * time.Millisecond
+	lastSlotMarginShare = 0.15
 )
 
-// lastTurn is how long after its naming a version's last turn is.
-func lastTurn(deadline time.Duration) time.Duration {
-	return deadline - min(turnMargin, time.Duration(turnMarginShare*float64(deadline)))
+// lastSlot returns how long after its naming a version's last slot is.
+func lastSlot(deadline time.Duration) time.Duration {
+	return deadline - min(lastSlotMargin, time.Duration(lastSlotMarginShare*float64(deadline)))
 }
 
-// Times of a change of version.
+// Timing of an update of the engine.
 const (
-	// drainTime is how long an engine works on without new requests before
-	// it takes another version. What runs longer is broken off, and goes on
-	// elsewhere where it may.
-	drainTime = 1000 * time.Millisecond
-	// firstDrain is that of the first of a rollout, in firstPart of the
-	// turns: the sooner some serve the version, the sooner others have
-	// somewhere to go on.
-	firstDrain = 500 * time.Millisecond
-	firstPart  = 0.15
-	// drainTold is how long it may take until all gateways know of a drain.
-	drainTold = 200 * time.Millisecond
-	// changeTime is a drain with the taking of the version.
-	changeTime = drainTime + 400*time.Millisecond
-	// dueMargin is how long before a version's deadline gateways send nothing
-	// more to engines with older ones that promise no turn, and dueShare its
-	// largest part of the deadline.
-	dueMargin = 1900 * time.Millisecond
-	dueShare  = 0.25
+	// drainTimeout is how long an engine continues without new requests before it
+	// is updated. Requests that still run then are aborted, and resumed on other
+	// engines where that is possible.
+	drainTimeout = 1000 * time.Millisecond
+	// earlyDrainTimeout replaces drainTimeout for the engines in the first
+	// earlySlotShare of the slots, so that the first engines soon serve the new
+	// version and can resume the requests that others abort.
+	earlyDrainTimeout = 500 * time.Millisecond
+	earlySlotShare    = 0.15
+	// drainPropagation is how long it may take until all gateways have received
+	// the report of a drain.
+	drainPropagation = 200 * time.Millisecond
+	// updateTime is the estimated duration of a drain and a load.
+	updateTime = drainTimeout + 400*time.Millisecond
+	// routingCutoffMargin is how long before a version's deadline gateways stop
+	// routing to engines with older versions whose update is not scheduled. It is at
+	// most routingCutoffShare of the deadline.
+	routingCutoffMargin = 1900 * time.Millisecond
+	routingCutoffShare  = 0.25
 )
 
-// step is a start that can be made.
-type step struct {
-	params Params
-	copy   *replica
-	named  time.Time
-	at     time.Time
-	drain  time.Duration
-	// empty says that the engine holds nothing whole that is vouched for.
-	empty bool
+// updateStep is a planned update of the engine.
+type updateStep struct {
+	params  Params
+	replica *replica
+	namedAt time.Time // zero if unknown
+	startAt time.Time // when the drain starts
+	// drainLimit bounds the drain; 0 means that there is none.
+	drainLimit time.Duration
+	// engineEmpty is set if the engine has no verified version.
+	engineEmpty bool
 }
 
-// starts brings the engine to what has been fetched until ctx ends.
-func (i *Installer) starts(ctx context.Context) {
+// runUpdates updates the engine to fetched versions until ctx ends.
+func (i *Installer) runUpdates(ctx context.Context) {
 	for ctx.Err() == nil {
-		s, change := i.nextStart(clock.Now())
-		i.promise(s)
-		wait := keepEvery
+		s, changed := i.nextUpdate(clock.Now())
+		i.recordSchedule(s)
+		wait := idleInterval
 		if s != nil {
-			wait = clock.Until(s.at)
+			wait = clock.Until(s.startAt)
 		}
 		if s == nil || wait > 0 {
 			due, stop := clock.After(clock.Now().Add(wait))
 			select {
-			case <-change:
+			case <-changed:
 			case <-due:
 			case <-ctx.Done():
 			}
 			stop()
 			continue
 		}
-		i.carryOut(ctx, s)
+		i.execute(ctx, s)
 	}
 }
 
-// nextStart chooses the version to start next, and when.
-func (i *Installer) nextStart(now time.Time) (*step, <-chan struct{}) {
+// nextUpdate returns the next update of the engine, or nil if there is none, and
+// a channel that is closed when the state changes.
+func (i *Installer) nextUpdate(now time.Time) (*updateStep, <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.params.Chunks == 0 || i.heard.IsZero() || i.state.Busy {
-		return nil, i.change
+	if i.params.Chunks == 0 || i.engineStateAt.IsZero() || i.engineState.Busy {
+		return nil, i.changed
 	}
-	share := i.shareLocked()
+	position := i.slotPositionLocked()
 	targets := i.targets
 	if len(targets) == 0 {
-		targets = []target{i.newest()}
+		targets = []target{i.newestTarget()}
 	}
 	for at, t := range targets {
-		r := i.copyOf(t.version)
-		if t.version <= i.holds() || t.version == i.state.Version || r == nil || !r.whole() {
+		r := i.replicaLocked(t.version)
+		if t.version <= i.verifiedVersion() || t.version == i.engineState.Version || r == nil || !r.complete() {
 			continue
 		}
-		if at+1 < len(targets) && i.skips(t, targets[at+1], share, now) {
+		if at+1 < len(targets) && i.canSkip(t, targets[at+1], position, now) {
 			continue
 		}
-		return i.stepTo(t, r, share, now), i.change
+		return i.planUpdate(t, r, position, now), i.changed
 	}
-	if r := i.other(); r != nil && i.doubted() {
-		return i.stepTo(target{version: r.manifest.Version}, r, share, now), i.change
+	if r := i.otherReplica(); r != nil && i.unverified() {
+		return i.planUpdate(target{version: r.manifest.Version}, r, position, now), i.changed
 	}
-	return nil, i.change
+	return nil, i.changed
 }
 
-// stepTo plans the change of the engine to t, whose copy r is whole.
+// planUpdate plans the update of the engine to t, whose replica r is complete.
 // Installer.mu is held.
-func (i *Installer) stepTo(t target, r *replica, share float64, now time.Time) *step {
-	s := &step{params: i.params, copy: r, named: t.named, at: now, drain: drainTime, empty: i.holds() == 0}
-	if share < firstPart {
-		s.drain = firstDrain
+func (i *Installer) planUpdate(t target, r *replica, position float64, now time.Time) *updateStep {
+	s := &updateStep{params: i.params, replica: r, namedAt: t.namedAt, startAt: now, drainLimit: drainTimeout, engineEmpty: i.verifiedVersion() == 0}
+	if position < earlySlotShare {
+		s.drainLimit = earlyDrainTimeout
 	}
-	overdue := i.overdue()
-	if due := i.due(overdue); !due.IsZero() && !now.Before(due) && !r.wholeAt.Before(due) {
-		s.drain = 0 // no turn was promised, and gateways have sent nothing since
+	pending := i.oldestPending()
+	if cutoff := i.routingCutoff(pending); !cutoff.IsZero() && !now.Before(cutoff) && !r.completedAt.Before(cutoff) {
+		s.drainLimit = 0 // no update was scheduled, so gateways have stopped routing to this engine
 		return s
 	}
-	if !s.empty && !overdue.named.IsZero() {
-		s.at = i.turnOf(r, overdue.named, share)
+	if !s.engineEmpty && !pending.namedAt.IsZero() {
+		s.startAt = i.slotTime(r, pending.namedAt, position)
 	}
 	return s
 }
 
-// overdue is the oldest named version that is newer than the engine's: its
-// deadline is the first that the engine must meet. Installer.mu is held.
-func (i *Installer) overdue() target {
+// oldestPending returns the oldest named version that is newer than the engine's
+// verified version: its deadline is the first that the engine must meet. Without
+// one it returns the newest. Installer.mu is held.
+func (i *Installer) oldestPending() target {
 	for _, t := range i.targets {
-		if t.version > i.holds() {
+		if t.version > i.verifiedVersion() {
 			return t
 		}
 	}
-	return i.newest()
+	return i.newestTarget()
 }
 
-// due is when gateways leave engines with versions older than t; zero if that
-// is not known.
-func (i *Installer) due(t target) time.Time {
-	if t.named.IsZero() {
+// routingCutoff returns when gateways stop routing to engines with versions older
+// than t whose update is not scheduled, or zero if the age of t is unknown.
+// Installer.mu is held.
+func (i *Installer) routingCutoff(t target) time.Time {
+	if t.namedAt.IsZero() {
 		return time.Time{}
 	}
 	d := i.params.Deadline
-	return t.named.Add(d - min(dueMargin, time.Duration(dueShare*float64(d))))
+	return t.namedAt.Add(d - min(routingCutoffMargin, time.Duration(routingCutoffShare*float64(d))))
 }
 
-// shareLocked is this engine's place among all, in [0, 1).
-func (i *Installer) shareLocked() float64 {
-	order := slices.Clone(i.known)
+// slotPositionLocked returns this engine's position among all slots, in [0, 1).
+// It is 0 for a box that is not listed. Installer.mu is held.
+func (i *Installer) slotPositionLocked() float64 {
+	order := slices.Clone(i.peerList)
 	slices.SortFunc(order, func(a, b Peer) int { return cmp.Compare(xxhash.Sum64String(a.Box), xxhash.Sum64String(b.Box)) })
 	at := slices.IndexFunc(order, func(p Peer) bool { return p.Box == i.settings.Box })
 	if at < 0 {
@@ -169,118 +176,122 @@
 	return float64(at) / float64(len(order))
 }
 
-// turnOf is when this engine begins to change to the copy r, for a deadline
-// that began at named.
-func (i *Installer) turnOf(r *replica, named time.Time, share float64) time.Time {
-	first := named.Add(time.Duration(firstTurn * float64(i.params.Deadline)))
-	last := named.Add(lastTurn(i.params.Deadline))
-	if r.wholeAt.After(first) {
-		first = r.wholeAt
+// slotTime returns when the engine's update to the version of r starts; namedAt is
+// when the version was named whose deadline must be met. Installer.mu is held.
+func (i *Installer) slotTime(r *replica, namedAt time.Time, position float64) time.Time {
+	first := namedAt.Add(time.Duration(firstSlotShare * float64(i.params.Deadline)))
+	last := namedAt.Add(lastSlot(i.params.Deadline))
+	if r.completedAt.After(first) {
+		first = r.completedAt
 	}
 	if last.Before(first) {
 		return first
 	}
-	return first.Add(time.Duration(share * float64(last.Sub(first))))
+	return first.Add(time.Duration(position * float64(last.Sub(first))))
 }
 
-// skips reports whether a version need not be started because the next one
-// will be served before its deadline.
-func (i *Installer) skips(t, next target, share float64, now time.Time) bool {
-	if r := i.copyOf(next.version); r != nil && r.whole() {
+// canSkip reports whether the engine need not be updated to t because it will
+// serve next, the version named after t, before t's routing cutoff.
+// Installer.mu is held.
+func (i *Installer) canSkip(t, next target, position float64, now time.Time) bool {
+	if r := i.replicaLocked(next.version); r != nil && r.complete() {
 		return true
 	}
-	if !i.comesAlong(next, now) {
+	if !i.progressing(next, now) {
 		return false
 	}
-	if t.named.IsZero() || next.named.IsZero() {
+	if t.namedAt.IsZero() || next.namedAt.IsZero() {
 		return true
 	}
-	first := time.Duration(firstTurn * float64(i.params.Deadline))
-	expected := next.named.Add(first + time.Duration(share*float64(lastTurn(i.params.Deadline)-first)))
-	return expected.Add(changeTime).Before(i.due(t))
+	first := time.Duration(firstSlotShare * float64(i.params.Deadline))
+	expected := next.namedAt.Add(first + time.Duration(position*float64(lastSlot(i.params.Deadline)-first)))
+	return expected.Add(updateTime).Before(i.routingCutoff(t))
 }
 
-// Pace at which a copy is taken to come along.
+// Expected progress of a fetch.
 const (
-	// slowStart is how long it may take until the first chunks come.
-	slowStart = 800 * time.Millisecond
-	// usualCopies is how many times the time of a copy over the box's own
-	// link a copy may take.
-	usualCopies = 2
+	// firstChunksGrace is how long after its naming a version's first chunks may
+	// take to arrive.
+	firstChunksGrace = 800 * time.Millisecond
+	// fetchTimeFactor is the expected duration of a fetch, in multiples of the time
+	// that the box's link needs for the model.
+	fetchTimeFactor = 2
 )
 
-// comesAlong reports whether a version's chunks come at the pace at which
-// they usually do. They don't while the origin is away.
-func (i *Installer) comesAlong(t target, now time.Time) bool {
-	if t.named.IsZero() || i.settings.LinkRate <= 0 {
+// progressing reports whether the fetch of a version is at least as fast as
+// expected. It is not while the origin is unavailable. If the version's age or the
+// link's rate is unknown, it counts as progressing. Installer.mu is held.
+func (i *Installer) progressing(t target, now time.Time) bool {
+	if t.namedAt.IsZero() || i.settings.LinkRate <= 0 {
 		return true
 	}
-	late := now.Sub(t.named) - slowStart
-	if late < 0 {
+	elapsed := now.Sub(t.namedAt) - firstChunksGrace
+	if elapsed < 0 {
 		return true
 	}
-	r := i.copyOf(t.version)
+	r := i.replicaLocked(t.version)
 	if r == nil {
 		return false
 	}
-	whole := usualCopies * float64(i.params.Chunks) * float64(i.params.ChunkBytes) / i.settings.LinkRate
-	return float64(r.reachable()) >= float64(len(r.chunks))*late.Seconds()/whole
+	expected := fetchTimeFactor * float64(i.params.Chunks) * float64(i.params.ChunkBytes) / i.settings.LinkRate
+	return float64(r.reachable()) >= float64(len(r.chunks))*elapsed.Seconds()/expected
 }
 
-// carryOut brings the engine to the version of s.
-func (i *Installer) carryOut(ctx context.Context, s *step) {
-	if !s.empty && s.drain > 0 {
-		i.drain(ctx, s.drain)
-		defer i.setLeaving(false)
+// execute drains the engine and loads the version of s.
+func (i *Installer) execute(ctx context.Context, s *updateStep) {
+	if !s.engineEmpty && s.drainLimit > 0 {
+		i.drain(ctx, s.drainLimit)
+		defer i.setDraining(false)
 	}
 	if !i.load(ctx, s) {
-		clock.Sleep(ctx, retryPause)
+		clock.Sleep(ctx, retryDelay)
 	}
 }
 
-// promise notes that s will be carried out in its turn, or that nothing is
-// promised.
-func (i *Installer) promise(s *step) {
+// recordSchedule records whether s is an update that gateways must know of in
+// advance: one of an engine that serves a version and is drained first. s may be
+// nil.
+func (i *Installer) recordSchedule(s *updateStep) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.promised = s != nil && !s.empty && s.drain > 0
+	i.updateScheduled = s != nil && !s.engineEmpty && s.drainLimit > 0
 }
 
-// Promised reports whether the engine will be drained, and brought to a newer
-// version, in time for that version's deadline.
+// UpdateScheduled reports whether the engine has a slot in which it will be
+// drained and updated, and the drain has not started.
 func (i *Installer) Promised() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.promised && !i.leaving
+	return i.updateScheduled && !i.draining
 }
 
-// Leaving reports whether nothing new should be sent to the engine, because
-// it is about to take another version.
+// Draining reports whether the engine should get no new requests because it is
+// about to be updated.
 func (i *Installer) Leaving() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.leaving
+	return i.draining
 }
 
-func (i *Installer) setLeaving(leaving bool) {
+func (i *Installer) setDraining(draining bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.leaving = leaving
+	i.draining = draining
 }
 
-// drain keeps new requests away until the engine is empty or limit has
-// passed.
+// drain waits without new requests until the engine has none left or limit has
+// passed. The caller ends the drain with setDraining.
 func (i *Installer) drain(ctx context.Context, limit time.Duration) {
-	i.setLeaving(true)
+	i.setDraining(true)
 	state, _ := i.State()
-	i.log.Info("drain begun", "running", state.Running, "queued", state.Queued, "version", state.Version)
-	const look = 50 * time.Millisecond
+	i.log.Info("drain started", "running", state.Running, "queued", state.Queued, "version", state.Version)
+	const pollInterval = 50 * time.Millisecond
 	began := clock.Now()
 	for ctx.Err() == nil && clock.Since(began) < limit {
 		state, _ = i.State()
-		if state.Running+state.Queued == 0 && clock.Since(began) > drainTold {
+		if state.Running+state.Queued == 0 && clock.Since(began) > drainPropagation {
 			return
 		}
-		clock.Sleep(ctx, look)
+		clock.Sleep(ctx, pollInterval)
 	}
 }
--- a/installer/uploads.go
+++ b/installer/uploads.go
@@ -16,32 +16,32 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// Bounds of pulls that wait for a chunk to come.
+// Limits of pulls that wait for a chunk to arrive here.
 const (
-	// chunkHold is how long a pull for one chunk waits. A box of another region
-	// asks when the chunk is due here; an answer of "not yet" would send it to
-	// boxes that have it no sooner. Half of a takeOver is left for the asker to
-	// try another box before that one reads the chunk itself.
-	chunkHold = takeOver / 2
-	// anyHold is how long a pull for any chunk waits at a box that holds nothing
-	// of use, while it holds less than half. When a version has just been named
-	// all boxes ask each other: without the wait 200 boxes made 30,000 calls in
-	// vain in the first 0.7 s. Later the asker finds more elsewhere.
-	anyHold = 100 * time.Millisecond
-	// chunksHeldFor is how many pulls may wait; a box reads some chunks first,
-	// and each other region asks for each of them once.
-	chunksHeldFor = 64
+	// chunkWaitTimeout bounds the wait of a pull for a given chunk. A box of
+	// another region asks when the chunk is due here; refused at once, it would ask
+	// boxes that get the chunk no sooner. Half of takeOverDelay is left to ask
+	// another box before that one reads the chunk itself.
+	chunkWaitTimeout = takeOverDelay / 2
+	// anyChunkWaitTimeout bounds the wait of a pull for any chunk at a box that has
+	// none of use and holds less than half of the chunks. It keeps boxes from
+	// polling each other in vain just after a version was named; later a caller is
+	// more likely to get a chunk from another box.
+	anyChunkWaitTimeout = 100 * time.Millisecond
+	// maxChunkWaiters bounds the pulls that wait: a box reads some chunks first,
+	// and every other region asks once for each of them.
+	maxChunkWaiters = 64
 )
 
-// uploads sends chunks to other sidecars.
+// uploads sends chunks to other sidecars. Its channels are semaphores.
 type uploads struct {
 	installer *Installer
-	// slots are the uploads under way, waiting those that may wait for a slot,
-	// and holding those that wait for a chunk.
-	slots, waiting, holding chan struct{}
+	// slots counts the uploads in progress, queue those and the pulls that wait for
+	// a slot, and chunkWaiters the pulls that wait for a chunk.
+	slots, queue, chunkWaiters chan struct{}
 }
 
-// acquire takes a place in s, waiting for one while ctx lasts.
+// acquire acquires the semaphore s. It returns false if ctx ends first.
 func acquire(ctx context.Context, s chan struct{}) bool {
 	select {
 	case s <- struct{}{}:
@@ -51,7 +51,7 @@
 	}
 }
 
-// tryAcquire takes a place in s if one is free.
+// tryAcquire acquires the semaphore s if that is possible without waiting.
 func tryAcquire(s chan struct{}) bool {
 	select {
 	case s <- struct{}{}:
@@ -61,58 +61,60 @@
 	}
 }
 
+// servePull answers a peer.PullRequest. It may wait for the chunk to arrive and
+// then for an upload slot, and answers with status 429 if the queue is full.
 func (u *uploads) servePull(w http.ResponseWriter, r *http.Request) {
-	var ask peer.PullRequest
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxManifest)).Decode(&ask); err != nil {
+	var pull peer.PullRequest
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxManifestBytes)).Decode(&pull); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	found := u.installer.replicaOf(r)
+	found := u.installer.requestedReplica(r)
 	if found == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	has, err := peer.DecodeBits(ask.Has, len(found.chunks))
-	if err != nil || ask.Chunk >= len(found.chunks) {
+	has, err := peer.DecodeBits(pull.Has, len(found.chunks))
+	if err != nil || pull.Chunk >= len(found.chunks) {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	u.hold(r.Context(), found, ask.Chunk, has)
-	if !tryAcquire(u.waiting) {
+	u.waitForChunk(r.Context(), found, pull.Chunk, has)
+	if !tryAcquire(u.queue) {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	defer func() { <-u.waiting }()
+	defer func() { <-u.queue }()
 	if !acquire(r.Context(), u.slots) {
 		return
 	}
 	defer func() { <-u.slots }()
-	u.send(w, r, found, ask.Chunk, has)
+	u.send(w, r, found, pull.Chunk, has)
 }
 
-// hold waits until the chunk is held here, or if chunk is -1 any that the
-// asker lacks.
-func (u *uploads) hold(ctx context.Context, found *replica, chunk int, has *bitset.BitSet) {
-	if !tryAcquire(u.holding) {
+// waitForChunk waits until the pull can be answered or its timeout has passed. It
+// returns at once if maxChunkWaiters pulls wait already.
+func (u *uploads) waitForChunk(ctx context.Context, found *replica, chunk int, has *bitset.BitSet) {
+	if !tryAcquire(u.chunkWaiters) {
 		return
 	}
-	defer func() { <-u.holding }()
-	wait := chunkHold
+	defer func() { <-u.chunkWaiters }()
+	timeout := chunkWaitTimeout
 	if chunk < 0 {
-		wait = anyHold
+		timeout = anyChunkWaitTimeout
 	}
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
 		u.installer.mu.Lock()
-		ready, arrived := found.ready(chunk, has), found.arrived
+		ready, arrived := found.canAnswer(chunk, has), found.chunkArrived
 		u.installer.mu.Unlock()
 		if ready {
 			return
 		}
 		select {
 		case <-arrived:
-		case <-limit.C:
+		case <-timer.C:
 			return
 		case <-ctx.Done():
 			return
@@ -120,20 +122,22 @@
 	}
 }
 
-// ready reports whether a pull should be answered now; Installer.mu is held.
-func (r *replica) ready(chunk int, has *bitset.BitSet) bool {
+// canAnswer reports whether a pull should be answered now: the chunk is held or,
+// if chunk is -1, any that is not in has, or at least half of all chunks are held.
+// Installer.mu is held.
+func (r *replica) canAnswer(chunk int, has *bitset.BitSet) bool {
 	if chunk >= 0 {
 		return r.held.Test(uint(chunk))
 	}
 	return 2*int(r.held.Count()) >= len(r.chunks) || r.held.DifferenceCardinality(has) > 0
 }
 
-// send answers with the chunk, or with any that the asker lacks if chunk is
-// -1.
+// send answers with the chunk, or if chunk is -1 with any that is not in has. It
+// answers with status 204 if there is none.
 func (u *uploads) send(w http.ResponseWriter, r *http.Request, found *replica, chunk int, has *bitset.BitSet) {
 	i := u.installer
 	i.mu.Lock()
-	know := found.knowledge()
+	availability := found.availability()
 	if chunk < 0 {
 		chunk = found.picker.Pick(found.held, has)
 	}
@@ -142,18 +146,19 @@
 		data = found.chunks[chunk]
 	}
 	i.mu.Unlock()
-	peer.SetKnowledge(w.Header(), know)
+	peer.SetKnowledge(w.Header(), availability)
 	if data == nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
 	w.Header().Set(peer.HeaderChunk, strconv.Itoa(chunk))
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	_ = i.up.write(r.Context(), w, data) // the receiver checks the digest and sees a cut
+	_ = i.upPacer.write(r.Context(), w, data) // the receiver detects a truncated chunk by its digest
 }
 
-// knowledge is what is told with each answer; Installer.mu is held.
-func (r *replica) knowledge() transfer.Knowledge {
+// availability returns which chunks are held here and which some box of the region
+// is known to hold, for the headers of an answer; Installer.mu is held.
+func (r *replica) availability() transfer.Knowledge {
 	if r.swarm != nil {
 		return r.swarm.Knows()
 	}
