--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -27,6 +27,7 @@
 	testBytes  = 4096
 )
 
+// chunkOf returns the content of chunk n of a version.
 func chunkOf(version, n int) []byte {
 	out := make([]byte, testBytes)
 	for at := 0; at < len(out); at += 8 {
@@ -43,15 +44,16 @@
 	return m
 }
 
-// fakeEngine takes what lies ready, and notes when that was not whole.
+// fakeEngine loads the staged chunks at once and records whether they were not all
+// of the ordered version.
 type fakeEngine struct {
 	mu      sync.Mutex
 	state   EngineState
 	stage   [testChunks][]byte
-	started []int
+	started []int // versions loaded
 	mixed   bool
-	running int
-	cut     int
+	running int // requests
+	cut     int // requests aborted by a start
 }
 
 func (e *fakeEngine) State(context.Context) (EngineState, error) {
@@ -80,7 +82,7 @@
 	defer e.mu.Unlock()
 	version := s.Version
 	if s.Orders != e.state.Orders {
-		return Refused, errors.Errorf("for %d orders, not %d", s.Orders, e.state.Orders)
+		return Refused, errors.Errorf("expected %d orders, not %d", s.Orders, e.state.Orders)
 	}
 	for n := range testChunks {
 		e.mixed = e.mixed || !bytes.Equal(e.stage[n], chunkOf(version, n))
@@ -95,7 +97,7 @@
 	return Taken, nil
 }
 
-// load lays a version ready and loads it.
+// load stages a version and loads it, without an order.
 func (e *fakeEngine) load(version int) {
 	for n := range testChunks {
 		e.stage[n] = chunkOf(version, n)
@@ -103,15 +105,16 @@
 	e.state = EngineState{Model: testModel, Version: version}
 }
 
-// fakeOrigin counts what it sends, and may spoil it.
+// fakeOrigin counts the chunks that it sends, and may corrupt them.
 type fakeOrigin struct {
-	mu    sync.Mutex
-	sent  int
-	down  bool
-	spoil func(sent int) bool
-	// badManifests are the first so many manifests that come spoilt.
-	badManifests int
-	delay        time.Duration
+	mu   sync.Mutex
+	sent int
+	down bool
+	// corrupt reports whether the chunk is corrupted that is sent as number sent.
+	corrupt func(sent int) bool
+	// corruptManifests is how many of the next manifests are corrupted.
+	corruptManifests int
+	delay            time.Duration
 }
 
 func (o *fakeOrigin) Manifest(_ context.Context, _ string, version int) (*Manifest, error) {
@@ -121,8 +124,8 @@
 		return nil, errors.New("down")
 	}
 	m := manifestOf(version)
-	if o.badManifests > 0 {
-		o.badManifests--
+	if o.corruptManifests > 0 {
+		o.corruptManifests--
 		for n := range m.Digests {
 			m.Digests[n][0] ^= 1
 		}
@@ -139,13 +142,13 @@
 	}
 	o.sent++
 	data := chunkOf(version, n)
-	if o.spoil != nil && o.spoil(o.sent) {
+	if o.corrupt != nil && o.corrupt(o.sent) {
 		data[7] ^= 1
 	}
 	return data, nil
 }
 
-// cluster are installers that know each other.
+// cluster is a set of installers that list each other as peers.
 type cluster struct {
 	t          *testing.T
 	origin     *fakeOrigin
@@ -155,6 +158,8 @@
 	cancels    []context.CancelFunc
 }
 
+// newCluster starts n installers, spread over the regions. prepare, if not nil, is
+// called for each engine before its installer starts.
 func newCluster(t *testing.T, n, regions int, deadline time.Duration, prepare func(i int, e *fakeEngine)) *cluster {
 	t.Helper()
 	c := &cluster{t: t, origin: &fakeOrigin{}}
@@ -190,46 +195,51 @@
 	return c
 }
 
+// announce names a version to all installers.
 func (c *cluster) announce(version int) {
 	for _, i := range c.installers {
 		i.Name(testModel, version, time.Now())
 	}
 }
 
-func (c *cluster) awaitVersion(version int, among ...int) {
+// awaitVersion waits until the given engines, or all if none is given, have the
+// version loaded.
+func (c *cluster) awaitVersion(version int, engines ...int) {
 	c.t.Helper()
-	if len(among) == 0 {
+	if len(engines) == 0 {
 		for k := range c.engines {
-			among = append(among, k)
+			engines = append(engines, k)
 		}
 	}
 	deadline := time.Now().Add(20 * time.Second)
-	for _, k := range among {
+	for _, k := range engines {
 		for {
 			s, _ := c.engines[k].State(context.Background())
 			if s.Version == version {
 				break
 			}
-			assert.Assert(c.t, time.Now().Before(deadline), "engine %d holds %d", k, s.Version)
+			assert.Assert(c.t, time.Now().Before(deadline), "engine %d has version %d loaded", k, s.Version)
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
 }
 
+// checkLoads fails the test if an engine loaded chunks of several versions.
 func (c *cluster) checkLoads() {
 	c.t.Helper()
 	for k, e := range c.engines {
 		e.mu.Lock()
-		assert.Assert(c.t, !e.mixed, "engine %d took chunks that are not its version's", k)
+		assert.Assert(c.t, !e.mixed, "engine %d loaded chunks of another version", k)
 		e.mu.Unlock()
 	}
 }
 
+// engineLoadedWith prepares engines that have the version loaded.
 func engineLoadedWith(version int) func(int, *fakeEngine) {
 	return func(_ int, e *fakeEngine) { e.load(version) }
 }
 
-func TestNamedVersionReachesAll(t *testing.T) {
+func TestNamedVersionReachesAllEngines(t *testing.T) {
 	c := newCluster(t, 6, 3, 500*time.Millisecond, engineLoadedWith(1))
 	c.announce(2)
 	c.awaitVersion(2)
@@ -237,7 +247,7 @@
 	assert.Assert(t, c.origin.sent < testChunks*3, "the origin sent %d chunks for %d", c.origin.sent, testChunks)
 }
 
-func TestEmptyEngineIsFilledByPeers(t *testing.T) {
+func TestEmptyEngineIsLoadedFromPeers(t *testing.T) {
 	c := newCluster(t, 4, 1, 500*time.Millisecond, func(k int, e *fakeEngine) {
 		if k > 0 {
 			e.load(1)
@@ -248,40 +258,40 @@
 	assert.Assert(t, c.origin.sent < testChunks, "the origin sent %d chunks", c.origin.sent)
 }
 
-func TestSpoiltChunksAreNotTaken(t *testing.T) {
+func TestCorruptChunksAreRejected(t *testing.T) {
 	c := newCluster(t, 3, 1, 300*time.Millisecond, engineLoadedWith(1))
-	c.origin.spoil = func(sent int) bool { return sent%3 == 0 }
+	c.origin.corrupt = func(sent int) bool { return sent%3 == 0 }
 	c.announce(2)
 	c.awaitVersion(2)
 	c.checkLoads()
 }
 
-func TestSpoiltManifestIsFetchedAgain(t *testing.T) {
+func TestCorruptManifestIsFetchedAgain(t *testing.T) {
 	c := newCluster(t, 1, 1, 300*time.Millisecond, engineLoadedWith(1))
 	time.Sleep(50 * time.Millisecond)
 	c.origin.mu.Lock()
-	c.origin.badManifests = 1
+	c.origin.corruptManifests = 1
 	c.origin.mu.Unlock()
 	c.announce(2)
 	c.awaitVersion(2)
 	c.checkLoads()
 }
 
-// What lies beside the engine may turn bad until the very start.
-func TestRottenChunkIsLaidAgain(t *testing.T) {
+// Staged chunks that become corrupt or are lost before the start are staged again.
+func TestCorruptStagedChunkIsReplaced(t *testing.T) {
 	c := newCluster(t, 1, 1, 900*time.Millisecond, engineLoadedWith(1))
 	c.announce(2)
 	time.Sleep(100 * time.Millisecond)
 	e := c.engines[0]
 	e.mu.Lock()
-	e.stage[3] = []byte("rotten")
+	e.stage[3] = []byte("corrupt")
 	e.stage[4] = nil
 	e.mu.Unlock()
 	c.awaitVersion(2)
 	c.checkLoads()
 }
 
-func TestOriginDownForAWhile(t *testing.T) {
+func TestOriginOutage(t *testing.T) {
 	c := newCluster(t, 2, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.down = true
 	c.announce(2)
@@ -310,9 +320,8 @@
 	}
 }
 
-// A box that dies amid a transfer does not keep the others from the
-// version.
-func TestPeerDies(t *testing.T) {
+// Boxes complete a fetch although one that fetched chunks for them stops.
+func TestPeerStopsDuringFetch(t *testing.T) {
 	c := newCluster(t, 4, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.delay = 3 * time.Millisecond
 	c.announce(2)
@@ -322,27 +331,27 @@
 	c.checkLoads()
 }
 
-// An engine is drained before it changes its version, and what runs longer
-// is broken off rather than waited for.
-func TestDrainThenCut(t *testing.T) {
+// An engine is drained before its update, and requests that still run then are
+// aborted.
+func TestDrainThenAbort(t *testing.T) {
 	c := newCluster(t, 1, 1, 300*time.Millisecond, func(_ int, e *fakeEngine) {
 		e.load(1)
 		e.running = 3
 	})
 	c.announce(2)
-	left := false
-	for began := time.Now(); time.Since(began) < 3*time.Second && !left; time.Sleep(5 * time.Millisecond) {
-		left = c.installers[0].Leaving()
+	draining := false
+	for began := time.Now(); time.Since(began) < 3*time.Second && !draining; time.Sleep(5 * time.Millisecond) {
+		draining = c.installers[0].Leaving()
 	}
-	assert.Assert(t, left)
+	assert.Assert(t, draining)
 	c.awaitVersion(2)
 	assert.Equal(t, c.engines[0].cut, 3)
 	for began := time.Now(); c.installers[0].Leaving(); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 3*time.Second, "it takes nothing new any more")
+		assert.Assert(t, time.Since(began) < 3*time.Second, "the drain does not end")
 	}
 }
 
-func TestOlderNamingIsLeftAlone(t *testing.T) {
+func TestOlderNamingIsIgnored(t *testing.T) {
 	i := New(Settings{}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	i.Name(testModel, 3, time.Now())
 	i.Name(testModel, 2, time.Now())
@@ -353,9 +362,9 @@
 	assert.Equal(t, i.newestTarget().version, 3)
 }
 
-// The earliest known time of a naming counts: an engine's turn is the same
-// whichever gateway told its sidecar first.
-func TestEarliestNamingCounts(t *testing.T) {
+// The earliest known time of a naming counts, so that an engine's slot does not
+// depend on which gateway's report arrives first.
+func TestEarliestNamingTimeCounts(t *testing.T) {
 	i := New(Settings{Box: "a"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	now := time.Now()
 	i.Name(testModel, 2, time.Time{})
@@ -368,22 +377,22 @@
 	assert.Equal(t, len(i.targets), 1)
 }
 
-// A version is not left out for a newer one whose chunks do not come.
-func TestNewerVersionDoesNotCome(t *testing.T) {
+// A version is not skipped for a newer one whose fetch does not progress.
+func TestVersionIsSkippedOnlyForAProgressingOne(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		since time.Duration // since the newer version was named
-		held  uint          // chunks of it, or none opened if 0
-		want  int
+		held  uint          // chunks held of it; 0 means no replica
+		want  int           // the version to load next, or 0
 	}{
 		{"just named", firstChunksGrace / 2, 0, 0},
-		{"not even its manifest", firstChunksGrace + time.Second, 0, 2},
-		{"comes along", firstChunksGrace + time.Second, testChunks / 2, 0},
-		{"has come to a stop", firstChunksGrace + 2*time.Second, 1, 2},
-		{"whole", firstChunksGrace + 2*time.Second, testChunks, 3},
+		{"no manifest", firstChunksGrace + time.Second, 0, 2},
+		{"fetch progressing", firstChunksGrace + time.Second, testChunks / 2, 0},
+		{"fetch stalled", firstChunksGrace + 2*time.Second, 1, 2},
+		{"complete", firstChunksGrace + 2*time.Second, testChunks, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			const linkRate = testChunks * testBytes // a copy a second
+			const linkRate = testChunks * testBytes // one copy of the model a second
 			i := New(Settings{Box: "a", LinkRate: linkRate}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 			i.Configure(Params{Model: testModel, Chunks: testChunks, ChunkBytes: testBytes, Deadline: 8 * time.Second})
 			i.Heard(EngineState{Model: testModel, Version: 1})
--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -20,16 +20,17 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// limitedOrigin resets calls beyond the connections that it accepts.
+// limitedOrigin fails calls beyond a limit of concurrent connections.
 type limitedOrigin struct {
 	*fakeOrigin
-	connections int64
+	connections int64 // the limit
 	open        atomic.Int64
 	manifests   atomic.Int64
 	resets      atomic.Int64
 }
 
-// accept counts a connection; it fails beyond the bound.
+// accept counts a connection; it returns an error beyond the limit. The caller
+// decrements open in either case.
 func (o *limitedOrigin) accept() error {
 	if o.open.Add(1) > o.connections {
 		o.resets.Add(1)
@@ -56,11 +57,10 @@
 	return o.fakeOrigin.Chunk(ctx, model, version, n)
 }
 
-// TestFleetBeginsWithoutAHerd names a version at boxes in five regions and
-// counts what they ask of the origin and of each other before the first chunk:
-// calls for what all need alike must not grow with the square of the boxes. How
-// many chunks the origin sends is held on virtual time (linksim).
-func TestFleetBeginsWithoutAHerd(t *testing.T) {
+// The start of a rollout must not flood the origin with manifest requests, nor
+// boxes with availability queries whose number grows with the square of the boxes.
+// The number of chunks that the origin sends is tested on virtual time (linksim).
+func TestRolloutStartSendsFewCalls(t *testing.T) {
 	const boxes, regions = 60, 5
 	origin := &limitedOrigin{fakeOrigin: &fakeOrigin{delay: 2 * time.Millisecond}, connections: 24}
 	var held, lists atomic.Int64
@@ -95,30 +95,31 @@
 		i.Heard(s)
 		go i.Run(ctx)
 	}
-	time.Sleep(100 * time.Millisecond) // the copies that lie beside the engines are opened
+	time.Sleep(100 * time.Millisecond) // until the replicas of the staged version are opened
 	origin.manifests.Store(0)
 	for _, i := range installers {
 		i.Name(testModel, 2, time.Now())
 	}
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		whole := 0
+		complete := 0
 		for _, i := range installers {
 			if r := i.replica(2); r != nil && i.isComplete(r) {
-				whole++
+				complete++
 			}
 		}
-		if whole == boxes {
+		if complete == boxes {
 			break
 		}
-		assert.Assert(t, time.Since(began) < 20*time.Second, "%d of %d boxes have the version", whole, boxes)
+		assert.Assert(t, time.Since(began) < 20*time.Second, "%d of %d boxes hold the version", complete, boxes)
 	}
 	t.Logf("manifests %d, resets %d, held %d, lists %d, chunks %d", origin.manifests.Load(), origin.resets.Load(), held.Load(), lists.Load(), origin.sent)
 	assert.Assert(t, origin.manifests.Load() <= 2*regions, "the origin sent %d manifests", origin.manifests.Load())
-	// Two boxes or three stand beside each box in the orders of its chunks.
-	assert.Assert(t, held.Load() <= boxes*boxes/regions, "%d calls for what others hold", held.Load())
+	// Each box has two or three partners in the order of its chunks.
+	assert.Assert(t, held.Load() <= boxes*boxes/regions, "%d availability queries", held.Load())
 }
 
-// The manifest comes down a tree of the region's boxes.
+// Manifests are distributed along a tree of bounded depth and fan-out in each
+// region, and only the root asks the origin.
 func TestManifestTree(t *testing.T) {
 	var peers []Peer
 	for k := range 40 {
@@ -143,17 +144,17 @@
 	assert.Equal(t, len(ancestors(peers, Settings{Box: "unlisted", Region: "r0"}, 2)), 0)
 }
 
-// A box that stands still does not keep those below it from the manifest.
-func TestManifestPassesASilentBox(t *testing.T) {
-	still := make(chan struct{})
+// An unresponsive box does not keep its descendants from getting the manifest.
+func TestManifestSkipsUnresponsiveBox(t *testing.T) {
+	stop := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		select {
-		case <-still:
+		case <-stop:
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(s.Close)
-	t.Cleanup(func() { close(still) })
+	t.Cleanup(func() { close(stop) })
 	origin := &fakeOrigin{}
 	var peers []Peer
 	for k := range 8 {
@@ -169,9 +170,9 @@
 	}
 }
 
-// A pull for one chunk waits until that comes, without a place among the
-// uploads; what does not come is refused.
-func TestPullWaitsForAChunk(t *testing.T) {
+// A pull for a given chunk waits until the chunk arrives, without occupying the
+// upload queue; if the chunk does not arrive, the pull is answered without one.
+func TestPullWaitsForChunk(t *testing.T) {
 	i := New(Settings{Box: "a"}, &fakeEngine{}, &fakeOrigin{}, nil, logr.Discard(), telemetry.NewMetrics())
 	r := newReplica(manifestOf(2), "a")
 	i.replicas = append(i.replicas, r)
@@ -187,11 +188,11 @@
 		data []byte
 		err  error
 	}
-	const waiting = maxUploads + maxQueuedUploads + 2
+	const pulls = maxUploads + maxQueuedUploads + 2
 	_, err := pull(-1)
 	assert.ErrorIs(t, err, errNoUsefulChunk)
-	answers := make(chan answer, waiting)
-	for range waiting {
+	answers := make(chan answer, pulls)
+	for range pulls {
 		go func() {
 			data, err := pull(5)
 			answers <- answer{data, err}
@@ -200,14 +201,14 @@
 	time.Sleep(chunkWaitTimeout / 10)
 	assert.NilError(t, i.storeChunk(r, transfer.Pull{Chunk: 5}, chunkOf(2, 5)))
 	served := 0
-	for range waiting {
+	for range pulls {
 		a := <-answers
 		if a.err == nil {
 			assert.DeepEqual(t, a.data, chunkOf(2, 5))
 			served++
 		}
 	}
-	assert.Assert(t, served > 0, "no pull of %d got the chunk", waiting)
+	assert.Assert(t, served > 0, "no pull of %d got the chunk", pulls)
 	_, err = pull(6)
 	assert.ErrorIs(t, err, errNoUsefulChunk)
 }
--- a/installer/stage_test.go
+++ b/installer/stage_test.go
@@ -13,12 +13,13 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// A sidecar that is killed amid a fetch begins again with what it had.
-func TestChunksOutlastTheSidecar(t *testing.T) {
+// A sidecar that is killed during a fetch continues with the staged chunks after
+// its restart.
+func TestStagedChunksSurviveRestart(t *testing.T) {
 	c := newCluster(t, 1, 1, 20*time.Second, engineLoadedWith(1))
 	c.origin.delay = 2 * time.Millisecond
 	c.announce(2)
-	laid := func() int {
+	staged := func() int {
 		c.engines[0].mu.Lock()
 		defer c.engines[0].mu.Unlock()
 		n := 0
@@ -29,19 +30,19 @@
 		}
 		return n
 	}
-	for began := time.Now(); laid() < testChunks/2; time.Sleep(time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 10*time.Second, "%d chunks lie ready", laid())
+	for began := time.Now(); staged() < testChunks/2; time.Sleep(time.Millisecond) {
+		assert.Assert(t, time.Since(began) < 10*time.Second, "%d chunks staged", staged())
 	}
 	c.cancels[0]()
-	again := New(Settings{Box: "box0"}, c.engines[0], nil, nil, logr.Discard(), telemetry.NewMetrics())
+	restarted := New(Settings{Box: "box0"}, c.engines[0], nil, nil, logr.Discard(), telemetry.NewMetrics())
 	r := newReplica(manifestOf(2), "box0")
-	again.readStage(context.Background(), r)
+	restarted.readStage(context.Background(), r)
 	assert.Assert(t, int(r.held.Count()) >= testChunks/2, "%d chunks found", r.held.Count())
 }
 
-// While an older version that is fuller waits for its turn, the newer one does
-// not overwrite it.
-func TestFullerCopyLiesReady(t *testing.T) {
+// While an older version's update is pending, the staged chunks are not replaced by
+// those of a newer version of which fewer chunks are held.
+func TestFullestReplicaIsStaged(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, namedAt: now}, {version: 3, namedAt: now}}, 2)
 	newer := newReplica(manifestOf(3), "box0")
@@ -50,6 +51,6 @@
 	assert.Assert(t, i.shouldStage(i.replicas[0]))
 	assert.Assert(t, !i.shouldStage(newer))
 	i.engineState.Version = 2
-	assert.Assert(t, !i.shouldStage(i.replicas[0]), "the engine has it")
+	assert.Assert(t, !i.shouldStage(i.replicas[0]), "the engine has it loaded")
 	assert.Assert(t, i.shouldStage(newer))
 }
--- a/installer/start_test.go
+++ b/installer/start_test.go
@@ -18,15 +18,15 @@
 
 const testDeadline = 8 * time.Second
 
-// newLoadedInstaller is an installer that holds version 1 of the engine and copies of
-// the versions given.
-func newLoadedInstaller(targets []target, whole ...int) *Installer {
+// newLoadedInstaller returns an installer whose engine has version 1 loaded, with
+// complete replicas of the given versions.
+func newLoadedInstaller(targets []target, complete ...int) *Installer {
 	i := New(Settings{Box: "box0"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	i.params = Params{Model: testModel, Chunks: testChunks, Deadline: testDeadline}
 	i.engineState = EngineState{Model: testModel, Version: 1}
 	i.engineStateAt = time.Now()
 	i.targets = targets
-	for _, version := range whole {
+	for _, version := range complete {
 		r := newReplica(manifestOf(version), "box0")
 		for n := range testChunks {
 			r.held.Set(uint(n))
@@ -36,6 +36,7 @@
 	return i
 }
 
+// nextVersion returns the version of the next update, or 0 if there is none.
 func nextVersion(i *Installer, now time.Time) int {
 	s, _ := i.nextUpdate(now)
 	if s == nil {
@@ -44,23 +45,23 @@
 	return s.replica.manifest.Version
 }
 
-func TestOlderVersionFirstWhenItsDeadlineComesFirst(t *testing.T) {
+func TestOlderVersionIsLoadedIfNewerIsLate(t *testing.T) {
 	now := time.Now()
 	far := []target{{version: 2, namedAt: now}, {version: 3, namedAt: now.Add(4 * time.Second)}}
-	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2), now), 2, "version 3 comes too late for 2's deadline")
-	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2, 3), now), 3, "both are here")
+	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2), now), 2, "version 3 is too late for the deadline of version 2")
+	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2, 3), now), 3, "both are complete")
 	near := []target{{version: 2, namedAt: now}, {version: 3, namedAt: now.Add(time.Second)}}
-	assert.Equal(t, nextVersion(newLoadedInstaller(near, 2), now), 0, "version 3 will be here in time")
-	assert.Equal(t, nextVersion(newLoadedInstaller(far), now), 0, "nothing is here")
+	assert.Equal(t, nextVersion(newLoadedInstaller(near, 2), now), 0, "version 3 will be served in time")
+	assert.Equal(t, nextVersion(newLoadedInstaller(far), now), 0, "no replica")
 	busy := newLoadedInstaller(far, 2)
 	busy.engineState.Busy = true
-	assert.Equal(t, nextVersion(busy, now), 0, "an order is under way")
+	assert.Equal(t, nextVersion(busy, now), 0, "the engine executes an order")
 }
 
-// Turns are spread, and all engines stop to start requests on the older
-// version, which is when their drains begin, turnMargin before its deadline.
-// Engines whose turns come after gateways leave older versions promise them.
-func TestTurnsAreSpread(t *testing.T) {
+// The slots of the engines are spread, and the last drain starts lastSlotMargin
+// before the deadline. Engines whose slots are after the routing cutoff report them
+// as scheduled, too.
+func TestSlotsAreSpread(t *testing.T) {
 	now := time.Now()
 	var first, latest time.Time
 	for k := range 20 {
@@ -73,7 +74,7 @@
 		i.recordSchedule(s)
 		assert.Assert(t, i.Promised())
 		late, _ := i.nextUpdate(s.startAt)
-		assert.Equal(t, late.drainLimit, s.drainLimit, "what is promised is drained")
+		assert.Equal(t, late.drainLimit, s.drainLimit, "a scheduled update is drained, however late its slot")
 		if first.IsZero() || s.startAt.Before(first) {
 			first = s.startAt
 		}
@@ -83,12 +84,12 @@
 	}
 	assert.Assert(t, latest.Sub(first) > 4*time.Second, "spread over %s", latest.Sub(first))
 	assert.Assert(t, !latest.After(now.Add(testDeadline-lastSlotMargin)))
-	assert.Assert(t, latest.Add(drainTimeout).Before(now.Add(testDeadline)), "the order comes before the deadline")
+	assert.Assert(t, latest.Add(drainTimeout).Before(now.Add(testDeadline)), "the start order is sent before the deadline")
 }
 
-// A copy that is whole only after gateways have left the older version comes
-// without a promise, and so does the first version of an empty engine.
-func TestNoPromiseTooLate(t *testing.T) {
+// No update is reported as scheduled whose replica is complete only after the
+// routing cutoff, nor that of an empty engine.
+func TestUpdateNotScheduled(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, namedAt: now.Add(routingCutoffMargin - testDeadline)}}, 2)
 	i.replicas[0].completedAt = now
@@ -104,7 +105,7 @@
 	assert.Assert(t, !i.Promised())
 }
 
-func TestEmptyEngineStartsAtOnce(t *testing.T) {
+func TestEmptyEngineIsLoadedAtOnce(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, namedAt: now}}, 2)
 	i.engineState = EngineState{}
@@ -113,22 +114,23 @@
 	assert.Assert(t, !s.startAt.After(now))
 }
 
-// fetchedVersions are the versions that i fetches.
+// fetchedVersions returns the versions of the fetch tasks of i.
 func fetchedVersions(i *Installer) []int {
 	var out []int
-	wants, _ := i.fetchTasks()
-	for _, w := range wants {
-		out = append(out, w.version)
+	tasks, _ := i.fetchTasks()
+	for _, task := range tasks {
+		out = append(out, task.version)
 	}
 	return out
 }
 
-// newPartialInstaller returns an installer amid two versions, of which it holds so many
-// chunks of the older and the origin sends one a turn.
-func newPartialInstaller(named2, named3 time.Time, held int, turn time.Duration) *Installer {
+// newPartialInstaller returns an installer for which versions 2 and 3 are named. It
+// holds the given number of chunks of version 2, and the origin sends one chunk per
+// interval.
+func newPartialInstaller(named2, named3 time.Time, held int, interval time.Duration) *Installer {
 	i := newLoadedInstaller([]target{{version: 2, namedAt: named2}, {version: 3, namedAt: named3}}, 2)
 	i.params.ChunkBytes = testBytes
-	i.params.OriginRate = testBytes / turn.Seconds()
+	i.params.OriginRate = testBytes / interval.Seconds()
 	i.replicas[0].held.ClearAll()
 	for n := range held {
 		i.replicas[0].held.Set(uint(n))
@@ -136,32 +138,32 @@
 	return i
 }
 
-// An older version is fetched to its end ahead of the newer one where that
-// leaves more time, and dropped where the newer one would come too late for it.
-func TestOlderVersionIsCompletedForItsTime(t *testing.T) {
-	const turn = 50 * time.Millisecond // testChunks take so many turns
-	copyTime := testChunks * turn
+// The fetch of an older version is finished before the newer one's if that leaves
+// more slack or shortens the gap, and abandoned otherwise.
+func TestOlderVersionIsFinishedIfUseful(t *testing.T) {
+	const interval = 50 * time.Millisecond
+	copyTime := testChunks * interval
 	due := testDeadline - routingCutoffMargin
 	now := time.Now()
 	for _, c := range []struct {
-		name      string
-		ago2      time.Duration
-		ago3      time.Duration
-		held      int
-		completes bool
+		name     string
+		ago2     time.Duration
+		ago3     time.Duration
+		held     int
+		finishes bool
 	}{
-		{"both come in time, and the older leaves more", 2 * time.Second, 0, testChunks / 2, true},
-		{"hardly begun, but the newer is named much later", 3 * time.Second, 0, 2, true},
-		{"named together: the newer alone comes sooner", 0, 0, 2, false},
-		{"origin was away: the older bridges the time to the newer", due - serveDelay, due - serveDelay - 3*time.Second, testChunks - 2, true},
-		{"origin was away: the older would be served for an instant", due + 500*time.Millisecond, due - serveDelay - 200*time.Millisecond, testChunks / 2, false},
-		{"past its time", testDeadline + 3*time.Second, testDeadline, testChunks - 1, false},
+		{"both in time, more slack with the older first", 2 * time.Second, 0, testChunks / 2, true},
+		{"hardly started, but the newer is named much later", 3 * time.Second, 0, 2, true},
+		{"named together: the newer alone is served sooner", 0, 0, 2, false},
+		{"origin was unavailable: the older is served until the newer is", due - serveDelay, due - serveDelay - 3*time.Second, testChunks - 2, true},
+		{"origin was unavailable: the older would be served only briefly", due + 500*time.Millisecond, due - serveDelay - 200*time.Millisecond, testChunks / 2, false},
+		{"past the routing cutoffs", testDeadline + 3*time.Second, testDeadline, testChunks - 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Assert(t, copyTime < due)
-			i := newPartialInstaller(now.Add(-c.ago2), now.Add(-c.ago3), c.held, turn)
+			i := newPartialInstaller(now.Add(-c.ago2), now.Add(-c.ago3), c.held, interval)
 			want := []int{3}
-			if c.completes {
+			if c.finishes {
 				want = []int{2, 3}
 			}
 			assert.DeepEqual(t, fetchedVersions(i), want)
@@ -169,9 +171,9 @@
 	}
 }
 
-// While the origin sends the rest of an older version, the newer one gets no
-// pulls, and few until the older has come.
-func TestOlderVersionHasTheOriginToItself(t *testing.T) {
+// The newer version gets no pulls while the origin sends the rest of an older one,
+// and a single one until the older one is complete here.
+func TestOlderVersionLimitsPullsOfNewer(t *testing.T) {
 	now := time.Now()
 	i := newPartialInstaller(now.Add(-2*time.Second), now, testChunks/2, 50*time.Millisecond)
 	part := i.replicas[0]
@@ -182,24 +184,24 @@
 	assert.Equal(t, i.pullLimit(part, fetchTask{version: 3}, now), 1)
 }
 
-// addPeerHolding begins a swarm of r in which another box holds theirs.
-func addPeerHolding(r *replica, now time.Time, theirs *bitset.BitSet) {
+// addPeerHolding starts a swarm of r in which another box holds the given chunks.
+func addPeerHolding(r *replica, now time.Time, held *bitset.BitSet) {
 	params := transfer.Params{Chunks: testChunks, Peers: []transfer.Peer{{Box: "box0", Region: "r"}, {Box: "box1", Region: "far"}}, OriginRegions: []string{"far"}}
 	r.swarm = transfer.NewSwarm(params, transfer.NewOrder(params), "box0", r.held, now)
-	r.swarm.Known("box1", transfer.Knowledge{Held: theirs})
+	r.swarm.Known("box1", transfer.Knowledge{Held: held})
 }
 
-// What other sidecars hold counts, too: it can be had while the origin is
-// away. Where the versions' ages are not known it decides alone.
-func TestChunksWithinReachAreFetched(t *testing.T) {
+// Chunks held by other sidecars count as reachable. If the versions' ages are
+// unknown, the reachable share alone decides whether an older fetch is finished.
+func TestOlderVersionOfUnknownAgeIsFinishedIfReachable(t *testing.T) {
 	i := newPartialInstaller(time.Time{}, time.Time{}, 1, 50*time.Millisecond)
 	assert.DeepEqual(t, fetchedVersions(i), []int{3})
 	addPeerHolding(i.replicas[0], time.Now(), bitset.New(testChunks).Complement())
 	assert.DeepEqual(t, fetchedVersions(i), []int{2, 3})
 }
 
-// An empty engine takes the version that it gets first.
-func TestEmptyEngineTakesWhatComesFirst(t *testing.T) {
+// For an empty engine the version is fetched first that can be served first.
+func TestEmptyEngineGetsFirstAvailableVersion(t *testing.T) {
 	now := time.Now()
 	i := newPartialInstaller(now, now, testChunks-1, 50*time.Millisecond)
 	assert.DeepEqual(t, fetchedVersions(i), []int{3})
@@ -207,9 +209,9 @@
 	assert.DeepEqual(t, fetchedVersions(i), []int{2, 3})
 }
 
-// A version of unknown age that gateways serve alone is taken at once, unless
-// a gateway knows its age.
-func TestOverdueVersionIsTakenAtOnce(t *testing.T) {
+// A version of unknown age that a gateway reports as overdue is loaded after
+// overdueGrace without waiting for a slot, unless a gateway reports its age.
+func TestOverdueVersionIsLoadedAtOnce(t *testing.T) {
 	now := time.Now()
 	for _, known := range []bool{false, true} {
 		i := newLoadedInstaller(nil, 2)
@@ -220,7 +222,7 @@
 			i.Name(testModel, 2, now.Add(-namingSkew/2))
 		}
 		s, _ := i.nextUpdate(now)
-		assert.Assert(t, s.startAt.After(now), "a gateway may know the age")
+		assert.Assert(t, s.startAt.After(now), "a gateway may still report the age")
 		later := now.Add(overdueGrace)
 		i.NameAssumed(testModel, 2, false, later)
 		s, _ = i.nextUpdate(later)
@@ -231,8 +233,8 @@
 	}
 }
 
-// A version that gateways send nothing to any more is not fetched.
-func TestVersionPastItsTimeIsNotFetched(t *testing.T) {
+// An older version is not fetched after the routing cutoff of the newer one.
+func TestVersionPastRoutingCutoffIsNotFetched(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, namedAt: now.Add(-2 * testDeadline)}, {version: 3, namedAt: now.Add(-testDeadline)}}, 2)
 	part := i.replicas[0]
@@ -240,9 +242,8 @@
 	assert.DeepEqual(t, fetchedVersions(i), []int{3})
 }
 
-// An engine whose version gateways have left changes without a drain: it has
-// got nothing since.
-func TestNoDrainPastTheDeadline(t *testing.T) {
+// An engine to which gateways have stopped routing is updated without a drain.
+func TestNoDrainAfterRoutingCutoff(t *testing.T) {
 	now := time.Now()
 	s, _ := newLoadedInstaller([]target{{version: 2, namedAt: now}}, 2).nextUpdate(now)
 	assert.Equal(t, s.drainLimit, earlyDrainTimeout)
@@ -253,9 +254,9 @@
 	assert.Assert(t, !s.startAt.After(now))
 }
 
-// The deadline of the oldest version that an engine lacks binds also when it
-// takes a newer one.
-func TestSkippedVersionsDeadlineBinds(t *testing.T) {
+// The deadline of the oldest pending version holds even if the engine skips that
+// version.
+func TestSkippedVersionsDeadlineIsMet(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, namedAt: now.Add(-5 * time.Second)}, {version: 3, namedAt: now}}, 2, 3)
 	for n := range 4 {
@@ -265,22 +266,21 @@
 		i.settings.Box = fmt.Sprint("box", k)
 		s, _ := i.nextUpdate(now)
 		assert.Equal(t, s.replica.manifest.Version, 3)
-		assert.Assert(t, s.startAt.Before(now.Add(testDeadline-5*time.Second-lastSlotMargin)), "box %d begins after %s", k, s.startAt.Sub(now))
+		assert.Assert(t, s.startAt.Before(now.Add(testDeadline-5*time.Second-lastSlotMargin)), "box %d starts after %s", k, s.startAt.Sub(now))
 	}
 }
 
-// An engine's turn that comes while the machine is suspended is taken on the
-// wake.
-func TestTurnIsTakenOnTheWake(t *testing.T) {
+// An update whose slot was missed while the machine was suspended starts on resume.
+func TestMissedSlotIsUsedOnResume(t *testing.T) {
 	go clock.Watch(t.Context(), nil)
 	const deadline = time.Minute
 	c := newCluster(t, 1, 1, deadline, engineLoadedWith(1))
 	c.installers[0].Name(testModel, 2, clock.Now())
 	for began := time.Now(); !c.installers[0].Promised(); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 10*time.Second, "it promises its turn")
+		assert.Assert(t, time.Since(began) < 10*time.Second, "the update is not scheduled")
 	}
-	woken := time.Now()
+	resumed := time.Now()
 	clock.SuspendForTest(t, deadline)
 	c.awaitVersion(2)
-	assert.Assert(t, time.Since(woken) < 5*time.Second, "%s", time.Since(woken))
+	assert.Assert(t, time.Since(resumed) < 5*time.Second, "%s", time.Since(resumed))
 }
