--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -20,17 +20,18 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// narrowOrigin resets calls beyond the connections that it accepts.
-type narrowOrigin struct {
+// limitedOrigin fails calls beyond a limit of concurrent connections.
+type limitedOrigin struct {
 	*fakeOrigin
-	connections int64
+	connections int64 // the limit
 	open        atomic.Int64
 	manifests   atomic.Int64
 	resets      atomic.Int64
 }
 
-// accept counts a connection; it fails beyond the bound.
-func (o *narrowOrigin) accept() error {
+// accept counts a connection; it returns an error beyond the limit. The caller
+// decrements open in either case.
+func (o *limitedOrigin) accept() error {
 	if o.open.Add(1) > o.connections {
 		o.resets.Add(1)
 		return errors.New("connection reset")
@@ -38,7 +39,7 @@
 	return nil
 }
 
-func (o *narrowOrigin) Manifest(ctx context.Context, model string, version int) (*Manifest, error) {
+func (o *limitedOrigin) Manifest(ctx context.Context, model string, version int) (*Manifest, error) {
 	defer o.open.Add(-1)
 	if err := o.accept(); err != nil {
 		return nil, err
@@ -48,7 +49,7 @@
 	return o.fakeOrigin.Manifest(ctx, model, version)
 }
 
-func (o *narrowOrigin) Chunk(ctx context.Context, model string, version, n int) ([]byte, error) {
+func (o *limitedOrigin) Chunk(ctx context.Context, model string, version, n int) ([]byte, error) {
 	defer o.open.Add(-1)
 	if err := o.accept(); err != nil {
 		return nil, err
@@ -56,26 +57,25 @@
 	return o.fakeOrigin.Chunk(ctx, model, version, n)
 }
 
-// TestFleetBeginsWithoutAHerd names a version at boxes in five regions and
-// counts what they ask of the origin and of each other before the first chunk:
-// calls for what all need alike must not grow with the square of the boxes. How
-// many chunks the origin sends is held on virtual time (linksim).
-func TestFleetBeginsWithoutAHerd(t *testing.T) {
+// The start of a rollout must not flood the origin with manifest requests, nor
+// boxes with availability queries whose number grows with the square of the boxes.
+// The number of chunks that the origin sends is tested on virtual time (linksim).
+func TestRolloutStartSendsFewCalls(t *testing.T) {
 	const boxes, regions = 60, 5
-	origin := &narrowOrigin{fakeOrigin: &fakeOrigin{delay: 2 * time.Millisecond}, connections: 24}
+	origin := &limitedOrigin{fakeOrigin: &fakeOrigin{delay: 2 * time.Millisecond}, connections: 24}
 	var held, lists atomic.Int64
 	var peers []Peer
 	var installers []*Installer
 	var engines []*fakeEngine
 	for k := range boxes {
 		e := &fakeEngine{}
-		e.holds(1)
+		e.load(1)
 		region := fmt.Sprint("r", k%regions)
 		i := New(Settings{Box: fmt.Sprint("box", k), Region: region, Zone: region}, e, origin, func(context.Context) ([]Peer, error) {
 			lists.Add(1)
 			return peers, nil
 		}, logr.Discard(), telemetry.NewMetrics())
-		i.manifestHop = time.Minute
+		i.manifestHopTimeout = time.Minute
 		handler := i.Handler()
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/held") {
@@ -95,30 +95,31 @@
 		i.Heard(s)
 		go i.Run(ctx)
 	}
-	time.Sleep(100 * time.Millisecond) // the copies that lie beside the engines are opened
+	time.Sleep(100 * time.Millisecond) // until the replicas of the staged version are opened
 	origin.manifests.Store(0)
 	for _, i := range installers {
 		i.Name(testModel, 2, time.Now())
 	}
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
-		whole := 0
+		complete := 0
 		for _, i := range installers {
-			if r := i.replica(2); r != nil && i.complete(r) {
-				whole++
+			if r := i.replica(2); r != nil && i.isComplete(r) {
+				complete++
 			}
 		}
-		if whole == boxes {
+		if complete == boxes {
 			break
 		}
-		assert.Assert(t, time.Since(began) < 20*time.Second, "%d of %d boxes have the version", whole, boxes)
+		assert.Assert(t, time.Since(began) < 20*time.Second, "%d of %d boxes hold the version", complete, boxes)
 	}
 	t.Logf("manifests %d, resets %d, held %d, lists %d, chunks %d", origin.manifests.Load(), origin.resets.Load(), held.Load(), lists.Load(), origin.sent)
 	assert.Assert(t, origin.manifests.Load() <= 2*regions, "the origin sent %d manifests", origin.manifests.Load())
-	// Two boxes or three stand beside each box in the orders of its chunks.
-	assert.Assert(t, held.Load() <= boxes*boxes/regions, "%d calls for what others hold", held.Load())
+	// Each box has two or three partners in the order of its chunks.
+	assert.Assert(t, held.Load() <= boxes*boxes/regions, "%d availability queries", held.Load())
 }
 
-// The manifest comes down a tree of the region's boxes.
+// Manifests are distributed along a tree of bounded depth and fan-out in each
+// region, and only the root asks the origin.
 func TestManifestTree(t *testing.T) {
 	var peers []Peer
 	for k := range 40 {
@@ -138,22 +139,22 @@
 	}
 	assert.Equal(t, roots, 2, "one box a region asks the origin")
 	for box, n := range children {
-		assert.Assert(t, n <= manifestFan, "%d boxes ask %s", n, box)
+		assert.Assert(t, n <= manifestFanOut, "%d boxes ask %s", n, box)
 	}
 	assert.Equal(t, len(ancestors(peers, Settings{Box: "unlisted", Region: "r0"}, 2)), 0)
 }
 
-// A box that stands still does not keep those below it from the manifest.
-func TestManifestPassesASilentBox(t *testing.T) {
-	still := make(chan struct{})
+// An unresponsive box does not keep its descendants from getting the manifest.
+func TestManifestSkipsUnresponsiveBox(t *testing.T) {
+	stop := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		select {
-		case <-still:
+		case <-stop:
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(s.Close)
-	t.Cleanup(func() { close(still) })
+	t.Cleanup(func() { close(stop) })
 	origin := &fakeOrigin{}
 	var peers []Peer
 	for k := range 8 {
@@ -162,19 +163,19 @@
 	for _, p := range peers {
 		i := New(Settings{Box: p.Box, Region: p.Region}, &fakeEngine{}, origin, func(context.Context) ([]Peer, error) { return peers, nil }, logr.Discard(), telemetry.NewMetrics())
 		began := time.Now()
-		m := i.manifest(context.Background(), want{params: Params{Model: testModel, Chunks: testChunks}, version: 2})
+		m := i.fetchManifest(context.Background(), fetchTask{params: Params{Model: testModel, Chunks: testChunks}, version: 2})
 		assert.Assert(t, m != nil)
 		assert.DeepEqual(t, m, manifestOf(2))
 		assert.Assert(t, time.Since(began) < 10*time.Second)
 	}
 }
 
-// A pull for one chunk waits until that comes, without a place among the
-// uploads; what does not come is refused.
-func TestPullWaitsForAChunk(t *testing.T) {
+// A pull for a given chunk waits until the chunk arrives, without occupying the
+// upload queue; if the chunk does not arrive, the pull is answered without one.
+func TestPullWaitsForChunk(t *testing.T) {
 	i := New(Settings{Box: "a"}, &fakeEngine{}, &fakeOrigin{}, nil, logr.Discard(), telemetry.NewMetrics())
 	r := newReplica(manifestOf(2), "a")
-	i.copies = append(i.copies, r)
+	i.replicas = append(i.replicas, r)
 	s := httptest.NewServer(i.Handler())
 	t.Cleanup(s.Close)
 	client := newPeerClient(newPacer(0))
@@ -187,27 +188,27 @@
 		data []byte
 		err  error
 	}
-	const waiting = uploadsAtOnce + uploadsWaiting + 2
+	const pulls = maxUploads + maxQueuedUploads + 2
 	_, err := pull(-1)
-	assert.ErrorIs(t, err, errNothing)
-	answers := make(chan answer, waiting)
-	for range waiting {
+	assert.ErrorIs(t, err, errNoUsefulChunk)
+	answers := make(chan answer, pulls)
+	for range pulls {
 		go func() {
 			data, err := pull(5)
 			answers <- answer{data, err}
 		}()
 	}
-	time.Sleep(chunkHold / 10)
-	assert.NilError(t, i.take(r, transfer.Pull{Chunk: 5}, chunkOf(2, 5)))
+	time.Sleep(chunkWaitTimeout / 10)
+	assert.NilError(t, i.storeChunk(r, transfer.Pull{Chunk: 5}, chunkOf(2, 5)))
 	served := 0
-	for range waiting {
+	for range pulls {
 		a := <-answers
 		if a.err == nil {
 			assert.DeepEqual(t, a.data, chunkOf(2, 5))
 			served++
 		}
 	}
-	assert.Assert(t, served > 0, "no pull of %d got the chunk", waiting)
+	assert.Assert(t, served > 0, "no pull of %d got the chunk", pulls)
 	_, err = pull(6)
-	assert.ErrorIs(t, err, errNothing)
+	assert.ErrorIs(t, err, errNoUsefulChunk)
 }
