--- a/loadreport/turns.go
+++ b/loadreport/demand.go
@@ -15,11 +15,11 @@
 
 // subscriber is a gateway that gets reports.
 type subscriber struct {
-	since  time.Time
+	subscribedAt  time.Time
 	region string
 	demand float64 // requests a second
 	// knowledge is how much it knows of what the operator wrote.
-	knowledge int64
+	versionSum int64
 }
 
 // weight is the subscriber's part of what is shared by demand; one that has
@@ -30,7 +30,7 @@
 const minDemand = 1.0
 
 // turn is a gateway's place at the room that a report shows.
-type turn struct {
+type demandPosition struct {
 	// share is its part of the demand, and ahead how much of the demand goes
 	// before it, in average gateways.
 	share, ahead float64
@@ -38,7 +38,7 @@
 
 // turnsLocked draws the turns for one report: who has more demand is more
 // often ahead. Publisher.mu is held.
-func (p *Publisher) turnsLocked() map[netip.AddrPort]turn {
+func (p *Publisher) demandPositionsLocked() map[netip.AddrPort]demandPosition {
 	type entry struct {
 		to     netip.AddrPort
 		weight float64
@@ -52,18 +52,18 @@
 		entries = append(entries, entry{to, w, rand.ExpFloat64() / w})
 	}
 	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.key, b.key) })
-	out := make(map[netip.AddrPort]turn, len(entries))
+	out := make(map[netip.AddrPort]demandPosition, len(entries))
 	ahead := 0.0
 	for _, e := range entries {
 		share := e.weight / total
-		out[e.to] = turn{share: share, ahead: ahead * float64(len(entries))}
+		out[e.to] = demandPosition{share: share, ahead: ahead * float64(len(entries))}
 		ahead += share
 	}
 	return out
 }
 
 // withTurn is the report for one gateway.
-func withTurn(r fleet.Report, t turn) fleet.Report {
+func withDemandPosition(r fleet.Report, t demandPosition) fleet.Report {
 	r.Share, r.Turn = round2(t.share), round2(t.ahead)
 	return r
 }
--- a/loadreport/gateways.go
+++ b/loadreport/gateways.go
@@ -15,23 +15,23 @@
 
 // Readers is how many gateways of a region read the list of endpoints from
 // the store: one that dies or stands still leaves another.
-const Readers = 2
+const ReadersPerRegion = 2
 
 // FirstReaders returns the first of the gateways, given by IP number, in the
 // order that all compute alike; it reorders gateways.
-func FirstReaders(gateways []string) []string {
+func SelectReaders(gateways []string) []string {
 	slices.SortFunc(gateways, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
 	gateways = slices.Compact(gateways)
-	return gateways[:min(Readers, len(gateways))]
+	return gateways[:min(ReadersPerRegion, len(gateways))]
 }
 
 // readersLocked returns the first gateways of a region that subscribed
 // lately. Publisher.mu is held.
 func (p *Publisher) readersLocked(region string) []string {
 	near, _ := p.gatewaysLocked(region, clock.Now())
-	return FirstReaders(near)
+	return SelectReaders(near)
 }
 
 // gatewaysLocked returns the IP numbers of the gateways that subscribed
@@ -39,7 +39,7 @@
 func (p *Publisher) gatewaysLocked(region string, now time.Time) (near, far []string) {
 	for from, s := range p.subs {
 		switch {
-		case now.Sub(s.since) > subscription:
+		case now.Sub(s.subscribedAt) > subscriptionTTL:
 		case s.region == region:
 			near = append(near, from.Addr().String())
 		default:
@@ -51,10 +51,10 @@
 
 // knowsMostLocked returns the most that a gateway knows which subscribed lately,
 // and its IP number. Publisher.mu is held.
-func (p *Publisher) knowsMostLocked(now time.Time) (knowledge int64, knower string) {
+func (p *Publisher) maxVersionSumLocked(now time.Time) (knowledge int64, knower string) {
 	for from, s := range p.subs {
-		if now.Sub(s.since) <= subscription && s.knowledge > knowledge {
-			knowledge, knower = s.knowledge, from.Addr().String()
+		if now.Sub(s.subscribedAt) <= subscriptionTTL && s.versionSum > knowledge {
+			knowledge, knower = s.versionSum, from.Addr().String()
 		}
 	}
 	return knowledge, knower
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -27,16 +27,16 @@
 // Timing.
 const (
 	// SubscribeEvery is how often a gateway subscribes.
-	SubscribeEvery = 500 * time.Millisecond
+	SubscribeInterval = 500 * time.Millisecond
 	// subscription is how long one subscription lasts.
-	subscription = 3500 * time.Millisecond
+	subscriptionTTL = 3500 * time.Millisecond
 	// repeatEvery is how often an unchanged report is sent.
-	repeatEvery = 300 * time.Millisecond
+	repeatInterval = 300 * time.Millisecond
 	// eagerEvery is the same while a version changes, when a gateway must
 	// know at once that an engine stands still.
-	eagerEvery = 80 * time.Millisecond
+	updateRepeatInterval = 80 * time.Millisecond
 	// soonPause is the least time between two rounds of subscriptions.
-	soonPause   = 100 * time.Millisecond
+	minRoundInterval   = 100 * time.Millisecond
 	maxDatagram = 2048
 )
 
@@ -94,17 +94,17 @@
 }
 
 // subscribe is the datagram of a subscription.
-type subscribe struct {
+type gatewayDatagram struct {
 	Notice
 	// Stamp is the sender's own time, in microseconds; the answer echoes it.
 	Stamp int64 `json:"stamp"`
 	// Ask is a wish for permits. It comes alone: such a datagram is no
 	// subscription.
-	Ask *backpressure.Ask `json:"ask,omitempty"`
+	PermitRequest *backpressure.Ask `json:"ask,omitempty"`
 }
 
 // message is the datagram of a report.
-type message struct {
+type sidecarDatagram struct {
 	fleet.Report
 	// Echo is the stamp of the subscription that is answered, or 0.
 	Echo int64 `json:"e,omitempty"`
@@ -113,8 +113,8 @@
 	Era     int64    `json:"h,omitempty"`
 	Readers []string `json:"l,omitempty"`
 	// Knowledge and Knower are those of an Echo.
-	Knowledge int64  `json:"k,omitempty"`
-	Knower    string `json:"i,omitempty"`
+	VersionSum int64  `json:"k,omitempty"`
+	VersionSumGateway    string `json:"i,omitempty"`
 	// Suspects are what gateways told. They come in such an answer, and alone
 	// when there is news.
 	Suspects []quarantine.Record `json:"x,omitempty"`
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -19,7 +19,7 @@
 )
 
 // heard collects reports.
-type heard struct {
+type recorder struct {
 	mu      sync.Mutex
 	reports []fleet.Report
 	echoes  int
@@ -32,7 +32,7 @@
 	endpoints []backpressure.Record
 }
 
-func (h *heard) HeardSuspects(suspects []quarantine.Record) {
+func (h *recorder) HeardSuspects(suspects []quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.suspects == nil {
@@ -43,19 +43,19 @@
 	}
 }
 
-func (h *heard) Granted(g backpressure.Grant) {
+func (h *recorder) Granted(g backpressure.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.grants = append(h.grants, g)
 }
 
-func (h *heard) HeardEndpoints(records []backpressure.Record) {
+func (h *recorder) HeardEndpoints(records []backpressure.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.endpoints = append(h.endpoints, records...)
 }
 
-func (h *heard) Heard(r fleet.Report, e *Echo) {
+func (h *recorder) Heard(r fleet.Report, e *Echo) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports = append(h.reports, r)
@@ -74,7 +74,7 @@
 	}
 }
 
-func pair(t *testing.T, told func(Notice)) (*Publisher, *Subscriber) {
+func newPair(t *testing.T, told func(Notice)) (*Publisher, *Subscriber) {
 	t.Helper()
 	publisher, err := NewPublisher("127.0.0.1:0")
 	assert.NilError(t, err)
@@ -85,10 +85,10 @@
 	return publisher, subscriber
 }
 
-func TestReportsReachSubscribers(t *testing.T) {
+func TestSubscriberReceivesReports(t *testing.T) {
 	var mu sync.Mutex
 	var told Notice
-	publisher, subscriber := pair(t, func(n Notice) {
+	publisher, subscriber := newPair(t, func(n Notice) {
 		mu.Lock()
 		defer mu.Unlock()
 		told = n
@@ -100,7 +100,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var got heard
+	var got recorder
 	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String(), "nonsense"}, Notice: notice}
 	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &got)
 	report := fleet.Report{Address: "a:1", Model: "m", Version: 2, Running: 3}
@@ -121,29 +121,29 @@
 	assert.Assert(t, time.Since(publisher.Asked()) < 2*time.Second)
 }
 
-func TestUnchangedReportIsSentNowAndThen(t *testing.T) {
-	publisher, _ := pair(t, func(Notice) {})
+func TestUnchangedReportIsRepeated(t *testing.T) {
+	publisher, _ := newPair(t, func(Notice) {})
 	now := time.Now()
 	report := fleet.Report{Address: "a:1"}
 	publisher.Publish(report, false, now)
-	first := publisher.sent
-	publisher.Publish(report, false, now.Add(repeatEvery/2))
-	assert.Equal(t, publisher.sent, first)
-	publisher.Publish(report, false, now.Add(repeatEvery))
-	assert.Assert(t, publisher.sent.After(first))
-	publisher.Publish(report, true, now.Add(repeatEvery+eagerEvery))
-	assert.Equal(t, publisher.sent, now.Add(repeatEvery+eagerEvery), "more often while a version changes")
+	first := publisher.lastSent
+	publisher.Publish(report, false, now.Add(repeatInterval/2))
+	assert.Equal(t, publisher.lastSent, first)
+	publisher.Publish(report, false, now.Add(repeatInterval))
+	assert.Assert(t, publisher.lastSent.After(first))
+	publisher.Publish(report, true, now.Add(repeatInterval+updateRepeatInterval))
+	assert.Equal(t, publisher.lastSent, now.Add(repeatInterval+updateRepeatInterval), "more often while a version changes")
 	report.Running = 1
-	publisher.Publish(report, false, now.Add(repeatEvery+eagerEvery+time.Millisecond))
-	assert.Equal(t, publisher.sent, now.Add(repeatEvery+eagerEvery+time.Millisecond), "a change is sent at once")
+	publisher.Publish(report, false, now.Add(repeatInterval+updateRepeatInterval+time.Millisecond))
+	assert.Equal(t, publisher.lastSent, now.Add(repeatInterval+updateRepeatInterval+time.Millisecond), "a change is sent at once")
 }
 
 // A gateway that is gone gets nothing after its subscription has ended.
-func TestSubscriptionEnds(t *testing.T) {
-	publisher, subscriber := pair(t, func(Notice) {})
+func TestSubscriptionExpires(t *testing.T) {
+	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &heard{})
+	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &recorder{})
 	subscribed := func() int {
 		publisher.mu.Lock()
 		defer publisher.mu.Unlock()
@@ -151,11 +151,11 @@
 	}
 	await(t, "a subscription", func() bool { return subscribed() == 1 })
 	cancel()
-	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now().Add(subscription+time.Second))
+	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now().Add(subscriptionTTL+time.Second))
 	assert.Equal(t, subscribed(), 0)
 }
 
-func TestAgeOfANamedVersion(t *testing.T) {
+func TestNamedVersionTime(t *testing.T) {
 	now := time.Now()
 	assert.Assert(t, Named{AgeMS: UnknownAge}.Since(now).IsZero())
 	assert.Equal(t, Named{AgeMS: 1500}.Since(now), now.Add(-1500*time.Millisecond))
@@ -163,8 +163,8 @@
 
 // A gateway hears from a sidecar how far another has read what the operator
 // wrote.
-func TestGatewaysHearHowFarOthersHaveRead(t *testing.T) {
-	publisher, behind := pair(t, func(Notice) {})
+func TestEchoCarriesFurthestReadPosition(t *testing.T) {
+	publisher, behind := newPair(t, func(Notice) {})
 	ahead, err := NewSubscriber("127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -174,9 +174,9 @@
 		audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Read: read}}
 		go s.Run(ctx, func() []Audience { return []Audience{audience} }, nil, h)
 	}
-	var got heard
+	var got recorder
 	run(behind, 3, &got)
-	run(ahead, 7, &heard{})
+	run(ahead, 7, &recorder{})
 	await(t, "what the other has read", func() bool {
 		got.mu.Lock()
 		defer got.mu.Unlock()
@@ -186,15 +186,15 @@
 
 // Gateways with more demand are more often ahead at the room that a report
 // shows, and know their part of the demand.
-func TestTurnsGoByDemand(t *testing.T) {
-	publisher, _ := pair(t, func(Notice) {})
+func TestDemandPositionsFollowDemand(t *testing.T) {
+	publisher, _ := newPair(t, func(Notice) {})
 	small, large := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
-	publisher.subs[small] = subscriber{since: time.Now(), demand: 9}
-	publisher.subs[large] = subscriber{since: time.Now(), demand: 29}
+	publisher.subs[small] = subscriber{subscribedAt: time.Now(), demand: 9}
+	publisher.subs[large] = subscriber{subscribedAt: time.Now(), demand: 29}
 	const rounds = 4000
 	ahead := 0
 	for range rounds {
-		turns := publisher.turnsLocked()
+		turns := publisher.demandPositionsLocked()
 		assert.Equal(t, turns[small].share, 0.25)
 		assert.Equal(t, turns[large].share, 0.75)
 		if turns[large].ahead == 0 {
@@ -209,15 +209,15 @@
 }
 
 // A gateway that was last heard before a suspension is not heard any more.
-func TestSubscriptionsEndWhileSuspended(t *testing.T) {
-	publisher, subscriber := pair(t, func(Notice) {})
+func TestSubscriptionsExpireDuringSuspension(t *testing.T) {
+	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Region: "r"}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &heard{})
+	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &recorder{})
 	await(t, "a subscription", func() bool { return len(publisher.Gateways("r", 2, clock.Now())) == 1 })
 	cancel()
 	time.Sleep(50 * time.Millisecond) // what is under way
-	clock.SuspendForTest(t, subscription)
+	clock.SuspendForTest(t, subscriptionTTL)
 	assert.Equal(t, len(publisher.Gateways("r", 2, clock.Now())), 0)
-	assert.Assert(t, clock.Since(publisher.Asked()) >= subscription)
+	assert.Assert(t, clock.Since(publisher.Asked()) >= subscriptionTTL)
 }
--- a/loadreport/publisher.go
+++ b/loadreport/publisher.go
@@ -23,18 +23,18 @@
 	conn *net.UDPConn
 	mu   sync.Mutex
 	// askedAt is when the last subscription came.
-	askedAt time.Time
+	subscribedAt time.Time
 	// read is how far any gateway has read the operator's records.
 	read history.Position
 	subs map[netip.AddrPort]subscriber
 	// suspects is what gateways told of requests.
 	suspects *quarantine.Table
 	// toldAt is when all subscribers were last told of suspects.
-	toldAt time.Time
+	suspectsSentAt time.Time
 	// quotas deals out the limits of endpoints.
 	quotas *backpressure.Quotas
 	last   fleet.Report
-	sent   time.Time
+	lastSent   time.Time
 }
 
 // NewPublisher listens for subscriptions at address; Run takes them.
@@ -54,28 +54,28 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		var asked subscribe
+		var asked gatewayDatagram
 		if err != nil || json.Unmarshal(buffer[:n], &asked) != nil {
 			continue
 		}
 		now := clock.Now()
-		if asked.Ask != nil {
-			p.deal(*asked.Ask, from, now)
+		if asked.PermitRequest != nil {
+			p.allocatePermits(*asked.PermitRequest, from, now)
 			continue
 		}
 		told(asked.Notice)
 		if p.suspects.Merge(asked.Suspects, now) {
-			p.tellSuspects(now)
+			p.sendSuspects(now)
 		}
 		p.mu.Lock()
-		p.askedAt = now
-		p.subs[from] = subscriber{since: p.askedAt, region: asked.Region, demand: asked.Demand, knowledge: asked.Knowledge}
+		p.subscribedAt = now
+		p.subs[from] = subscriber{subscribedAt: p.subscribedAt, region: asked.Region, demand: asked.Demand, versionSum: asked.Knowledge}
 		p.read = history.Later(p.read, history.Position{Era: asked.Era, Offset: asked.Read})
-		answer := message{
-			Report: withTurn(p.last, p.turnsLocked()[from]), Echo: asked.Stamp, Read: p.read.Offset, Era: p.read.Era,
+		answer := sidecarDatagram{
+			Report: withDemandPosition(p.last, p.demandPositionsLocked()[from]), Echo: asked.Stamp, Read: p.read.Offset, Era: p.read.Era,
 			Readers: p.readersLocked(asked.Region), Suspects: p.suspects.Tell(now), Endpoints: p.quotas.Tell(now),
 		}
-		answer.Knowledge, answer.Knower = p.knowsMostLocked(now)
+		answer.VersionSum, answer.VersionSumGateway = p.maxVersionSumLocked(now)
 		p.mu.Unlock()
 		if answer.Address != "" {
 			p.send(answer, from)
@@ -86,18 +86,18 @@
 // tellPause is the least time between two rounds in which all subscribers are
 // told of suspects; what comes sooner is told with the answers to
 // subscriptions.
-const tellPause = 50 * time.Millisecond
+const minSuspectInterval = 50 * time.Millisecond
 
 // tellSuspects tells all subscribers of suspects at once: told with the answers to
 // subscriptions alone, a request would crash more endpoints until all know.
-func (p *Publisher) tellSuspects(now time.Time) {
+func (p *Publisher) sendSuspects(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.toldAt) < tellPause {
+	if now.Sub(p.suspectsSentAt) < minSuspectInterval {
 		return
 	}
-	p.toldAt = now
-	news := message{Suspects: p.suspects.Tell(now)}
+	p.suspectsSentAt = now
+	news := sidecarDatagram{Suspects: p.suspects.Tell(now)}
 	for to := range p.subs {
 		p.send(news, to)
 	}
@@ -105,45 +105,45 @@
 
 // deal answers a wish for permits, and tells all subscribers at once what an
 // endpoint has said anew: whoever did not hear it goes on sending.
-func (p *Publisher) deal(a backpressure.Ask, from netip.AddrPort, now time.Time) {
+func (p *Publisher) allocatePermits(a backpressure.Ask, from netip.AddrPort, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	grant, news := p.quotas.Ask(a, now)
-	p.send(message{Grant: &grant}, from)
+	p.send(sidecarDatagram{Grant: &grant}, from)
 	if !news {
 		return
 	}
 	for to := range p.subs {
-		p.send(message{Endpoints: []backpressure.Record{grant.Record}}, to)
+		p.send(sidecarDatagram{Endpoints: []backpressure.Record{grant.Record}}, to)
 	}
 }
 
 // Publish sends r to the subscribers if it is due; eager says that a version
 // is changing.
 func (p *Publisher) Publish(r fleet.Report, eager bool, now time.Time) {
-	every := repeatEvery
+	every := repeatInterval
 	if eager {
-		every = eagerEvery
+		every = updateRepeatInterval
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r.Gateways = len(p.subs)
-	if r == p.last && now.Sub(p.sent) < every {
+	if r == p.last && now.Sub(p.lastSent) < every {
 		return
 	}
 	p.last = r
-	p.sent = now
+	p.lastSent = now
 	for to, s := range p.subs {
-		if now.Sub(s.since) > subscription {
+		if now.Sub(s.subscribedAt) > subscriptionTTL {
 			delete(p.subs, to)
 		}
 	}
-	for to, t := range p.turnsLocked() {
-		p.send(message{Report: withTurn(r, t)}, to)
+	for to, t := range p.demandPositionsLocked() {
+		p.send(sidecarDatagram{Report: withDemandPosition(r, t)}, to)
 	}
 }
 
-func (p *Publisher) send(m message, to netip.AddrPort) {
+func (p *Publisher) send(m sidecarDatagram, to netip.AddrPort) {
 	data, err := json.Marshal(m)
 	if err != nil {
 		panic("loadreport: a report does not marshal: " + err.Error())
@@ -155,7 +155,7 @@
 func (p *Publisher) Asked() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.askedAt
+	return p.subscribedAt
 }
 
 // Close ends the publisher.
--- a/loadreport/subscriber.go
+++ b/loadreport/subscriber.go
@@ -71,13 +71,13 @@
 func (s *Subscriber) Run(ctx context.Context, audiences func() []Audience, soon <-chan struct{}, h Handler) {
 	context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	go s.receive(h)
-	ticker := time.NewTicker(SubscribeEvery)
+	ticker := time.NewTicker(SubscribeInterval)
 	defer ticker.Stop()
 	for {
 		for _, a := range audiences() {
 			s.subscribe(a)
 		}
-		clock.Sleep(ctx, soonPause)
+		clock.Sleep(ctx, minRoundInterval)
 		select {
 		case <-ticker.C:
 		case <-soon:
@@ -88,7 +88,7 @@
 }
 
 func (s *Subscriber) subscribe(a Audience) {
-	text, err := json.Marshal(subscribe{Notice: a.Notice, Stamp: s.stamp()})
+	text, err := json.Marshal(gatewayDatagram{Notice: a.Notice, Stamp: s.stamp()})
 	if err != nil {
 		panic("loadreport: a subscription does not marshal: " + err.Error())
 	}
@@ -102,7 +102,7 @@
 // Ask asks the sidecar that publishes at an address for permits; the answer comes to
 // the Handler.
 func (s *Subscriber) Ask(a backpressure.Ask, sidecar string) {
-	text, err := json.Marshal(subscribe{Ask: &a})
+	text, err := json.Marshal(gatewayDatagram{PermitRequest: &a})
 	if err != nil {
 		panic("loadreport: an ask does not marshal: " + err.Error())
 	}
@@ -118,7 +118,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		var m message
+		var m sidecarDatagram
 		if err != nil || json.Unmarshal(buffer[:n], &m) != nil {
 			continue
 		}
@@ -138,7 +138,7 @@
 		default:
 			h.Heard(m.Report, &Echo{
 				RoundTrip: time.Duration(s.stamp()-m.Echo) * time.Microsecond,
-				Read:      history.Position{Era: m.Era, Offset: m.Read}, Readers: m.Readers, Knowledge: m.Knowledge, Knower: m.Knower,
+				Read:      history.Position{Era: m.Era, Offset: m.Read}, Readers: m.Readers, Knowledge: m.VersionSum, Knower: m.VersionSumGateway,
 			})
 		}
 	}
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -18,24 +18,24 @@
 )
 
 // maxHold bounds how long a gateway lets a question wait for a change.
-const maxHold = 2 * time.Second
+const maxWait = 2 * time.Second
 
 // holdField names, in milliseconds, how long the asker can wait for a change:
 // what it knows must be confirmed, or the store read, before it is too old.
-const holdField = "hold_ms"
+const waitField = "hold_ms"
 
 // holdAsked is how long the answer to a question may wait; a question that
 // does not say is answered at once.
-func holdAsked(r *http.Request) time.Duration {
-	ms, err := strconv.ParseInt(r.URL.Query().Get(holdField), 10, 64)
+func requestedWait(r *http.Request) time.Duration {
+	ms, err := strconv.ParseInt(r.URL.Query().Get(waitField), 10, 64)
 	if err != nil {
 		return 0
 	}
-	return min(time.Duration(ms)*time.Millisecond, maxHold)
+	return min(time.Duration(ms)*time.Millisecond, maxWait)
 }
 
 // await waits for a change until end; it returns false if the asker has left.
-func await(ctx context.Context, changed <-chan struct{}, end time.Time) bool {
+func waitForChange(ctx context.Context, changed <-chan struct{}, end time.Time) bool {
 	select {
 	case <-changed:
 	case <-time.After(clock.Until(end)):
@@ -46,7 +46,7 @@
 }
 
 // shared is the list as one gateway tells it to another.
-type shared struct {
+type listResponse struct {
 	State string `json:"state"`
 	// Era of the store that the list was read in.
 	Era int64 `json:"era,omitempty"`
@@ -60,22 +60,22 @@
 // has, or the time has passed for which it can wait.
 func serveList(w http.ResponseWriter, r *http.Request, source Source) {
 	had := r.URL.Query().Get("had")
-	end := clock.Now().Add(holdAsked(r))
+	end := clock.Now().Add(requestedWait(r))
 	for {
 		list, known := source.List()
 		if !known {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		out := shared{State: list.State, Era: list.Era, AgeMS: clock.Since(list.Confirmed).Milliseconds()}
+		out := listResponse{State: list.State, Era: list.Era, AgeMS: clock.Since(list.Confirmed).Milliseconds()}
 		if list.State != had {
 			out.Records = list.Records
 		}
 		if list.State != had || !clock.Now().Before(end) {
-			answer(w, out)
+			writeJSON(w, out)
 			return
 		}
-		if !await(r.Context(), list.Changed, end) {
+		if !waitForChange(r.Context(), list.Changed, end) {
 			return
 		}
 	}
@@ -103,7 +103,7 @@
 	confirmed time.Time
 	// had is the state that was taken last, and from the IP number of the
 	// gateway that told it, or empty.
-	had, from string
+	state, source string
 }
 
 // NewFollower returns a follower of readers that hands on to target; budget
@@ -116,45 +116,45 @@
 // as the age of the list allows. It returns false if this gateway must read
 // the store itself.
 func (f *Follower) Follow(ctx context.Context) bool {
-	if f.had == "" {
+	if f.state == "" {
 		f.confirmed = clock.Now() // nothing is known that could be too old
 	}
-	told := f.readers.tryEach(f.budget, f.confirmed, func(ip string, hold time.Duration) bool { return f.ask(ctx, ip, hold) })
+	told := f.readers.tryEach(f.budget, f.confirmed, func(ip string, hold time.Duration) bool { return f.fetch(ctx, ip, hold) })
 	if told {
 		return true
 	}
-	if f.from != "" {
-		f.log.Info("list read from the store", "before", f.from)
-		f.had, f.from = "", ""
+	if f.source != "" {
+		f.log.Info("list read from the store", "before", f.source)
+		f.state, f.source = "", ""
 	}
 	return false
 }
 
 // ask takes the list from the gateway ip.
-func (f *Follower) ask(ctx context.Context, ip string, hold time.Duration) bool {
-	var got shared
-	if !f.readers.ask(ctx, ip, pathList, url.Values{"had": {f.had}}, hold, f.budget.Relay(), &got) {
+func (f *Follower) fetch(ctx context.Context, ip string, hold time.Duration) bool {
+	var got listResponse
+	if !f.readers.query(ctx, ip, pathList, url.Values{"had": {f.state}}, hold, f.budget.Relay(), &got) {
 		return false
 	}
 	age := time.Duration(got.AgeMS) * time.Millisecond
 	if f.budget.Hold(age) <= 0 {
-		f.readers.leave(ip, clock.Now().Add(avoidFor))
+		f.readers.backOff(ip, clock.Now().Add(backoff))
 		f.log.Info("list of a gateway too old", "gateway", ip, "age_ms", got.AgeMS)
 		return false
 	}
 	if !f.target.SetEra(got.Era) {
-		f.readers.leave(ip, clock.Now().Add(avoidFor))
+		f.readers.backOff(ip, clock.Now().Add(backoff))
 		f.log.Info("list of a gateway is of an era that has passed", "gateway", ip, "their_era", got.Era)
 		return false
 	}
-	if got.State != f.had {
+	if got.State != f.state {
 		f.target.SetEndpoints(got.Records)
 	}
 	f.confirmed = clock.Now().Add(-age)
 	f.target.Listed(f.confirmed)
-	if f.from != ip {
+	if f.source != ip {
 		f.log.Info("list taken from a gateway", "gateway", ip, "age_ms", got.AgeMS)
 	}
-	f.had, f.from = got.State, ip
+	f.state, f.source = got.State, ip
 	return true
 }
--- a/storerelay/list.go
+++ b/storerelay/list.go
@@ -43,7 +43,7 @@
 	// wait; the next one, or the store, is asked after it.
 	callTimeout = 250 * time.Millisecond
 	idleTimeout = 5 * time.Second
-	maxAnswer   = 4 << 20
+	maxResponseBytes   = 4 << 20
 )
 
 // Endpoint is an entry of the list.
@@ -68,7 +68,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		answer(w, Of(list.Records, r.URL.Query().Get("service")))
+		writeJSON(w, Of(list.Records, r.URL.Query().Get("service")))
 	})
 	mux.HandleFunc("GET "+pathList, func(w http.ResponseWriter, r *http.Request) { serveList(w, r, source) })
 	mux.HandleFunc("GET "+pathRecords, func(w http.ResponseWriter, r *http.Request) { serveRecords(w, r, operator) })
@@ -86,7 +86,7 @@
 	return out
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // a process that left asks again
 }
@@ -136,6 +136,6 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("gateway %s: status %d", address, response.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(out)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(out)
 	return errors.Annotatef(err, "list of gateway %s", address)
 }
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -26,17 +26,17 @@
 var budget = freshness.New(2 * time.Second)
 
 // atOnce bounds what must not wait, and is less than what may.
-const atOnce = 700 * time.Millisecond
+const prompt = 700 * time.Millisecond
 
 // gateway is a server and its handler's address.
-func gateway(t *testing.T, records []fleet.Record) (*ingress.Server, string) {
+func startGateway(t *testing.T, records []fleet.Record) (*ingress.Server, string) {
 	t.Helper()
 	server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 	if records != nil {
 		server.SetEndpoints(records)
 		server.Listed(time.Now())
 	}
-	s := httptest.NewServer(Handler(server, &log{}))
+	s := httptest.NewServer(Handler(server, &fakeRecordSource{}))
 	t.Cleanup(s.Close)
 	return server, strings.TrimPrefix(s.URL, "http://")
 }
@@ -49,11 +49,11 @@
 
 // A sidecar gets its service's endpoints from the first gateway that knows
 // them.
-func TestEndpointsOfAService(t *testing.T) {
+func TestClientService(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	gone.Close()
-	_, empty := gateway(t, nil)
-	_, full := gateway(t, records)
+	_, empty := startGateway(t, nil)
+	_, full := startGateway(t, records)
 	c := NewClient()
 	got, err := c.Service(context.Background(), []string{strings.TrimPrefix(gone.URL, "http://"), empty, full}, "models & more")
 	assert.NilError(t, err)
@@ -72,39 +72,39 @@
 }
 
 // follower follows the gateway at address.
-func follower(address string, list *taken) (*Readers, *Follower) {
+func newTestFollower(address string, list *fakeTarget) (*Readers, *Follower) {
 	readers := NewReaders("self", func(string) string { return address }, logr.Discard())
 	return readers, NewFollower(readers, list, budget, logr.Discard())
 }
 
 // taken collects what a follower hands on.
-type taken struct {
+type fakeTarget struct {
 	mu    sync.Mutex
 	lists [][]fleet.Record
-	at    time.Time
+	confirmed    time.Time
 	era   int64
 }
 
-func (l *taken) SetEndpoints(records []fleet.Record) {
+func (l *fakeTarget) SetEndpoints(records []fleet.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lists = append(l.lists, records)
 }
 
-func (l *taken) SetEra(era int64) bool {
+func (l *fakeTarget) SetEra(era int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.era = max(l.era, era)
 	return era == l.era
 }
 
-func (l *taken) Listed(now time.Time) {
+func (l *fakeTarget) Listed(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.at = now
+	l.confirmed = now
 }
 
-func (l *taken) last() map[string]bool {
+func (l *fakeTarget) last() map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(map[string]bool)
@@ -118,10 +118,10 @@
 
 // A change reaches a follower as soon as the gateway that reads has it, and
 // the list is told again only when it has changed.
-func TestFollowerHearsOfChangesAtOnce(t *testing.T) {
-	leader, address := gateway(t, records)
-	var list taken
-	readers, f := follower(address, &list)
+func TestFollowerReceivesChangesPromptly(t *testing.T) {
+	leader, address := startGateway(t, records)
+	var list fakeTarget
+	readers, f := newTestFollower(address, &list)
 	assert.Assert(t, !f.Follow(context.Background()), "nobody is known to read")
 	readers.Heard([]string{"leader"}, time.Now())
 	assert.Assert(t, f.Follow(context.Background()))
@@ -135,33 +135,33 @@
 		changed <- time.Now()
 	}()
 	assert.Assert(t, f.Follow(context.Background()))
-	assert.Assert(t, time.Since(<-changed) < atOnce)
+	assert.Assert(t, time.Since(<-changed) < prompt)
 	assert.Equal(t, list.last()["a"], true)
 	leader.Listed(time.Now())
 	began := time.Now()
 	assert.Assert(t, f.Follow(context.Background()))
-	assert.Assert(t, time.Since(began) >= atOnce, "it waits for a change")
+	assert.Assert(t, time.Since(began) >= prompt, "it waits for a change")
 	assert.Equal(t, len(list.lists), 2)
 }
 
 // A follower reads the store itself when the gateway that reads has not done
 // so for too long, or does not answer; that is noticed before the list is too old.
-func TestFollowerDoesNotTrustAnOldList(t *testing.T) {
-	leader, address := gateway(t, records)
-	var list taken
-	readers, f := follower(address, &list)
+func TestFollowerRejectsStaleList(t *testing.T) {
+	leader, address := startGateway(t, records)
+	var list fakeTarget
+	readers, f := newTestFollower(address, &list)
 	readers.Heard([]string{"leader"}, time.Now())
 	leader.Listed(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
 	assert.Assert(t, f.Follow(context.Background()))
 	began := time.Now()
 	for f.Follow(context.Background()) { // an answer may come within the last millisecond
-		assert.Assert(t, time.Since(began) < atOnce)
+		assert.Assert(t, time.Since(began) < prompt)
 	}
-	assert.Assert(t, time.Since(began) < atOnce, "it ends when the list is too old")
+	assert.Assert(t, time.Since(began) < prompt, "it ends when the list is too old")
 	assert.Assert(t, !f.Follow(context.Background()), "it is left alone for a while")
 
-	_, empty := gateway(t, nil)
-	readers, f = follower(empty, &list)
+	_, empty := startGateway(t, nil)
+	readers, f = newTestFollower(empty, &list)
 	readers.Heard([]string{"leader"}, time.Now())
 	assert.Assert(t, !f.Follow(context.Background()), "it knows no list")
 }
@@ -169,7 +169,7 @@
 // Who is among the first of the region reads the store itself; what few
 // sidecars tell does not make others the first, and readers that are named no
 // longer are forgotten.
-func TestFirstGatewaysReadTheStore(t *testing.T) {
+func TestReaderGatewaysHaveNoCandidates(t *testing.T) {
 	all := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5"}
 	now := time.Now()
 	reading := 0
@@ -178,20 +178,20 @@
 		r.Heard([]string{all[2], all[4]}, now)
 		r.Heard([]string{all[0], all[1]}, now)
 		r.Heard([]string{all[3]}, now)
-		if r.follow(now) == nil {
+		if r.candidates(now) == nil {
 			reading++
 		}
-		assert.Assert(t, len(r.follow(now.Add(readersLife+time.Millisecond))) == 0)
+		assert.Assert(t, len(r.candidates(now.Add(readerTTL+time.Millisecond))) == 0)
 	}
 	assert.Equal(t, reading, 2)
 }
 
 // Gateways that say nothing are left before the list is too old, however many
 // there are: the store is read within the bound.
-func TestSilentGatewaysAreLeftInTime(t *testing.T) {
-	leader, address := gateway(t, records)
-	silent := silentGateway(t)
-	var list taken
+func TestUnresponsiveGatewaysAreSkippedWithinBound(t *testing.T) {
+	leader, address := startGateway(t, records)
+	silent := unresponsiveGateway(t)
+	var list fakeTarget
 	at := address
 	readers := NewReaders("self", func(string) string { return at }, logr.Discard())
 	f := NewFollower(readers, &list, budget, logr.Discard())
@@ -206,11 +206,11 @@
 
 // One silent gateway leaves time for the next one: a reader that loses power
 // does not send all that follow it to the store.
-func TestSecondGatewayIsAskedBehindASilentOne(t *testing.T) {
-	leader, address := gateway(t, records)
-	silent := silentGateway(t)
-	first := loadreport.FirstReaders([]string{"one", "two"})[0]
-	var list taken
+func TestSecondGatewayIsTriedAfterUnresponsiveOne(t *testing.T) {
+	leader, address := startGateway(t, records)
+	silent := unresponsiveGateway(t)
+	first := loadreport.SelectReaders([]string{"one", "two"})[0]
+	var list fakeTarget
 	down := false
 	readers := NewReaders("self", func(ip string) string {
 		if down && ip == first {
@@ -230,7 +230,7 @@
 }
 
 // silentGateway takes questions and answers none.
-func silentGateway(t *testing.T) (address string) {
+func unresponsiveGateway(t *testing.T) (address string) {
 	t.Helper()
 	done := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -248,8 +248,8 @@
 
 // A list that was read before a suspension is too old for those that take it
 // from this gateway, and what they have of it is, too.
-func TestListsAgeWhileSuspended(t *testing.T) {
-	server, address := gateway(t, records)
+func TestListAgeIncludesSuspension(t *testing.T) {
+	server, address := startGateway(t, records)
 	readers := NewReaders("127.0.0.9", func(string) string { return address }, logr.Discard())
 	readers.Heard([]string{"127.0.0.1"}, clock.Now())
 	follower := NewFollower(readers, server, budget, logr.Discard())
@@ -262,15 +262,15 @@
 }
 
 // A list of an era that has passed is not taken, however fresh.
-func TestListOfAnEarlierEraIsNotTaken(t *testing.T) {
-	leader, address := gateway(t, records)
-	var list taken
-	readers, f := follower(address, &list)
+func TestListOfEarlierEraIsRejected(t *testing.T) {
+	leader, address := startGateway(t, records)
+	var list fakeTarget
+	readers, f := newTestFollower(address, &list)
 	readers.Heard([]string{"leader"}, time.Now())
 	list.SetEra(2)
 	assert.Assert(t, !f.Follow(context.Background()))
 	leader.SetEra(2)
-	readers, f = follower(address, &list)
+	readers, f = newTestFollower(address, &list)
 	readers.Heard([]string{"leader"}, time.Now())
 	assert.Assert(t, f.Follow(context.Background()))
 }
--- a/storerelay/records.go
+++ b/storerelay/records.go
@@ -45,7 +45,7 @@
 }
 
 // sharedRecords are Records as one gateway tells them to another.
-type sharedRecords struct {
+type recordsResponse struct {
 	Newest []Record `json:"newest,omitempty"`
 	Next   int64    `json:"next"`
 	Era    int64    `json:"era,omitempty"`
@@ -56,24 +56,24 @@
 // serveRecords answers as soon as there are records from the offset that the
 // asker names, or the time has passed for which it can wait.
 func serveRecords(w http.ResponseWriter, r *http.Request, source RecordSource) {
-	from, err := positionAsked(r.URL.Query())
+	from, err := requestedPosition(r.URL.Query())
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	end := clock.Now().Add(holdAsked(r))
+	end := clock.Now().Add(requestedWait(r))
 	for {
 		records, known := source.Since(from)
 		if !known {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		out := sharedRecords{Newest: records.Newest, Next: records.Next.Offset, Era: records.Next.Era, AgeMS: clock.Since(records.Confirmed).Milliseconds(), Behind: records.Behind}
+		out := recordsResponse{Newest: records.Newest, Next: records.Next.Offset, Era: records.Next.Era, AgeMS: clock.Since(records.Confirmed).Milliseconds(), Behind: records.Behind}
 		if records.Next != from || records.Behind || !clock.Now().Before(end) {
-			answer(w, out)
+			writeJSON(w, out)
 			return
 		}
-		if !await(r.Context(), records.Changed, end) {
+		if !waitForChange(r.Context(), records.Changed, end) {
 			return
 		}
 	}
@@ -85,7 +85,7 @@
 	readers *Readers
 	budget  freshness.Budget
 	log     logr.Logger
-	from    string // the IP number of the gateway that told last, or empty
+	source    string // the IP number of the gateway that told last, or empty
 }
 
 // NewRecordFollower returns a follower of readers; budget is within what the
@@ -100,43 +100,43 @@
 func (f *RecordFollower) Since(ctx context.Context, from history.Position, age time.Duration) (Records, bool) {
 	var got Records
 	told := f.readers.tryEach(f.budget, clock.Now().Add(-age), func(ip string, hold time.Duration) (ok bool) {
-		got, ok = f.ask(ctx, ip, from, hold)
+		got, ok = f.fetch(ctx, ip, from, hold)
 		return ok
 	})
 	if told {
 		return got, true
 	}
-	if f.from != "" {
-		f.log.Info("records read from the store", "before", f.from, "offset", from.Offset)
-		f.from = ""
+	if f.source != "" {
+		f.log.Info("records read from the store", "before", f.source, "offset", from.Offset)
+		f.source = ""
 	}
 	return Records{}, false
 }
 
-func (f *RecordFollower) ask(ctx context.Context, ip string, from history.Position, hold time.Duration) (Records, bool) {
-	var got sharedRecords
-	if !f.readers.ask(ctx, ip, pathRecords, positionQuery(from), hold, f.budget.Relay(), &got) {
+func (f *RecordFollower) fetch(ctx context.Context, ip string, from history.Position, hold time.Duration) (Records, bool) {
+	var got recordsResponse
+	if !f.readers.query(ctx, ip, pathRecords, positionQuery(from), hold, f.budget.Relay(), &got) {
 		return Records{}, false
 	}
 	age := time.Duration(got.AgeMS) * time.Millisecond
 	next := history.Position{Era: got.Era, Offset: got.Next}
 	if got.Behind || next.Before(from) || f.budget.Hold(age) <= 0 {
-		f.readers.leave(ip, clock.Now().Add(avoidFor))
+		f.readers.backOff(ip, clock.Now().Add(backoff))
 		f.log.Info("records of a gateway too old", "gateway", ip, "age_ms", got.AgeMS, "era", from.Era, "offset", from.Offset, "their_era", got.Era, "theirs", got.Next)
 		return Records{}, false
 	}
-	if f.from != ip {
+	if f.source != ip {
 		f.log.Info("records taken from a gateway", "gateway", ip, "age_ms", got.AgeMS, "offset", from.Offset)
 	}
-	f.from = ip
+	f.source = ip
 	return Records{Newest: got.Newest, Next: next, Confirmed: clock.Now().Add(-age)}, true
 }
 
 // All asks one gateway, by its IP number, for all operator's records that it
 // knows.
 func (r *Readers) All(ctx context.Context, ip string) ([]Record, bool) {
-	var got sharedRecords
-	ok := r.ask(ctx, ip, pathRecords, positionQuery(history.Unread), 0, callTimeout, &got)
+	var got recordsResponse
+	ok := r.query(ctx, ip, pathRecords, positionQuery(history.Unread), 0, callTimeout, &got)
 	return got.Newest, ok
 }
 
@@ -151,7 +151,7 @@
 }
 
 // positionAsked reads the position of a query; one without an era is of era 0.
-func positionAsked(query url.Values) (p history.Position, err error) {
+func requestedPosition(query url.Values) (p history.Position, err error) {
 	if p.Offset, err = strconv.ParseInt(query.Get(fromField), 10, 64); err != nil {
 		return p, err
 	}
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -17,7 +17,7 @@
 )
 
 // log is a source of records.
-type log struct {
+type fakeRecordSource struct {
 	mu        sync.Mutex
 	records   []Record
 	confirmed time.Time
@@ -26,15 +26,15 @@
 	changed   chan struct{}
 }
 
-func newLog(keys ...string) *log {
-	l := &log{changed: make(chan struct{}), confirmed: time.Now()}
+func newFakeRecordSource(keys ...string) *fakeRecordSource {
+	l := &fakeRecordSource{changed: make(chan struct{}), confirmed: time.Now()}
 	for _, key := range keys {
 		l.add(key)
 	}
 	return l
 }
 
-func (l *log) add(key string) {
+func (l *fakeRecordSource) add(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, Record{Key: key, Value: []byte("v"), Offset: int64(len(l.records))})
@@ -43,14 +43,14 @@
 }
 
 // confirm says that the store has told that there are no more.
-func (l *log) confirm() {
+func (l *fakeRecordSource) confirm() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.confirmed = time.Now()
 }
 
 // goBack leaves the first n records, in a new era.
-func (l *log) goBack(n int) {
+func (l *fakeRecordSource) rollBack(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = l.records[:n]
@@ -60,9 +60,9 @@
 	l.changed = make(chan struct{})
 }
 
-func at(offset int64) history.Position { return history.Position{Offset: offset} }
+func position(offset int64) history.Position { return history.Position{Offset: offset} }
 
-func (l *log) Since(from history.Position) (Records, bool) {
+func (l *fakeRecordSource) Since(from history.Position) (Records, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from.Era != l.era {
@@ -72,7 +72,7 @@
 	return Records{Newest: l.records[min(max(from.Offset, 0), n):], Next: history.Position{Era: l.era, Offset: n}, Confirmed: l.confirmed, Behind: l.behind, Changed: l.changed}, n > 0
 }
 
-func follow(t *testing.T, l *log) *RecordFollower {
+func newTestRecordFollower(t *testing.T, l *fakeRecordSource) *RecordFollower {
 	t.Helper()
 	s := httptest.NewServer(Handler(nil, l))
 	t.Cleanup(s.Close)
@@ -81,19 +81,19 @@
 	return NewRecordFollower(readers, budget, logr.Discard())
 }
 
-func TestRecordsAreToldAtOnce(t *testing.T) {
-	l := newLog("config", "version")
-	f := follow(t, l)
+func TestRecordFollowerReceivesChangesPromptly(t *testing.T) {
+	l := newFakeRecordSource("config", "version")
+	f := newTestRecordFollower(t, l)
 	got, ok := f.Since(context.Background(), history.Unread, 0)
 	assert.Assert(t, ok)
 	assert.Equal(t, len(got.Newest), 2)
-	assert.Equal(t, got.Next, at(2))
+	assert.Equal(t, got.Next, position(2))
 	time.AfterFunc(50*time.Millisecond, func() { l.add("config") })
 	began := time.Now()
 	got, ok = f.Since(context.Background(), got.Next, 0)
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, got.Newest, []Record{{Key: "config", Value: []byte("v"), Offset: 2}})
-	assert.Assert(t, time.Since(began) < atOnce)
+	assert.Assert(t, time.Since(began) < prompt)
 	began = time.Now()
 	time.AfterFunc(300*time.Millisecond, l.confirm)
 	got, ok = f.Since(context.Background(), got.Next, 0)
@@ -105,38 +105,38 @@
 
 // A gateway that is behind, or has not read for long, is not followed: its
 // follower reads the store before what it knows is too old.
-func TestOldRecordsAreNotTaken(t *testing.T) {
-	for name, change := range map[string]func(*log){
-		"not confirmed":     func(l *log) { l.confirmed = time.Now().Add(-time.Second) },
-		"behind others":     func(l *log) { l.behind = true },
-		"behind the asker":  func(l *log) { l.records = l.records[:1] },
-		"nothing read ever": func(l *log) { l.records = nil },
+func TestStaleRecordsAreRejected(t *testing.T) {
+	for name, change := range map[string]func(*fakeRecordSource){
+		"not confirmed":     func(l *fakeRecordSource) { l.confirmed = time.Now().Add(-time.Second) },
+		"behind others":     func(l *fakeRecordSource) { l.behind = true },
+		"behind the asker":  func(l *fakeRecordSource) { l.records = l.records[:1] },
+		"nothing read ever": func(l *fakeRecordSource) { l.records = nil },
 	} {
-		l := newLog("config", "version")
-		f := follow(t, l)
+		l := newFakeRecordSource("config", "version")
+		f := newTestRecordFollower(t, l)
 		change(l)
 		began := time.Now()
-		_, ok := f.Since(context.Background(), at(2), 0)
+		_, ok := f.Since(context.Background(), position(2), 0)
 		assert.Assert(t, !ok, name)
 		assert.Assert(t, time.Since(began) < budget.StaleAfter(), name)
-		_, ok = f.Since(context.Background(), at(2), 0)
+		_, ok = f.Since(context.Background(), position(2), 0)
 		assert.Assert(t, !ok, name+": it is left alone for a while")
 	}
 }
 
 // Gateways that say nothing are left before the records are too old.
-func TestRecordsOfSilentGateways(t *testing.T) {
-	silent := silentGateway(t)
+func TestUnresponsiveRecordGatewaysAreSkippedWithinBound(t *testing.T) {
+	silent := unresponsiveGateway(t)
 	readers := NewReaders("self", func(string) string { return silent }, logr.Discard())
 	readers.Heard([]string{"one", "two"}, time.Now())
 	f := NewRecordFollower(readers, budget, logr.Discard())
 	const age = 400 * time.Millisecond
 	began := time.Now()
-	_, ok := f.Since(context.Background(), at(2), age)
+	_, ok := f.Since(context.Background(), position(2), age)
 	assert.Assert(t, !ok)
 	assert.Assert(t, age+time.Since(began) < budget.StaleAfter()+100*time.Millisecond, "left after %s", time.Since(began))
 	began = time.Now()
-	_, ok = f.Since(context.Background(), at(2), budget.StaleAfter())
+	_, ok = f.Since(context.Background(), position(2), budget.StaleAfter())
 	assert.Assert(t, !ok)
 	assert.Assert(t, time.Since(began) < 100*time.Millisecond, "what is too old already is not asked for")
 }
@@ -144,16 +144,16 @@
 // A follower and its reader may be in different histories of the store. One that
 // is ahead is told all at once, though its offsets are lower; one that is behind
 // is not followed, though its offsets are higher.
-func TestFollowerInAnotherHistory(t *testing.T) {
-	l := newLog("config", "version", "config")
-	f := follow(t, l)
+func TestRecordFollowerInAnotherEra(t *testing.T) {
+	l := newFakeRecordSource("config", "version", "config")
+	f := newTestRecordFollower(t, l)
 	got, ok := f.Since(context.Background(), history.Unread, 0)
 	assert.Assert(t, ok)
-	time.AfterFunc(50*time.Millisecond, func() { l.goBack(1) })
+	time.AfterFunc(50*time.Millisecond, func() { l.rollBack(1) })
 	began := time.Now()
 	got, ok = f.Since(context.Background(), got.Next, 0)
 	assert.Assert(t, ok)
-	assert.Assert(t, time.Since(began) < atOnce)
+	assert.Assert(t, time.Since(began) < prompt)
 	assert.Equal(t, got.Next, history.Position{Era: 1, Offset: 1})
 	assert.Equal(t, len(got.Newest), 1)
 	_, ok = f.Since(context.Background(), history.Position{Era: 2, Offset: 0}, 0)
--- a/storewatch/export_test.go
+++ b/storewatch/export_test.go
@@ -2,8 +2,9 @@
 
 package storewatch
 
-// For tests that need the platform's store, which imports this package.
+// Exported for tests in storewatch_test, which import package platform; that
+// package imports this one.
 var (
-	RetryPause = retryPause
-	PartSilent = (*Watcher).partSilent
+	RetryDelay        = retryDelay
+	TopicUnresponsive = (*Watcher).topicUnresponsive
 )
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -15,138 +15,144 @@
 	"github.com/mintlift/mintlift/internal/stall"
 )
 
-// A read that failed is made again after retryMin, longer by as much at random
-// and doubling up to retryMax: all processes lose the store at once.
+// Bounds of the delay before a failed read is retried; see retryDelay.
 const (
-	retryMin = 150 * time.Millisecond
-	retryMax = 900 * time.Millisecond
+	minRetryDelay = 150 * time.Millisecond
+	maxRetryDelay = 900 * time.Millisecond
 )
 
-// Source is one topic and what is done with its records.
+// Source is a topic to follow, and the callbacks that receive its records.
 type Source struct {
 	Topic string
-	// Budget, if not nil, bounds how old what is known of the topic may become:
-	// reads wait for a record for as long as it allows, and are made again
-	// beside one that is silent.
+	// Budget, if not nil, bounds the age of the records: it limits how long a read
+	// waits for new records and sets when a hedged read is made beside it. Without
+	// it reads do not wait, and are hedged only on Wake.
 	Budget *freshness.Budget
-	// Pause is slept between two reads, from the end of one: behind a read that
-	// took long it is the time in which a gateway learns whom to follow instead.
-	// Without it 85 gateways that start at once, with 3,000 endpoints, read
-	// the list on over full links: callers refused 0.17, 0.02 to 0.06 with it.
+	// Pause is the delay between the end of a successful read and the next one.
+	// After a slow read it gives a gateway time to find another gateway to follow,
+	// so that gateways that start together do not all keep reading the store.
 	Pause time.Duration
-	// All is told the newest records, of an era, and One each further one.
+	// OnSnapshot receives the newest record of each key and their era; it replaces
+	// everything received before. OnRecord receives each later record.
 	All func(records []Record, era int64)
 	One func(Record)
-	// Wake makes a read beside the one in progress; it may be nil.
+	// Wake makes a hedged read at once for each value. It is set for the operator's
+	// topic and nil for others.
 	Wake <-chan struct{}
-	// Others is asked before each read, if it is not nil: it returns true, and
-	// from where to read on, if another process has told what the topic holds.
+	// FromRelay, if not nil, is called before each read with the next position. It
+	// returns true and the position to continue from if another process has
+	// delivered the records, so that the store need not be read.
 	Others func(ctx context.Context, next history.Position) (history.Position, bool)
-	// Done is told of each read that succeeded, and as of when it holds; it may
-	// be nil.
+	// OnConfirmed, if not nil, is called after each successful read with the time
+	// as of which the records are complete.
 	Done func(confirmed time.Time)
 
-	// confirmed is as of when the store last said what the topic holds.
+	// confirmed is the time as of which the records are complete.
 	confirmed time.Time
-	// applied are the offsets by which each key was told last; a dropped key
-	// has none.
-	applied map[string]int64
-	// listedEnd is the end of the topic as the newest records told it.
+	// appliedOffsets are the offsets of the last applied record of each key.
+	// Dropped keys are absent.
+	appliedOffsets map[string]int64
+	// listedEnd is the end of the topic as reported with the newest records.
 	listedEnd int64
-	// newestAt is when the newest records were last read, and checkUntil how
-	// long that is done again.
-	newestAt, checkUntil time.Time
+	// checkedAt is when the newest records were last read for a recheck, and
+	// recheckUntil when rechecks end; zero means that none are due.
+	checkedAt, recheckUntil time.Time
 }
 
-// Newest records that may be older than the end from which the reader goes
-// on are read again for a while: what lies between would never be heard of.
+// After newest records that may lag behind the position from which reading
+// continues, they are read again every RecheckInterval for recheckDuration: the
+// records between the two would be missed otherwise.
 const (
-	CheckEvery = 1200 * time.Millisecond
-	checkFor   = 8 * time.Second
+	CheckEvery      = 1200 * time.Millisecond
+	recheckDuration = 8 * time.Second
 )
 
-// begin takes the newest records in the place of all that was told before,
-// and returns from where to read on.
-func (s *Source) begin(n *Newest, now time.Time) history.Position {
-	s.applied = make(map[string]int64, len(n.Records))
+// reset replaces everything applied before by the newest records, and returns
+// the position to read from next.
+func (s *Source) reset(n *Newest, now time.Time) history.Position {
+	s.appliedOffsets = make(map[string]int64, len(n.Records))
 	for _, r := range n.Records {
-		s.applied[r.Key] = r.Offset
+		s.appliedOffsets[r.Key] = r.Offset
 	}
 	s.listedEnd = n.End
-	s.checkUntil = time.Time{}
+	s.recheckUntil = time.Time{}
 	if n.Pages > 1 {
-		s.checkAgain(now)
+		s.scheduleRechecks(now)
 	}
 	s.All(n.Records, n.Era)
-	return n.ReadFrom()
+	return n.NextPosition()
 }
 
-// checkAgain begins to read the newest records again for a while.
-func (s *Source) checkAgain(now time.Time) { s.newestAt, s.checkUntil = now, now.Add(checkFor) }
+// scheduleRechecks makes rechecks due for recheckDuration from now.
+func (s *Source) scheduleRechecks(now time.Time) {
+	s.checkedAt, s.recheckUntil = now, now.Add(recheckDuration)
+}
 
-// take tells one record.
-func (s *Source) take(r Record) {
+// apply records r's offset and passes r to OnRecord.
+func (s *Source) apply(r Record) {
 	if r.Value == nil {
-		delete(s.applied, r.Key)
+		delete(s.appliedOffsets, r.Key)
 	} else {
-		s.applied[r.Key] = r.Offset
+		s.appliedOffsets[r.Key] = r.Offset
 	}
 	s.One(r)
 }
 
-// takeNew tells the records that are newer than what was told of their keys.
-func (s *Source) takeNew(records []Record) {
+// applyNew applies the records that are newer than the last applied of their key.
+func (s *Source) applyNew(records []Record) {
 	for _, r := range records {
-		if told, known := s.applied[r.Key]; known && r.Offset <= told {
-			continue // a check was ahead
+		if offset, known := s.appliedOffsets[r.Key]; known && r.Offset <= offset {
+			continue // already applied by a recheck
 		}
-		s.take(r)
+		s.apply(r)
 	}
 }
 
-// checkDue reports whether the newest records should be read again.
-func (s *Source) checkDue(now time.Time) bool {
-	return now.Before(s.checkUntil) && now.Sub(s.newestAt) >= CheckEvery
+// recheckDue reports whether the newest records should be read again now.
+func (s *Source) recheckDue(now time.Time) bool {
+	return now.Before(s.recheckUntil) && now.Sub(s.checkedAt) >= CheckEvery
 }
 
-// check tells what the newest records have that was not told. Records older
-// than those that were told, and a list older than a key, say nothing.
-func (s *Source) check(records []Record, now time.Time) {
-	s.newestAt = now
+// reconcile applies the newest records that have not been applied, and drops the
+// keys that they lack. It ignores records older than the applied ones, and keeps
+// keys that are newer than all of records.
+func (s *Source) reconcile(records []Record, now time.Time) {
+	s.checkedAt = now
 	listed := make(map[string]bool, len(records))
 	latest := int64(-1)
 	for _, r := range records {
 		listed[r.Key] = true
 		latest = max(latest, r.Offset)
-		if told, known := s.applied[r.Key]; !known && r.Offset > s.told() || known && r.Offset > told {
-			s.take(r)
+		if offset, known := s.appliedOffsets[r.Key]; !known && r.Offset > s.highestApplied() || known && r.Offset > offset {
+			s.apply(r)
 		}
 	}
-	for key, offset := range s.applied {
+	for key, offset := range s.appliedOffsets {
 		if !listed[key] && offset < latest {
-			s.take(Record{Key: key})
+			s.apply(Record{Key: key})
 		}
 	}
 }
 
-// told is the highest offset that was told.
-func (s *Source) told() int64 {
+// highestApplied returns the highest applied offset of the present keys, or -1.
+func (s *Source) highestApplied() int64 {
 	highest := int64(-1)
-	for _, offset := range s.applied {
+	for _, offset := range s.appliedOffsets {
 		highest = max(highest, offset)
 	}
 	return highest
 }
 
-// Follow reads a topic from its newest records on. After an error it tries
-// again with pauses; after a gap it begins anew with the newest records.
+// Follow reads the newest records of a topic, and then those that follow, until
+// ctx ends. It retries failed reads after a delay. After a gap or a new era it
+// starts over with the newest records.
 func (w *Watcher) Follow(ctx context.Context, s *Source) {
 	next := history.Unread
 	failures := 0
 	for ctx.Err() == nil {
 		if s.Others != nil {
-			from, told := s.Others(ctx, next)
-			if told {
+			from, relayed := s.Others(ctx, next)
+			if relayed {
 				next = from
 				continue
 			}
@@ -159,8 +165,8 @@
 				s.Done(s.confirmed)
 			}
 			if failures > 0 {
-				w.log.Info("store regained", "topic", s.Topic, "failures", failures, "offset", from.Offset)
-				w.poke(s)
+				w.log.Info("store available again", "topic", s.Topic, "failures", failures, "offset", from.Offset)
+				w.wakeAfterOutage(s)
 			}
 			failures = 0
 			next = from
@@ -169,49 +175,51 @@
 			}
 			clock.Sleep(ctx, s.Pause)
 		case errors.Is(err, ErrNewEra):
-			w.log.Info("store came back from an older copy", "topic", s.Topic, "era", next.Era, "new_era", w.store.Era(), "offset", next.Offset)
+			w.log.Info("store restored from an older copy", "topic", s.Topic, "era", next.Era, "new_era", w.store.Era(), "offset", next.Offset)
 			next = history.Unread
 		case errors.Is(err, ErrGone) && next.Offset < s.listedEnd:
-			w.log.Info("store keeps the records no longer", "topic", s.Topic, "offset", next.Offset, "end", s.listedEnd)
+			w.log.Info("records no longer retained by the store", "topic", s.Topic, "offset", next.Offset, "end", s.listedEnd)
 			next.Offset = s.listedEnd
-			s.checkAgain(clock.Now())
+			s.scheduleRechecks(clock.Now())
 		case errors.Is(err, ErrGone):
-			w.log.Info("store keeps the records no longer", "topic", s.Topic, "offset", next.Offset)
+			w.log.Info("records no longer retained by the store", "topic", s.Topic, "offset", next.Offset)
 			next = history.Unread
 		default:
 			took := clock.Since(began).Milliseconds()
 			if failures == 0 {
-				w.log.Info("store lost", "topic", s.Topic, "offset", next.Offset, "ms", took, "error", err.Error())
+				w.log.Info("store unavailable", "topic", s.Topic, "offset", next.Offset, "ms", took, "error", err.Error())
 			} else {
-				w.log.Info("store still lost", "topic", s.Topic, "offset", next.Offset, "failures", failures, "ms", took, "error", err.Error())
+				w.log.Info("store still unavailable", "topic", s.Topic, "offset", next.Offset, "failures", failures, "ms", took, "error", err.Error())
 			}
 			failures++
-			clock.Sleep(ctx, retryPause(failures, w.partSilent(s.Topic, next, err)))
+			clock.Sleep(ctx, retryDelay(failures, w.topicUnresponsive(s.Topic, next, err)))
 		}
 	}
 }
 
-// partSilent reports whether a read failed since its topic alone is silent,
-// while the link and the rest of the store do well.
-func (w *Watcher) partSilent(topic string, next history.Position, err error) bool {
+// topicUnresponsive reports whether a read from a known position stalled while
+// calls for other topics were answered in time: the topic alone does not respond.
+func (w *Watcher) topicUnresponsive(topic string, next history.Position, err error) bool {
 	return next.Known() && errors.Is(err, stall.Err) && !w.store.OthersLate(topic, clock.Now())
 }
 
-// retryPause is how long to wait after a read that failed. One whose topic
-// alone is silent has waited long enough: with a pause on top, what is read
-// after such an outage would be older than the bound of changes (1.5 s instead
-// of 2.4 s and more, with 2 s). On full links the pauses let them empty.
-func retryPause(failures int, partSilent bool) time.Duration {
-	jitter := time.Duration(rand.Int64N(int64(retryMin)))
-	if partSilent {
+// retryDelay returns the delay after the given number of consecutive failed
+// reads: exponential up to maxRetryDelay, plus jitter, since all processes lose
+// the store at once and saturated links need time to drain. If only the topic is
+// unresponsive the delay is the jitter alone: the read has already taken the
+// stall timeout, and a longer delay would exceed the bound of changes.
+func retryDelay(failures int, topicUnresponsive bool) time.Duration {
+	jitter := time.Duration(rand.Int64N(int64(minRetryDelay)))
+	if topicUnresponsive {
 		return jitter
 	}
-	return min(retryMin<<min(failures, 3), retryMax) + jitter
+	return min(minRetryDelay<<min(failures, 3), maxRetryDelay) + jitter
 }
 
-// poke makes the operator's reader ask anew.
-func (w *Watcher) poke(s *Source) {
+// wakeAfterOutage makes the reader of the operator's topic read at once when the
+// store answers again for s, another topic.
+func (w *Watcher) wakeAfterOutage(s *Source) {
 	if s.Wake == nil {
-		w.wakeReader()
+		w.wakeOperatorReader()
 	}
 }
--- a/storewatch/follow_test.go
+++ b/storewatch/follow_test.go
@@ -17,30 +17,30 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// lateLog is a store whose other topics are late, or not.
-type lateLog struct {
-	storewatch.Log
-	late bool
+// fakeStore is a store whose calls for other topics are late if othersLate is set.
+type fakeStore struct {
+	storewatch.Store
+	othersLate bool
 }
 
-func (l *lateLog) OthersLate(string, time.Time) bool { return l.late }
-func (l *lateLog) Era() int64                        { return 0 }
+func (l *fakeStore) OthersLate(string, time.Time) bool { return l.othersLate }
+func (l *fakeStore) Era() int64                        { return 0 }
 
-// After an outage in which reads were refused, or a topic alone was silent, the
-// pause and the next read take less than the bound of changes.
-func TestPausesAreUnderTheBound(t *testing.T) {
+// After an outage in which reads were refused, or one topic was unresponsive, the
+// retry delay and the next read take less than the bound of changes.
+func TestRetryDelaysAreUnderTheBound(t *testing.T) {
 	const manyFailures = 9
 	budget := freshness.New(2 * time.Second)
 	for range 100 {
-		assert.Assert(t, storewatch.RetryPause(manyFailures, false)+budget.Answer() < budget.Bound())
-		assert.Assert(t, platform.StoreStall+storewatch.RetryPause(manyFailures, true)+budget.Answer() < budget.Bound())
+		assert.Assert(t, storewatch.RetryDelay(manyFailures, false)+budget.Answer() < budget.Bound())
+		assert.Assert(t, platform.StoreStall+storewatch.RetryDelay(manyFailures, true)+budget.Answer() < budget.Bound())
 	}
-	log := &lateLog{}
-	w := storewatch.New(log, logr.Discard(), telemetry.NewMetrics())
+	store := &fakeStore{}
+	w := storewatch.New(store, logr.Discard(), telemetry.NewMetrics())
 	read := history.Position{Offset: 5}
-	assert.Assert(t, storewatch.PartSilent(w, "list", read, stall.Err))
-	assert.Assert(t, !storewatch.PartSilent(w, "list", read, platform.ErrStore), "refused")
-	assert.Assert(t, !storewatch.PartSilent(w, "list", history.Unread, stall.Err), "newest records fill links")
-	log.late = true
-	assert.Assert(t, !storewatch.PartSilent(w, "list", read, stall.Err), "the link is full")
+	assert.Assert(t, storewatch.TopicUnresponsive(w, "list", read, stall.Err))
+	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", read, platform.ErrStore), "refused")
+	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", history.Unread, stall.Err), "newest records may saturate the link")
+	store.othersLate = true
+	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", read, stall.Err), "the link is saturated")
 }
--- a/storewatch/reader.go
+++ b/storewatch/reader.go
@@ -10,7 +10,7 @@
 	"github.com/mintlift/mintlift/history"
 )
 
-// Reader reads a topic when it is asked to.
+// Reader reads a topic on request. It is not safe for concurrent use.
 type Reader struct {
 	watcher *Watcher
 	source  *Source
@@ -22,7 +22,8 @@
 	return &Reader{watcher: w, source: s, next: history.Unread}
 }
 
-// Read tells all of the topic, and from the second time on only what is new.
+// Read reads the topic once: the newest records at first, and only later ones from
+// then on. After ErrGone or ErrNewEra the next Read starts over.
 func (r *Reader) Read(ctx context.Context) error {
 	next, err := r.watcher.step(ctx, r.source, r.next)
 	if errors.Is(err, ErrGone) || errors.Is(err, ErrNewEra) {
--- a/storewatch/relay.go
+++ b/storewatch/relay.go
@@ -10,22 +10,23 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Relayed are operator's records that another process has read.
+// RelayedRecords are the operator's records that another process has read.
 type Relayed struct {
 	Records []Record
-	// Next and Confirmed are the Read and Confirmed of that process's Progress.
+	// Next and Confirmed are Read and Confirmed of that process's Progress.
 	Next      history.Position
 	Confirmed time.Time
 }
 
-// Relay asks another process for the operator's records from a position on, or
-// all if it is of another era, and waits there for one for as long as the age of
-// what is known allows. It returns nil if the store must be read instead.
+// Relay requests the operator's records from another process: those from a
+// position on, or all if that is of another era. age is the age of the records
+// held here; it limits how long the other process waits for new ones. Relay
+// returns nil if the store must be read instead.
 type Relay func(ctx context.Context, from history.Position, age time.Duration) *Relayed
 
-// Relayed takes the operator's records from another process, and returns from
-// where to go on; false if the store must be read. One that is behind others
-// reads the store, whatever the relay says.
+// ReadRelayed applies the operator's records obtained through relay, and returns
+// the position to read from next. It returns false if the store must be read
+// instead, as it always must while this process is behind another one.
 func (w *Watcher) Relayed(ctx context.Context, s *Source, relay Relay, next history.Position) (history.Position, bool) {
 	if w.Progress().Behind {
 		return next, false
@@ -37,9 +38,9 @@
 	s.confirmed = got.Confirmed
 	if !next.Known() || got.Next.Era != next.Era {
 		w.store.Learn(got.Next.Era)
-		s.begin(&Newest{Records: got.Records, Era: got.Next.Era, End: got.Next.Offset, Pages: 1}, clock.Now())
+		s.reset(&Newest{Records: got.Records, Era: got.Next.Era, End: got.Next.Offset, Pages: 1}, clock.Now())
 	} else {
-		s.takeNew(got.Records)
+		s.applyNew(got.Records)
 	}
 	w.advance(got.Next, got.Confirmed)
 	return got.Next, true
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package storewatch follows topics of the platform's store, or what another
-// process tells of them, and hands on what changes.
+// Package storewatch follows topics of the platform's store, directly or through
+// another process, and delivers changed records.
 //
-// A reader begins with the newest record of each key, reads on from there, and
-// begins anew after a gap or once the store has come back from an older copy.
-// What the records say is not looked at here.
+// It starts with the newest record of each key and continues from there. It starts
+// over after a gap and after the store was restored from an older copy, which
+// begins a new era. It does not interpret the records' values.
 package storewatch
 
 import (
@@ -23,74 +23,75 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// Watcher reads the store and tells what changes.
+// Watcher follows topics of a store, and holds the operator's records and the
+// progress of reading them. It is safe for concurrent use.
 type Watcher struct {
-	store   Log
+	store   Store
 	log     logr.Logger
 	metrics *telemetry.Metrics
-	// wake makes the operator's reader read at once: after an outage, or when
-	// somebody has read further.
+	// wake makes the reader of the operator's topic read at once: after an outage,
+	// or when another process has read further.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// read is how far the operator's topic has been read, and confirmed when
-	// that was last known to be all there is.
+	// read is the next position of the operator's topic, and confirmed the time as
+	// of which there were no records beyond it.
 	read      history.Position
 	confirmed time.Time
-	// late says that what was read has grown older than its bound.
-	late bool
-	// ahead is how far others have read it, and wokenAt when that last led to
-	// a read.
-	ahead   history.Position
-	wokenAt time.Time
-	// newest are the operator's records of the highest version, by key, and
-	// changed is closed, and made anew, when read grows.
-	newest  map[string]versioned
-	changed chan struct{}
-	// others is the most that another process told that it knows, and othersAt
-	// when.
-	others   int64
-	othersAt time.Time
-}
-
-// othersLife is how long another process's word of what it knows counts: those
-// that live are heard of twice a second.
-const othersLife = 4 * time.Second
-
-// versioned is a record that the operator wrote.
-type versioned struct {
+	// stale is set once the records are older than the bound of changes.
+	stale bool
+	// peerPosition is the furthest position that another process has reported, and
+	// wokenAt the time of the last read made because of it.
+	peerPosition history.Position
+	wokenAt      time.Time
+	// newest holds the operator's record of the highest version for each key.
+	// advanced is closed and replaced when read changes.
+	newest   map[string]versionedRecord
+	advanced chan struct{}
+	// peerVersionSum is the version sum last reported for another process, and
+	// peerVersionSumAt when; see VersionSum.
+	peerVersionSum   int64
+	peerVersionSumAt time.Time
+}
+
+// peerVersionSumTTL is how long a reported version sum counts. Running processes
+// report theirs twice a second.
+const peerVersionSumTTL = 4 * time.Second
+
+// versionedRecord is a record that the operator wrote.
+type versionedRecord struct {
 	Record
-	// era is that of its offset, and version that of what it says: it rises with
-	// each record of a key that the operator writes.
+	// era is the era of the offset. version is the version of the content; it rises
+	// with each record that the operator writes for a key.
 	era, version int64
 }
 
-// New returns a watcher of a store.
-func New(store Log, log logr.Logger, m *telemetry.Metrics) *Watcher {
+// New returns a watcher of a store, and registers its gauges with m.
+func New(store Store, log logr.Logger, m *telemetry.Metrics) *Watcher {
 	w := &Watcher{
-		store: store, log: log, metrics: m, wake: make(chan struct{}, 1), read: history.Unread, ahead: history.Unread,
-		newest: make(map[string]versioned), changed: make(chan struct{}),
+		store: store, log: log, metrics: m, wake: make(chan struct{}, 1), read: history.Unread, peerPosition: history.Unread,
+		newest: make(map[string]versionedRecord), advanced: make(chan struct{}),
 	}
 	m.Gauge("mintlift_store_era", func() float64 { return float64(store.Era()) })
 	m.Gauge("mintlift_operator_records_age_seconds", func() float64 { return w.Progress().Age(clock.Now()).Seconds() })
 	return w
 }
 
-// Progress is how far the operator's records have been read.
+// Progress describes how far the operator's records have been read.
 type Progress struct {
 	// Read is the position of the next record.
 	Read history.Position
-	// Confirmed is when the store last said that there are no more.
+	// Confirmed is the time as of which there were no further records; zero if none
+	// have been read.
 	Confirmed time.Time
-	// Behind says that another process has read further.
+	// Behind is set if another process has read further.
 	Behind bool
-	// Lacks says that another process knows more, though it has read no further:
-	// the store came back from a copy that lacks it.
+	// Incomplete is set if another process holds newer versions: the store may have
+	// been restored from a copy without them.
 	Lacks bool
 }
 
-// Age is how long ago the store last said that there are no more; zero if it
-// has never been read.
+// Age returns the time since Confirmed, or zero if nothing has been read.
 func (p Progress) Age(now time.Time) time.Duration {
 	if p.Confirmed.IsZero() {
 		return 0
@@ -98,7 +99,7 @@
 	return now.Sub(p.Confirmed)
 }
 
-// Progress returns how far the operator's records have been read.
+// Progress returns the progress of reading the operator's records.
 func (w *Watcher) Progress() Progress {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,23 +107,23 @@
 }
 
 func (w *Watcher) progressLocked() Progress {
-	return Progress{Read: w.read, Confirmed: w.confirmed, Behind: w.read.Known() && w.read.Before(w.ahead), Lacks: w.lacksLocked()}
+	return Progress{Read: w.read, Confirmed: w.confirmed, Behind: w.read.Known() && w.read.Before(w.peerPosition), Lacks: w.incompleteLocked()}
 }
 
-func (w *Watcher) lacksLocked() bool {
-	return w.others > w.knowledgeLocked() && clock.Since(w.othersAt) < othersLife
+func (w *Watcher) incompleteLocked() bool {
+	return w.peerVersionSum > w.versionSumLocked() && clock.Since(w.peerVersionSumAt) < peerVersionSumTTL
 }
 
-// Knowledge is the sum of the versions of all that is known of what the operator
-// wrote. No version that is known goes down: who knows more than another one has
-// something newer.
+// VersionSum returns the sum of the versions of the operator's records held here.
+// Held versions never decrease, so a process with a higher sum than another one
+// holds a newer version of some record.
 func (w *Watcher) Knowledge() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.knowledgeLocked()
+	return w.versionSumLocked()
 }
 
-func (w *Watcher) knowledgeLocked() int64 {
+func (w *Watcher) versionSumLocked() int64 {
 	sum := int64(0)
 	for _, r := range w.newest {
 		sum += r.version
@@ -130,45 +131,46 @@
 	return sum
 }
 
-// OthersKnow notes the most that another process tells that it knows, and
-// reports whether that is more than is known here.
-func (w *Watcher) OthersKnow(knowledge int64) bool {
+// ObserveVersionSum records the highest version sum reported for other processes,
+// and reports whether it is above the one here. It returns false before the first
+// read.
+func (w *Watcher) OthersKnow(sum int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.others, w.othersAt = knowledge, clock.Now()
-	return w.read.Known() && w.lacksLocked()
+	w.peerVersionSum, w.peerVersionSumAt = sum, clock.Now()
+	return w.read.Known() && w.incompleteLocked()
 }
 
-// advance notes a successful read of the operator's topic, and when the store
-// confirmed that there was no more.
+// advance records a successful read of the operator's topic: the next position,
+// and the time as of which there were no further records.
 func (w *Watcher) advance(next history.Position, confirmed time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.late = false
+	w.stale = false
 	if next != w.read {
-		close(w.changed)
-		w.changed = make(chan struct{})
+		close(w.advanced)
+		w.advanced = make(chan struct{})
 	}
 	w.read = next
 	w.confirmed = confirmed
 }
 
-// checkAge logs, once until they are confirmed, that the operator's records
-// have grown older than the bound of changes.
+// checkAge logs that the operator's records are older than the bound of changes,
+// once until they are confirmed again.
 func (w *Watcher) checkAge(budget freshness.Budget, now time.Time) {
 	w.mu.Lock()
 	age := w.progressLocked().Age(now)
-	first := !w.late && !budget.Current(age)
-	w.late = w.late || first
+	first := !w.stale && !budget.Current(age)
+	w.stale = w.stale || first
 	w.mu.Unlock()
 	if first {
-		w.log.Info("operator records too old", "age_ms", age.Milliseconds(), "bound_ms", budget.Bound().Milliseconds())
+		w.log.Info("operator records stale", "age_ms", age.Milliseconds(), "bound_ms", budget.Bound().Milliseconds())
 	}
 }
 
-// Keep notes an operator's record, of the store's era, for those who ask for it.
-// One that is older than what is held, as from an older copy of the store, is
-// left out; it returns false then.
+// Keep stores an operator's record of the store's current era, to be returned by
+// Since. It returns false, and keeps the record held, if that has a higher version,
+// as it may after the store was restored from an older copy.
 func (w *Watcher) Keep(r Record, version int64) bool {
 	era := w.store.Era()
 	w.mu.Lock()
@@ -176,57 +178,59 @@
 	if held, known := w.newest[r.Key]; known && held.version > version {
 		return false
 	}
-	w.newest[r.Key] = versioned{r, era, version}
+	w.newest[r.Key] = versionedRecord{r, era, version}
 	return true
 }
 
-// Since returns the newest operator's records of each key from a position on,
-// by offset, and a channel that is closed once there are more. From a position
-// of another era these are all, also those that the store has lost. It returns
-// false before the first read.
+// Since returns the newest operator's record of each key from a position on, by
+// offset, the progress, and a channel that is closed when that advances. For an
+// unknown position or one of another era it returns all records, including those
+// that the store has lost, which have offset -1. It returns false before the first
+// read.
 func (w *Watcher) Since(from history.Position) ([]Record, Progress, <-chan struct{}, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	anew := !from.Known() || from.Era != w.read.Era
+	all := !from.Known() || from.Era != w.read.Era
 	var out []Record
 	for _, r := range w.newest {
 		if r.era != w.read.Era {
-			r.Offset = -1 // it has none in this era
+			r.Offset = -1 // no offset in this era
 		}
-		if anew || r.era == w.read.Era && r.Offset >= from.Offset && r.Offset < w.read.Offset {
+		if all || r.era == w.read.Era && r.Offset >= from.Offset && r.Offset < w.read.Offset {
 			out = append(out, r.Record)
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.Offset, b.Offset) })
-	return out, w.progressLocked(), w.changed, w.read.Known()
+	return out, w.progressLocked(), w.advanced, w.read.Known()
 }
 
-// WakeEvery is the least time between two reads that are made because another
-// process has read further: a store may answer with less than it has told
+// MinWakeInterval is the minimum time between two reads made because another
+// process has read further: the store may return less than it has returned to
 // others.
 const WakeEvery = 300 * time.Millisecond
 
-// OthersRead notes that another process has read the operator's records up
-// to a position. Beside a read that waits although there are newer records
-// another one is made: the store's notice of them has been lost.
+// ObservePosition records that another process has read the operator's records up
+// to a position. If that is further than here, it makes another read beside the
+// one that waits, at most once every MinWakeInterval: the store's answer to the
+// waiting read may have been lost.
 func (w *Watcher) OthersRead(position history.Position, now time.Time) {
 	w.mu.Lock()
-	w.ahead = history.Later(w.ahead, position)
+	w.peerPosition = history.Later(w.peerPosition, position)
 	due := w.progressLocked().Behind && now.Sub(w.wokenAt) >= WakeEvery
 	if due {
 		w.wokenAt = now
 	}
-	read, ahead := w.read, w.ahead
+	read, peerPosition := w.read, w.peerPosition
 	w.mu.Unlock()
 	if !due {
 		return
 	}
-	w.log.Info("operator records read anew", "era", read.Era, "offset", read.Offset, "others_era", ahead.Era, "others", ahead.Offset)
-	w.wakeReader()
+	w.log.Info("operator records behind another process, read again", "era", read.Era, "offset", read.Offset, "others_era", peerPosition.Era, "others", peerPosition.Offset)
+	w.wakeOperatorReader()
 }
 
-// WatchAge logs when the operator's records have grown older than the bound of
-// changes, until ctx ends.
+// WatchAge logs, until ctx ends, when the operator's records become older than the
+// bound of changes.
 func (w *Watcher) WatchAge(ctx context.Context, budget freshness.Budget) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, budget.Interval())
@@ -234,10 +238,12 @@
 	}
 }
 
-// Woken makes a read of the operator's records at once for each value.
+// Wakeups returns the channel for Source.Wake of the operator's topic: each value
+// requests a read at once.
 func (w *Watcher) Woken() <-chan struct{} { return w.wake }
 
-func (w *Watcher) wakeReader() {
+// wakeOperatorReader requests a read, unless one is requested already.
+func (w *Watcher) wakeOperatorReader() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
