--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -17,15 +17,16 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// maxHold bounds how long a gateway lets a question wait for a change.
+// maxWait bounds how long a gateway holds a request until a change.
 const maxWait = 2 * time.Second
 
-// holdField names, in milliseconds, how long the asker can wait for a change:
-// what it knows must be confirmed, or the store read, before it is too old.
+// waitField is the query parameter with the time, in milliseconds, that the client
+// can wait for a change: its data must be confirmed, or read from the store, before
+// they are stale.
 const waitField = "hold_ms"
 
-// holdAsked is how long the answer to a question may wait; a question that
-// does not say is answered at once.
+// requestedWait returns how long a request may be held, at most maxWait; zero if it
+// does not say.
 func requestedWait(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.URL.Query().Get(waitField), 10, 64)
 	if err != nil {
@@ -34,7 +35,8 @@
 	return min(time.Duration(ms)*time.Millisecond, maxWait)
 }
 
-// await waits for a change until end; it returns false if the asker has left.
+// waitForChange waits until changed is closed or end has passed. It returns false
+// if ctx ended first, because the client disconnected.
 func waitForChange(ctx context.Context, changed <-chan struct{}, end time.Time) bool {
 	select {
 	case <-changed:
@@ -45,21 +47,22 @@
 	return true
 }
 
-// shared is the list as one gateway tells it to another.
+// listResponse is the endpoint list as one gateway sends it to another.
 type listResponse struct {
+	// State identifies the state of the list; see ingress.List.
 	State string `json:"state"`
-	// Era of the store that the list was read in.
+	// Era is the era of the store in which the list was read.
 	Era int64 `json:"era,omitempty"`
-	// AgeMS is how long ago the store was read.
+	// AgeMS is the time since the store was read, in milliseconds.
 	AgeMS int64 `json:"age_ms"`
-	// Records are left out where the asker has this state already.
+	// Records are omitted if the client has this state already.
 	Records []fleet.Record `json:"records,omitempty"`
 }
 
-// serveList answers as soon as the list differs from the one that the asker
-// has, or the time has passed for which it can wait.
+// serveList is a long poll: it responds once the list differs from the state in the
+// query, or when the requested wait has passed.
 func serveList(w http.ResponseWriter, r *http.Request, source Source) {
-	had := r.URL.Query().Get("had")
+	clientState := r.URL.Query().Get("had")
 	end := clock.Now().Add(requestedWait(r))
 	for {
 		list, known := source.List()
@@ -68,10 +71,10 @@
 			return
 		}
 		out := listResponse{State: list.State, Era: list.Era, AgeMS: clock.Since(list.Confirmed).Milliseconds()}
-		if list.State != had {
+		if list.State != clientState {
 			out.Records = list.Records
 		}
-		if list.State != had || !clock.Now().Before(end) {
+		if list.State != clientState || !clock.Now().Before(end) {
 			writeJSON(w, out)
 			return
 		}
@@ -81,70 +84,75 @@
 	}
 }
 
-// Target takes the list that another gateway told.
+// Target receives the endpoint list from a Follower.
 type Target interface {
-	// SetEra is that of platform.Endpoints; it returns false for an era that has
-	// passed.
+	// SetEra sets the store's era in which the next list was read, as in
+	// platform.Endpoints. It returns false for an earlier era than the current one.
 	SetEra(era int64) bool
+	// SetEndpoints replaces the list.
 	SetEndpoints(records []fleet.Record)
+	// ConfirmList records that the list is complete as of a time.
 	Listed(now time.Time)
 }
 
 var _ Target = (*ingress.Server)(nil)
 
-// Follower takes the list from a gateway of the region that reads it for the
-// others.
+// Follower receives the endpoint list from a gateway of the region that reads it
+// from the store for the others. It is not safe for concurrent use.
 type Follower struct {
 	readers *Readers
 	target  Target
 	budget  freshness.Budget
 	log     logr.Logger
-	// confirmed is as of when the list that was taken last holds.
+	// confirmed is the time as of which the last list received is complete.
 	confirmed time.Time
-	// had is the state that was taken last, and from the IP number of the
-	// gateway that told it, or empty.
+	// state is the state of the last list received, and source the IP address of the
+	// gateway that sent it; both are empty while the store is read instead.
 	state, source string
 }
 
-// NewFollower returns a follower of readers that hands on to target; budget
-// is within what changes of the list must be in force.
+// NewFollower returns a follower that requests the list from readers and passes it
+// to target. budget bounds the time within which changes of the list must take
+// effect.
 func NewFollower(readers *Readers, target Target, budget freshness.Budget, log logr.Logger) *Follower {
 	return &Follower{readers: readers, target: target, budget: budget, log: log}
 }
 
-// Follow asks a gateway for the list, and waits there for a change for as long
-// as the age of the list allows. It returns false if this gateway must read
-// the store itself.
+// Poll makes one long poll for the list at the reader gateways, for as long as the
+// age of the list allows. It returns false if this gateway must read the store
+// itself.
 func (f *Follower) Follow(ctx context.Context) bool {
 	if f.state == "" {
-		f.confirmed = clock.Now() // nothing is known that could be too old
+		f.confirmed = clock.Now() // there is no list yet that could be stale
 	}
-	told := f.readers.tryEach(f.budget, f.confirmed, func(ip string, hold time.Duration) bool { return f.fetch(ctx, ip, hold) })
-	if told {
+	received := f.readers.tryEach(f.budget, f.confirmed, func(ip string, wait time.Duration) bool { return f.fetch(ctx, ip, wait) })
+	if received {
 		return true
 	}
 	if f.source != "" {
-		f.log.Info("list read from the store", "before", f.source)
+		f.log.Info("reading endpoint list from the store", "before", f.source)
 		f.state, f.source = "", ""
 	}
 	return false
 }
 
-// ask takes the list from the gateway ip.
-func (f *Follower) fetch(ctx context.Context, ip string, hold time.Duration) bool {
+// fetch requests the list from the gateway ip, which may hold the request for wait,
+// and passes it to the target. It returns false, and backs off from the gateway, if
+// that does not answer or its list is stale or of an earlier era.
+func (f *Follower) fetch(ctx context.Context, ip string, wait time.Duration) bool {
 	var got listResponse
-	if !f.readers.query(ctx, ip, pathList, url.Values{"had": {f.state}}, hold, f.budget.Relay(), &got) {
+	if !f.readers.fetch(ctx, ip, pathList, url.Values{"had": {f.state}}, wait, f.budget.Relay(), &got) {
 		return false
 	}
 	age := time.Duration(got.AgeMS) * time.Millisecond
 	if f.budget.Hold(age) <= 0 {
 		f.readers.backOff(ip, clock.Now().Add(backoff))
-		f.log.Info("list of a gateway too old", "gateway", ip, "age_ms", got.AgeMS)
+		f.log.Info("endpoint list from gateway too old", "gateway", ip, "age_ms", got.AgeMS)
 		return false
 	}
 	if !f.target.SetEra(got.Era) {
 		f.readers.backOff(ip, clock.Now().Add(backoff))
-		f.log.Info("list of a gateway is of an era that has passed", "gateway", ip, "their_era", got.Era)
+		f.log.Info("endpoint list from gateway is of an earlier store era", "gateway", ip, "their_era", got.Era)
 		return false
 	}
 	if got.State != f.state {
@@ -153,7 +161,7 @@
 	f.confirmed = clock.Now().Add(-age)
 	f.target.Listed(f.confirmed)
 	if f.source != ip {
-		f.log.Info("list taken from a gateway", "gateway", ip, "age_ms", got.AgeMS)
+		f.log.Info("endpoint list received from gateway", "gateway", ip, "age_ms", got.AgeMS)
 	}
 	f.state, f.source = got.State, ip
 	return true
--- a/storerelay/list.go
+++ b/storerelay/list.go
@@ -1,17 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package storerelay lets the processes of a region share what two of its
-// gateways read from the store: the list of endpoints, and the operator's
-// records.
+// Package storerelay distributes what a few gateways of a region read from the
+// store, the endpoint list and the operator's records, to the other processes of
+// the region.
 //
-// A sidecar needs the list when a version is named, and so do all others at
-// the same moment: read from the store, some hundred lists would cross the
-// links between regions just when the version must. A gateway needs each
-// change within a second; read by each of fifty, list and configurations would
-// be most of what the store is asked for, and a series of large configurations
-// would fill the links for seconds.
+// This limits the load on the store and on the links between regions: all sidecars
+// need the endpoint list at the moment a version is named, when its weights cross
+// the same links, and every gateway needs each change within seconds.
 //
-// Who does not get an answer, or one that is too old, reads the store itself.
+// A process that gets no answer, or a stale one, reads the store itself.
 package storerelay
 
 import (
@@ -29,37 +26,38 @@
 	"github.com/mintlift/mintlift/internal/tcpconn"
 )
 
-// Paths of the endpoints of the service in the query, of the whole list, and
-// of the operator's records.
+// Paths of a Handler: the endpoints of the service in the query, the whole list, and
+// the operator's records.
 const (
 	pathService = "/endpoints"
 	pathList    = "/list"
 	pathRecords = "/records"
 )
 
-// Bounds of a call.
+// Limits of the client.
 const (
-	// callTimeout is how long a gateway may take beyond what it is asked to
-	// wait; the next one, or the store, is asked after it.
-	callTimeout = 250 * time.Millisecond
-	idleTimeout = 5 * time.Second
-	maxResponseBytes   = 4 << 20
+	// callTimeout bounds connecting to a gateway, and requests that do not wait for a
+	// change.
+	callTimeout      = 250 * time.Millisecond
+	idleTimeout      = 5 * time.Second
+	maxResponseBytes = 4 << 20
 )
 
-// Endpoint is an entry of the list.
+// Endpoint is an endpoint of a service.
 type Endpoint struct {
 	Address string `json:"address"` // IP:PORT
 	Zone    string `json:"zone"`
-	// Draining says that the endpoint takes nothing new.
+	// Draining is set if the endpoint accepts no new requests.
 	Draining bool `json:"draining,omitempty"`
 }
 
-// Source is a gateway that has the list; it returns false while it has none.
+// Source is a gateway that holds the endpoint list.
 type Source interface {
+	// List returns the list, or false while there is none.
 	List() (ingress.List, bool)
 }
 
-// Handler serves the list and the operator's records.
+// Handler returns a handler that serves the endpoint list and the operator's records.
 func Handler(source Source, operator RecordSource) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathService, func(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +73,7 @@
 	return mux
 }
 
-// Of returns the endpoints of a service.
+// EndpointsOf returns the endpoints of a service.
 func Of(records []fleet.Record, service string) []Endpoint {
 	out := []Endpoint{}
 	for _, r := range records {
@@ -88,13 +86,12 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a process that left asks again
+	_ = json.NewEncoder(w).Encode(v) // the client has disconnected, and will ask again
 }
 
-// Client asks gateways.
+// Client queries gateways.
 type Client struct{ client *http.Client }
 
-// NewClient returns a client.
 func NewClient() *Client {
 	dialer := tcpconn.Dialer(callTimeout, tcpconn.ProbeLater)
 	return &Client{client: &http.Client{Transport: &http.Transport{
@@ -102,11 +99,11 @@
 	}}}
 }
 
-// Close closes connections that rest.
+// Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// Service returns the endpoints of a service from the first of the gateways,
-// given by IP:PORT, that answers.
+// Service returns the endpoints of a service as reported by the first of the
+// gateways, given by IP:PORT, that answers. It returns the last error if none does.
 func (c *Client) Service(ctx context.Context, gateways []string, service string) ([]Endpoint, error) {
 	err := error(errors.NotFoundf("gateway"))
 	for _, address := range gateways {
@@ -119,7 +116,7 @@
 	return nil, err
 }
 
-// get decodes a gateway's answer into out.
+// get makes a request to the gateway at address and decodes its response into out.
 func (c *Client) get(ctx context.Context, address, path string, query url.Values, timeout time.Duration, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -137,5 +134,5 @@
 		return errors.Errorf("gateway %s: status %d", address, response.StatusCode)
 	}
 	err = json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(out)
-	return errors.Annotatef(err, "list of gateway %s", address)
+	return errors.Annotatef(err, "decode response of gateway %s", address)
 }
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -22,13 +22,15 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// budget is the bound of changes in tests.
+// budget is the freshness budget in tests.
 var budget = freshness.New(2 * time.Second)
 
-// atOnce bounds what must not wait, and is less than what may.
+// prompt bounds the time of a response that must not wait; it is less than the
+// wait of a long poll.
 const prompt = 700 * time.Millisecond
 
-// gateway is a server and its handler's address.
+// startGateway serves records, or no list if they are nil, and returns the server
+// and the address of its Handler.
 func startGateway(t *testing.T, records []fleet.Record) (*ingress.Server, string) {
 	t.Helper()
 	server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
@@ -47,15 +49,14 @@
 	{ID: "c", Service: "plain", Address: "127.0.0.3:9", Zone: "b"},
 }
 
-// A sidecar gets its service's endpoints from the first gateway that knows
-// them.
+// Service skips gateways that do not answer or have no list.
 func TestClientService(t *testing.T) {
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	closed := httptest.NewServer(nil)
+	closed.Close()
 	_, empty := startGateway(t, nil)
 	_, full := startGateway(t, records)
 	c := NewClient()
-	got, err := c.Service(context.Background(), []string{strings.TrimPrefix(gone.URL, "http://"), empty, full}, "models & more")
+	got, err := c.Service(context.Background(), []string{strings.TrimPrefix(closed.URL, "http://"), empty, full}, "models & more")
 	assert.NilError(t, err)
 	byAddress := make(map[string]Endpoint)
 	for _, e := range got {
@@ -71,18 +72,18 @@
 	assert.ErrorContains(t, err, "not found")
 }
 
-// follower follows the gateway at address.
+// newTestFollower returns a follower whose reader gateways all have the address.
 func newTestFollower(address string, list *fakeTarget) (*Readers, *Follower) {
 	readers := NewReaders("self", func(string) string { return address }, logr.Discard())
 	return readers, NewFollower(readers, list, budget, logr.Discard())
 }
 
-// taken collects what a follower hands on.
+// fakeTarget records what a follower passes on.
 type fakeTarget struct {
-	mu    sync.Mutex
-	lists [][]fleet.Record
-	confirmed    time.Time
-	era   int64
+	mu        sync.Mutex
+	lists     [][]fleet.Record
+	confirmed time.Time
+	era       int64
 }
 
 func (l *fakeTarget) SetEndpoints(records []fleet.Record) {
@@ -116,13 +117,13 @@
 	return out
 }
 
-// A change reaches a follower as soon as the gateway that reads has it, and
-// the list is told again only when it has changed.
+// A follower receives a change as soon as the reader gateway has it, and the list
+// only when it has changed.
 func TestFollowerReceivesChangesPromptly(t *testing.T) {
 	leader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
-	assert.Assert(t, !f.Follow(context.Background()), "nobody is known to read")
+	assert.Assert(t, !f.Follow(context.Background()), "no reader is known")
 	readers.Heard([]string{"leader"}, time.Now())
 	assert.Assert(t, f.Follow(context.Background()))
 	assert.DeepEqual(t, list.last(), map[string]bool{"a": false, "b": true, "c": false})
@@ -144,8 +145,8 @@
 	assert.Equal(t, len(list.lists), 2)
 }
 
-// A follower reads the store itself when the gateway that reads has not done
-// so for too long, or does not answer; that is noticed before the list is too old.
+// A follower reads the store itself, before its list is stale, when the reader
+// gateway's list is stale or missing.
 func TestFollowerRejectsStaleList(t *testing.T) {
 	leader, address := startGateway(t, records)
 	var list fakeTarget
@@ -154,21 +155,20 @@
 	leader.Listed(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
 	assert.Assert(t, f.Follow(context.Background()))
 	began := time.Now()
-	for f.Follow(context.Background()) { // an answer may come within the last millisecond
+	for f.Follow(context.Background()) { // a response may arrive within the last millisecond
 		assert.Assert(t, time.Since(began) < prompt)
 	}
-	assert.Assert(t, time.Since(began) < prompt, "it ends when the list is too old")
-	assert.Assert(t, !f.Follow(context.Background()), "it is left alone for a while")
+	assert.Assert(t, time.Since(began) < prompt, "it returns when the list is stale")
+	assert.Assert(t, !f.Follow(context.Background()), "it is backed off from")
 
 	_, empty := startGateway(t, nil)
 	readers, f = newTestFollower(empty, &list)
 	readers.Heard([]string{"leader"}, time.Now())
-	assert.Assert(t, !f.Follow(context.Background()), "it knows no list")
+	assert.Assert(t, !f.Follow(context.Background()), "it has no list")
 }
 
-// Who is among the first of the region reads the store itself; what few
-// sidecars tell does not make others the first, and readers that are named no
-// longer are forgotten.
+// A gateway among the region's first reads the store itself; reports of sidecars
+// with few subscribers do not change which gateways are first, and reports expire.
 func TestReaderGatewaysHaveNoCandidates(t *testing.T) {
 	all := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5"}
 	now := time.Now()
@@ -186,11 +186,11 @@
 	assert.Equal(t, reading, 2)
 }
 
-// Gateways that say nothing are left before the list is too old, however many
-// there are: the store is read within the bound.
+// A follower gives up on unresponsive gateways, however many there are, in time to
+// read the store before its list is stale.
 func TestUnresponsiveGatewaysAreSkippedWithinBound(t *testing.T) {
 	leader, address := startGateway(t, records)
-	silent := unresponsiveGateway(t)
+	unresponsive := unresponsiveGateway(t)
 	var list fakeTarget
 	at := address
 	readers := NewReaders("self", func(string) string { return at }, logr.Discard())
@@ -199,22 +199,22 @@
 	leader.Listed(time.Now())
 	confirmed := time.Now()
 	assert.Assert(t, f.Follow(context.Background()))
-	at = silent
+	at = unresponsive
 	assert.Assert(t, !f.Follow(context.Background()))
-	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter()+100*time.Millisecond, "left after %s", time.Since(confirmed))
+	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter()+100*time.Millisecond, "gave up after %s", time.Since(confirmed))
 }
 
-// One silent gateway leaves time for the next one: a reader that loses power
-// does not send all that follow it to the store.
+// An unresponsive gateway leaves time to query the next one: the failure of one
+// reader must not send all its followers to the store.
 func TestSecondGatewayIsTriedAfterUnresponsiveOne(t *testing.T) {
 	leader, address := startGateway(t, records)
-	silent := unresponsiveGateway(t)
+	unresponsive := unresponsiveGateway(t)
 	first := loadreport.SelectReaders([]string{"one", "two"})[0]
 	var list fakeTarget
 	down := false
 	readers := NewReaders("self", func(ip string) string {
 		if down && ip == first {
-			return silent
+			return unresponsive
 		}
 		return address
 	}, logr.Discard())
@@ -229,7 +229,7 @@
 	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter(), "%s", time.Since(confirmed))
 }
 
-// silentGateway takes questions and answers none.
+// unresponsiveGateway accepts requests and does not respond.
 func unresponsiveGateway(t *testing.T) (address string) {
 	t.Helper()
 	done := make(chan struct{})
@@ -246,8 +246,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// A list that was read before a suspension is too old for those that take it
-// from this gateway, and what they have of it is, too.
+// The age of a list includes the time for which the host was suspended, at the
+// gateway that serves it and at its follower.
 func TestListAgeIncludesSuspension(t *testing.T) {
 	server, address := startGateway(t, records)
 	readers := NewReaders("127.0.0.9", func(string) string { return address }, logr.Discard())
@@ -261,7 +261,7 @@
 	assert.Assert(t, clock.Since(follower.confirmed) >= budget.Bound())
 }
 
-// A list of an era that has passed is not taken, however fresh.
+// A follower rejects a list of an earlier era, however recent.
 func TestListOfEarlierEraIsRejected(t *testing.T) {
 	leader, address := startGateway(t, records)
 	var list fakeTarget
--- a/storerelay/readers.go
+++ b/storerelay/readers.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	// avoidFor is how long a gateway is not asked that did not answer.
+	// backoff is how long a gateway is not queried after a failure or stale data.
 	backoff = 2 * time.Second
-	// readersLife is how long what sidecars tell of the gateways that read
-	// counts.
+	// readerTTL is how long a gateway that a sidecar reported as a reader counts as
+	// one.
 	readerTTL = 2 * time.Second
 )
 
-// Readers are the gateways of a region that read the store for the others, as
-// one of these sees them. It is safe for concurrent use.
+// Readers tracks the gateways of a region that read the store for the others. Each
+// gateway has its own. It is safe for concurrent use.
 type Readers struct {
-	// own is this gateway's IP number; address gives another's IP:PORT.
+	// own is this gateway's IP address; address returns the IP:PORT of another
+	// gateway's Handler.
 	own     string
 	address func(ip string) string
 	client  *Client
 	log     logr.Logger
 
-	mu    sync.Mutex
-	reported map[string]time.Time // gateways that sidecars name, and when
-	backoffUntil map[string]time.Time // gateways that did not answer, until when
+	mu           sync.Mutex
+	reported     map[string]time.Time // when sidecars last reported a gateway as a reader
+	backoffUntil map[string]time.Time // until when a gateway is not queried
 }
 
-// NewReaders returns the readers as the gateway with the IP number own sees
-// them; address gives the IP:PORT of another's Handler.
+// NewReaders returns the Readers of the gateway with the IP address own. address
+// returns the IP:PORT of another gateway's Handler.
 func NewReaders(own string, address func(ip string) string, log logr.Logger) *Readers {
 	return &Readers{
 		own: own, address: address, client: NewClient(), log: log,
@@ -48,9 +49,9 @@
 	}
 }
 
-// Heard notes which gateways a sidecar takes for the first of the region. A
-// sidecar that few gateways watch names others than most do; the first of all
-// that are named count.
+// Add records the gateways that a sidecar reports as the region's readers. A sidecar
+// reports the first of the gateways that subscribe to it, so reports differ; the
+// first of all reported gateways are used.
 func (r *Readers) Heard(ips []string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,8 +60,8 @@
 	}
 }
 
-// follow returns the gateways to ask now; none if this one is among the first
-// itself.
+// candidates returns the reader gateways to query now, without those backed off
+// from; none if this gateway is a reader itself.
 func (r *Readers) candidates(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,54 +73,56 @@
 		}
 		all = append(all, ip)
 	}
-	first := loadreport.SelectReaders(all)
-	if slices.Contains(first, r.own) {
+	selected := loadreport.SelectReaders(all)
+	if slices.Contains(selected, r.own) {
 		return nil
 	}
-	return slices.DeleteFunc(first, func(ip string) bool { return now.Before(r.backoffUntil[ip]) })
+	return slices.DeleteFunc(selected, func(ip string) bool { return now.Before(r.backoffUntil[ip]) })
 }
 
-// leave keeps a gateway from being asked until a time.
+// backOff excludes a gateway from candidates until a time.
 func (r *Readers) backOff(ip string, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.backoffUntil[ip] = until
 }
 
-// minHold is the least time for which a gateway is asked to wait: one whose
-// own list is about to be read anew would be asked over and over.
+// minWait is the minimum wait of a long poll. It keeps a gateway from being polled
+// in a tight loop while its own data are about to be refreshed.
 const minWait = 50 * time.Millisecond
 
-// tryEach asks the gateways to follow one after the other until one has told.
-// Each may wait for a change for as long as what was confirmed then is not
-// too old, less what asking the others takes. It returns false if the store
+// tryEach calls fetch for each candidate until one succeeds. Each may hold the
+// request until data confirmed at confirmed are about to be stale, less the time
+// that querying the remaining candidates takes. tryEach returns false if the store
 // must be read instead.
-func (r *Readers) tryEach(budget freshness.Budget, confirmed time.Time, ask func(ip string, hold time.Duration) bool) bool {
+func (r *Readers) tryEach(budget freshness.Budget, confirmed time.Time, fetch func(ip string, wait time.Duration) bool) bool {
 	ips := r.candidates(clock.Now())
 	for n, ip := range ips {
 		left := budget.Hold(clock.Since(confirmed))
 		if left <= 0 {
 			return false
 		}
-		others := 2 * time.Duration(len(ips)-1-n) * budget.Relay() // a wait, and the answer
-		if ask(ip, max(left-others, min(left, minWait))) {
+		others := 2 * time.Duration(len(ips)-1-n) * budget.Relay() // the wait and the response
+		if fetch(ip, max(left-others, min(left, minWait))) {
 			return true
 		}
 	}
 	return false
 }
 
-// ask decodes a gateway's answer into out. The gateway may keep it back for
-// hold, and it may take slack more to come.
-func (r *Readers) query(ctx context.Context, ip, path string, query url.Values, hold, slack time.Duration, out any) bool {
-	query.Set(waitField, strconv.FormatInt(hold.Milliseconds(), 10))
-	err := r.client.get(ctx, r.address(ip), path, query, hold+slack, out)
+// fetch sends a request to the gateway ip and decodes the response into out. The
+// gateway may hold the request for wait, and take slack longer to respond. If the
+// request fails, fetch returns false and, unless ctx has ended, backs off from the
+// gateway.
+func (r *Readers) fetch(ctx context.Context, ip, path string, query url.Values, wait, slack time.Duration, out any) bool {
+	query.Set(waitField, strconv.FormatInt(wait.Milliseconds(), 10))
+	err := r.client.get(ctx, r.address(ip), path, query, wait+slack, out)
 	if err != nil && ctx.Err() == nil {
 		r.backOff(ip, clock.Now().Add(backoff))
-		r.log.Info("gateway did not tell", "gateway", ip, "path", path, "error", err.Error())
+		r.log.Info("request to gateway failed", "gateway", ip, "path", path, "error", err.Error())
 	}
 	return err == nil
 }
 
-// Close closes connections that rest.
+// Close closes idle connections.
 func (r *Readers) Close() { r.client.Close() }
--- a/storerelay/records.go
+++ b/storerelay/records.go
@@ -16,35 +16,38 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Record is the newest of the operator's records of a key.
+// Record is the newest of the operator's records of a key; see storewatch.Record.
 type Record struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value"`
 	Offset int64  `json:"offset"`
 }
 
-// Records are the operator's records as a process knows them.
+// Records are the operator's records that a process holds, from a position on.
 type Records struct {
-	// Newest of each key, by offset, from the position that was asked for, or
-	// all if that is of another era.
+	// Newest holds the newest record of each key, by offset: those from the requested
+	// position on, or all if that is of another era.
 	Newest []Record
-	// Next is up to where they have been read.
+	// Next is the position to read from next.
 	Next history.Position
-	// Confirmed is when the store last said that there are no more.
+	// Confirmed is the time as of which there were no further records.
 	Confirmed time.Time
-	// Behind says that another process is known to have read further.
+	// Behind is set if another process is known to have read further.
 	Behind bool
-	// Changed is closed when the process has read further.
+	// Changed is closed when the process has read further. It is nil in records
+	// received from another process.
 	Changed <-chan struct{}
 }
 
-// RecordSource is a gateway that reads the operator's records; it returns
-// false while it has read none.
+// RecordSource is a gateway that holds the operator's records.
 type RecordSource interface {
+	// Since returns the records from a position on, or false before the first read.
 	Since(from history.Position) (Records, bool)
 }
 
-// sharedRecords are Records as one gateway tells them to another.
+// recordsResponse are Records as one gateway sends them to another. Next and Era are
+// the offset and era of Records.Next, and AgeMS is the time since Confirmed, in
+// milliseconds.
 type recordsResponse struct {
 	Newest []Record `json:"newest,omitempty"`
 	Next   int64    `json:"next"`
@@ -53,8 +56,9 @@
 	Behind bool     `json:"behind,omitempty"`
 }
 
-// serveRecords answers as soon as there are records from the offset that the
-// asker names, or the time has passed for which it can wait.
+// serveRecords is a long poll: it responds once the position read differs from the
+// one in the query, at once if this gateway is behind another, or when the requested
+// wait has passed.
 func serveRecords(w http.ResponseWriter, r *http.Request, source RecordSource) {
 	from, err := requestedPosition(r.URL.Query())
 	if err != nil {
@@ -79,68 +83,71 @@
 	}
 }
 
-// RecordFollower takes the operator's records from a gateway that reads them
-// for the others.
+// RecordFollower receives the operator's records from a gateway of the region that
+// reads them from the store for the others. It is not safe for concurrent use.
 type RecordFollower struct {
 	readers *Readers
 	budget  freshness.Budget
 	log     logr.Logger
-	source    string // the IP number of the gateway that told last, or empty
+	source  string // IP address of the gateway that sent the last records, or empty
 }
 
-// NewRecordFollower returns a follower of readers; budget is within what the
-// records must be in force.
+// NewRecordFollower returns a follower that requests records from readers. budget
+// bounds the time within which the records must take effect.
 func NewRecordFollower(readers *Readers, budget freshness.Budget, log logr.Logger) *RecordFollower {
 	return &RecordFollower{readers: readers, budget: budget, log: log}
 }
 
-// Since asks a gateway for the records from an offset on, -1 for all, and
-// waits there for one for as long as the age of what is known allows. It
-// returns false if the store must be read instead.
+// Since makes one long poll for the records from a position on, history.Unread for
+// all, at the reader gateways. age is the age of the records held by the caller; it
+// bounds the wait. Since returns false if the store must be read instead.
 func (f *RecordFollower) Since(ctx context.Context, from history.Position, age time.Duration) (Records, bool) {
 	var got Records
-	told := f.readers.tryEach(f.budget, clock.Now().Add(-age), func(ip string, hold time.Duration) (ok bool) {
-		got, ok = f.fetch(ctx, ip, from, hold)
+	received := f.readers.tryEach(f.budget, clock.Now().Add(-age), func(ip string, wait time.Duration) (ok bool) {
+		got, ok = f.fetch(ctx, ip, from, wait)
 		return ok
 	})
-	if told {
+	if received {
 		return got, true
 	}
 	if f.source != "" {
-		f.log.Info("records read from the store", "before", f.source, "offset", from.Offset)
+		f.log.Info("reading operator records from the store", "before", f.source, "offset", from.Offset)
 		f.source = ""
 	}
 	return Records{}, false
 }
 
-func (f *RecordFollower) fetch(ctx context.Context, ip string, from history.Position, hold time.Duration) (Records, bool) {
+// fetch requests the records from the gateway ip, which may hold the request for
+// wait. It returns false, and backs off from the gateway, if that does not answer or
+// its records are stale or behind from.
+func (f *RecordFollower) fetch(ctx context.Context, ip string, from history.Position, wait time.Duration) (Records, bool) {
 	var got recordsResponse
-	if !f.readers.query(ctx, ip, pathRecords, positionQuery(from), hold, f.budget.Relay(), &got) {
+	if !f.readers.fetch(ctx, ip, pathRecords, positionQuery(from), wait, f.budget.Relay(), &got) {
 		return Records{}, false
 	}
 	age := time.Duration(got.AgeMS) * time.Millisecond
 	next := history.Position{Era: got.Era, Offset: got.Next}
 	if got.Behind || next.Before(from) || f.budget.Hold(age) <= 0 {
 		f.readers.backOff(ip, clock.Now().Add(backoff))
-		f.log.Info("records of a gateway too old", "gateway", ip, "age_ms", got.AgeMS, "era", from.Era, "offset", from.Offset, "their_era", got.Era, "theirs", got.Next)
+		f.log.Info("operator records from gateway too old", "gateway", ip, "age_ms", got.AgeMS, "era", from.Era, "offset", from.Offset, "their_era", got.Era, "theirs", got.Next)
 		return Records{}, false
 	}
 	if f.source != ip {
-		f.log.Info("records taken from a gateway", "gateway", ip, "age_ms", got.AgeMS, "offset", from.Offset)
+		f.log.Info("operator records received from gateway", "gateway", ip, "age_ms", got.AgeMS, "offset", from.Offset)
 	}
 	f.source = ip
 	return Records{Newest: got.Newest, Next: next, Confirmed: clock.Now().Add(-age)}, true
 }
 
-// All asks one gateway, by its IP number, for all operator's records that it
-// knows.
+// FetchRecords requests all operator's records that the gateway with an IP address
+// holds. It returns false if the request fails, which it logs.
 func (r *Readers) All(ctx context.Context, ip string) ([]Record, bool) {
 	var got recordsResponse
-	ok := r.query(ctx, ip, pathRecords, positionQuery(history.Unread), 0, callTimeout, &got)
+	ok := r.fetch(ctx, ip, pathRecords, positionQuery(history.Unread), 0, callTimeout, &got)
 	return got.Newest, ok
 }
 
-// Fields of the query for records.
+// Query parameters of a request for records: the offset and era of the position.
 const (
 	fromField = "from"
 	eraField  = "era"
@@ -150,7 +157,7 @@
 	return url.Values{fromField: {strconv.FormatInt(p.Offset, 10)}, eraField: {strconv.FormatInt(p.Era, 10)}}
 }
 
-// positionAsked reads the position of a query; one without an era is of era 0.
+// requestedPosition parses the position in a query. The era is 0 if missing.
 func requestedPosition(query url.Values) (p history.Position, err error) {
 	if p.Offset, err = strconv.ParseInt(query.Get(fromField), 10, 64); err != nil {
 		return p, err
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -16,7 +16,7 @@
 	"github.com/mintlift/mintlift/history"
 )
 
-// log is a source of records.
+// fakeRecordSource is a RecordSource with offsets that count its records.
 type fakeRecordSource struct {
 	mu        sync.Mutex
 	records   []Record
@@ -42,14 +42,14 @@
 	l.changed = make(chan struct{})
 }
 
-// confirm says that the store has told that there are no more.
+// confirm records that the store has confirmed that there are no more records.
 func (l *fakeRecordSource) confirm() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.confirmed = time.Now()
 }
 
-// goBack leaves the first n records, in a new era.
+// rollBack keeps the first n records, in a new era.
 func (l *fakeRecordSource) rollBack(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,6 +81,7 @@
 	return NewRecordFollower(readers, budget, logr.Discard())
 }
 
+// A follower receives new records at once, and a confirmation when the wait ends.
 func TestRecordFollowerReceivesChangesPromptly(t *testing.T) {
 	l := newFakeRecordSource("config", "version")
 	f := newTestRecordFollower(t, l)
@@ -97,20 +98,20 @@
 	began = time.Now()
 	time.AfterFunc(300*time.Millisecond, l.confirm)
 	got, ok = f.Since(context.Background(), got.Next, 0)
-	assert.Assert(t, ok, "nothing new is an answer, too")
+	assert.Assert(t, ok, "a response without records is valid")
 	assert.Equal(t, len(got.Newest), 0)
 	assert.Assert(t, time.Since(began) >= budget.Hold(0)-10*time.Millisecond, "it waits for a change")
-	assert.Assert(t, time.Since(got.Confirmed) >= budget.Hold(0)-400*time.Millisecond, "the age is the store's, not the answer's")
+	assert.Assert(t, time.Since(got.Confirmed) >= budget.Hold(0)-400*time.Millisecond, "Confirmed is when the store was read, not when the gateway responded")
 }
 
-// A gateway that is behind, or has not read for long, is not followed: its
-// follower reads the store before what it knows is too old.
+// A follower rejects records of a gateway that is behind, or whose records are
+// stale, in time to read the store before its own are stale.
 func TestStaleRecordsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*fakeRecordSource){
-		"not confirmed":     func(l *fakeRecordSource) { l.confirmed = time.Now().Add(-time.Second) },
-		"behind others":     func(l *fakeRecordSource) { l.behind = true },
-		"behind the asker":  func(l *fakeRecordSource) { l.records = l.records[:1] },
-		"nothing read ever": func(l *fakeRecordSource) { l.records = nil },
+		"not confirmed":          func(l *fakeRecordSource) { l.confirmed = time.Now().Add(-time.Second) },
+		"behind another gateway": func(l *fakeRecordSource) { l.behind = true },
+		"behind the follower":    func(l *fakeRecordSource) { l.records = l.records[:1] },
+		"nothing read":           func(l *fakeRecordSource) { l.records = nil },
 	} {
 		l := newFakeRecordSource("config", "version")
 		f := newTestRecordFollower(t, l)
@@ -120,30 +121,30 @@
 		assert.Assert(t, !ok, name)
 		assert.Assert(t, time.Since(began) < budget.StaleAfter(), name)
 		_, ok = f.Since(context.Background(), position(2), 0)
-		assert.Assert(t, !ok, name+": it is left alone for a while")
+		assert.Assert(t, !ok, name+": it is backed off from")
 	}
 }
 
-// Gateways that say nothing are left before the records are too old.
+// A follower gives up on unresponsive gateways before its records are stale.
 func TestUnresponsiveRecordGatewaysAreSkippedWithinBound(t *testing.T) {
-	silent := unresponsiveGateway(t)
-	readers := NewReaders("self", func(string) string { return silent }, logr.Discard())
+	unresponsive := unresponsiveGateway(t)
+	readers := NewReaders("self", func(string) string { return unresponsive }, logr.Discard())
 	readers.Heard([]string{"one", "two"}, time.Now())
 	f := NewRecordFollower(readers, budget, logr.Discard())
 	const age = 400 * time.Millisecond
 	began := time.Now()
 	_, ok := f.Since(context.Background(), position(2), age)
 	assert.Assert(t, !ok)
-	assert.Assert(t, age+time.Since(began) < budget.StaleAfter()+100*time.Millisecond, "left after %s", time.Since(began))
+	assert.Assert(t, age+time.Since(began) < budget.StaleAfter()+100*time.Millisecond, "gave up after %s", time.Since(began))
 	began = time.Now()
 	_, ok = f.Since(context.Background(), position(2), budget.StaleAfter())
 	assert.Assert(t, !ok)
-	assert.Assert(t, time.Since(began) < 100*time.Millisecond, "what is too old already is not asked for")
+	assert.Assert(t, time.Since(began) < 100*time.Millisecond, "records that are stale already are not requested")
 }
 
-// A follower and its reader may be in different histories of the store. One that
-// is ahead is told all at once, though its offsets are lower; one that is behind
-// is not followed, though its offsets are higher.
+// Positions of different eras compare by era. If the reader is in a later era, the
+// follower receives all records, though their offsets are lower; if it is in an
+// earlier one, the follower rejects them, though their offsets are higher.
 func TestRecordFollowerInAnotherEra(t *testing.T) {
 	l := newFakeRecordSource("config", "version", "config")
 	f := newTestRecordFollower(t, l)
@@ -157,5 +158,5 @@
 	assert.Equal(t, got.Next, history.Position{Era: 1, Offset: 1})
 	assert.Equal(t, len(got.Newest), 1)
 	_, ok = f.Since(context.Background(), history.Position{Era: 2, Offset: 0}, 0)
-	assert.Assert(t, !ok, "the reader's history has passed")
+	assert.Assert(t, !ok, "the reader is in an earlier era")
 }
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -83,6 +83,7 @@
 	return s.reset(newest, clock.Now()), nil
 }
 
+// readNewest reads the newest records of a topic, and counts the read.
 func (w *Watcher) readNewest(ctx context.Context, topic string) (*Newest, error) {
 	newest, err := w.store.Newest(ctx, topic)
 	w.countRead(topic, err)
@@ -92,8 +93,8 @@
 // readResult is the result of a read of the store.
 type readResult struct {
 	records []Record
-	// nextPosition is the position to read from next, and confirmed the time as of which
-	// there are no further records.
+	// nextPosition is the position to read from next, and confirmed the time as of
+	// which there are no further records.
 	nextPosition history.Position
 	confirmed    time.Time
 }
