--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -104,8 +104,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var got recorder
-	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String(), "nonsense"}, Notice: notice}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &got)
+	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String(), "nonsense"}, Notice: notice}
+	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &got)
 	report := fleet.Report{Address: "a:1", Model: "m", Version: 2, Running: 3}
 	await(t, "a report and an echo", func() bool {
 		publisher.Publish(report, false, time.Now())
@@ -145,8 +145,8 @@
 func TestSubscriptionExpires(t *testing.T) {
 	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
-	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &recorder{})
+	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}}
+	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &recorder{})
 	subscribed := func() int {
 		publisher.mu.Lock()
 		defer publisher.mu.Unlock()
@@ -174,8 +174,8 @@
 	defer cancel()
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
 	run := func(s *Subscriber, read int64, h Handler) {
-		audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Read: read}}
-		go s.Run(ctx, func() []Audience { return []Audience{audience} }, nil, h)
+		group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Read: read}}
+		go s.Run(ctx, func() []Audience { return []Audience{group} }, nil, h)
 	}
 	var got recorder
 	run(behind, 3, &got)
@@ -215,8 +215,8 @@
 func TestSubscriptionsExpireDuringSuspension(t *testing.T) {
 	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
-	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Region: "r"}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &recorder{})
+	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Region: "r"}}
+	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &recorder{})
 	await(t, "a subscription", func() bool { return len(publisher.Gateways("r", 2, clock.Now())) == 1 })
 	cancel()
 	time.Sleep(50 * time.Millisecond) // datagrams in flight
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -35,7 +35,7 @@
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
 	ctx := t.Context()
 	table, id := newSuspectTable(time.Now())
-	audience := func(suspects func() []quarantine.Record) func() []Audience {
+	groups := func(suspects func() []quarantine.Record) func() []Audience {
 		return func() []Audience {
 			return []Audience{{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Suspects: suspects()}}}
 		}
@@ -45,7 +45,7 @@
 		s, err := NewSubscriber("127.0.0.1:0")
 		assert.NilError(t, err)
 		got := &recorder{}
-		go s.Run(ctx, audience(none), nil, got)
+		go s.Run(ctx, groups(none), nil, got)
 		return got
 	}
 	hasSuspect := func(h *recorder) func() bool {
@@ -61,7 +61,7 @@
 		defer subscribed.mu.Unlock()
 		return subscribed.echoes > 0
 	})
-	go reporting.Run(ctx, audience(func() []quarantine.Record { return table.Tell(time.Now()) }), nil, &recorder{})
+	go reporting.Run(ctx, groups(func() []quarantine.Record { return table.Tell(time.Now()) }), nil, &recorder{})
 	await(t, "suspects at the gateway that has subscribed", hasSuspect(subscribed))
 	await(t, "suspects at a new gateway", hasSuspect(subscribe()))
 }
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -106,10 +106,12 @@
 	return w.progressLocked()
 }
 
+// progressLocked implements Progress. Watcher.mu must be held.
 func (w *Watcher) progressLocked() Progress {
 	return Progress{Read: w.read, Confirmed: w.confirmed, Behind: w.read.Known() && w.read.Before(w.peerPosition), Lacks: w.incompleteLocked()}
 }
 
+// incompleteLocked returns Progress.Incomplete. Watcher.mu must be held.
 func (w *Watcher) incompleteLocked() bool {
 	return w.peerVersionSum > w.versionSumLocked() && clock.Since(w.peerVersionSumAt) < peerVersionSumTTL
 }
@@ -123,6 +125,7 @@
 	return w.versionSumLocked()
 }
 
+// versionSumLocked implements VersionSum. Watcher.mu must be held.
 func (w *Watcher) versionSumLocked() int64 {
 	sum := int64(0)
 	for _, r := range w.newest {
