--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -18,21 +18,21 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// heard collects reports.
-type heard struct {
+// recorder is a Handler that records what it receives.
+type recorder struct {
 	mu      sync.Mutex
 	reports []fleet.Report
 	echoes  int
 	read    int64
 	echo    Echo
 	readers []string
-	// suspects are those that were heard of, by id.
+	// suspects are the suspect requests received, by ID.
 	suspects  map[quarantine.ID]quarantine.Record
 	grants    []backpressure.Grant
 	endpoints []backpressure.Record
 }
 
-func (h *heard) HeardSuspects(suspects []quarantine.Record) {
+func (h *recorder) HeardSuspects(suspects []quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.suspects == nil {
@@ -43,19 +43,19 @@
 	}
 }
 
-func (h *heard) Granted(g backpressure.Grant) {
+func (h *recorder) Granted(g backpressure.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.grants = append(h.grants, g)
 }
 
-func (h *heard) HeardEndpoints(records []backpressure.Record) {
+func (h *recorder) HeardEndpoints(records []backpressure.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.endpoints = append(h.endpoints, records...)
 }
 
-func (h *heard) Heard(r fleet.Report, e *Echo) {
+func (h *recorder) Heard(r fleet.Report, e *Echo) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports = append(h.reports, r)
@@ -67,6 +67,7 @@
 	}
 }
 
+// await waits up to 10 s until ok returns true.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -74,24 +75,26 @@
 	}
 }
 
-func pair(t *testing.T, told func(Notice)) (*Publisher, *Subscriber) {
+// newPair returns a running publisher that passes notices to onNotice, and a
+// subscriber that is not running.
+func newPair(t *testing.T, onNotice func(Notice)) (*Publisher, *Subscriber) {
 	t.Helper()
 	publisher, err := NewPublisher("127.0.0.1:0")
 	assert.NilError(t, err)
-	go publisher.Run(told)
+	go publisher.Run(onNotice)
 	t.Cleanup(func() { _ = publisher.Close() })
 	subscriber, err := NewSubscriber("127.0.0.1:0")
 	assert.NilError(t, err)
 	return publisher, subscriber
 }
 
-func TestReportsReachSubscribers(t *testing.T) {
+func TestSubscriberReceivesReports(t *testing.T) {
 	var mu sync.Mutex
-	var told Notice
-	publisher, subscriber := pair(t, func(n Notice) {
+	var received Notice
+	publisher, subscriber := newPair(t, func(n Notice) {
 		mu.Lock()
 		defer mu.Unlock()
-		told = n
+		received = n
 	})
 	notice := Notice{
 		Model:   "m",
@@ -100,9 +103,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var got heard
-	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String(), "nonsense"}, Notice: notice}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &got)
+	var got recorder
+	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String(), "nonsense"}, Notice: notice}
+	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &got)
 	report := fleet.Report{Address: "a:1", Model: "m", Version: 2, Running: 3}
 	await(t, "a report and an echo", func() bool {
 		publisher.Publish(report, false, time.Now())
@@ -116,34 +119,34 @@
 	assert.Equal(t, last.Running, 3)
 	assert.Equal(t, last.Gateways, 1)
 	mu.Lock()
-	assert.DeepEqual(t, told, notice)
+	assert.DeepEqual(t, received, notice)
 	mu.Unlock()
 	assert.Assert(t, time.Since(publisher.Asked()) < 2*time.Second)
 }
 
-func TestUnchangedReportIsSentNowAndThen(t *testing.T) {
-	publisher, _ := pair(t, func(Notice) {})
+func TestUnchangedReportIsRepeated(t *testing.T) {
+	publisher, _ := newPair(t, func(Notice) {})
 	now := time.Now()
 	report := fleet.Report{Address: "a:1"}
 	publisher.Publish(report, false, now)
-	first := publisher.sent
-	publisher.Publish(report, false, now.Add(repeatEvery/2))
-	assert.Equal(t, publisher.sent, first)
-	publisher.Publish(report, false, now.Add(repeatEvery))
-	assert.Assert(t, publisher.sent.After(first))
-	publisher.Publish(report, true, now.Add(repeatEvery+eagerEvery))
-	assert.Equal(t, publisher.sent, now.Add(repeatEvery+eagerEvery), "more often while a version changes")
+	first := publisher.lastSent
+	publisher.Publish(report, false, now.Add(repeatInterval/2))
+	assert.Equal(t, publisher.lastSent, first)
+	publisher.Publish(report, false, now.Add(repeatInterval))
+	assert.Assert(t, publisher.lastSent.After(first))
+	publisher.Publish(report, true, now.Add(repeatInterval+updateRepeatInterval))
+	assert.Equal(t, publisher.lastSent, now.Add(repeatInterval+updateRepeatInterval), "more often while a version changes")
 	report.Running = 1
-	publisher.Publish(report, false, now.Add(repeatEvery+eagerEvery+time.Millisecond))
-	assert.Equal(t, publisher.sent, now.Add(repeatEvery+eagerEvery+time.Millisecond), "a change is sent at once")
+	publisher.Publish(report, false, now.Add(repeatInterval+updateRepeatInterval+time.Millisecond))
+	assert.Equal(t, publisher.lastSent, now.Add(repeatInterval+updateRepeatInterval+time.Millisecond), "a change is sent at once")
 }
 
-// A gateway that is gone gets nothing after its subscription has ended.
-func TestSubscriptionEnds(t *testing.T) {
-	publisher, subscriber := pair(t, func(Notice) {})
+// A gateway that has stopped gets no reports after its subscription has expired.
+func TestSubscriptionExpires(t *testing.T) {
+	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
-	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &heard{})
+	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}}
+	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &recorder{})
 	subscribed := func() int {
 		publisher.mu.Lock()
 		defer publisher.mu.Unlock()
@@ -151,73 +154,73 @@
 	}
 	await(t, "a subscription", func() bool { return subscribed() == 1 })
 	cancel()
-	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now().Add(subscription+time.Second))
+	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now().Add(subscriptionTTL+time.Second))
 	assert.Equal(t, subscribed(), 0)
 }
 
-func TestAgeOfANamedVersion(t *testing.T) {
+func TestNamedVersionTime(t *testing.T) {
 	now := time.Now()
 	assert.Assert(t, Named{AgeMS: UnknownAge}.Since(now).IsZero())
 	assert.Equal(t, Named{AgeMS: 1500}.Since(now), now.Add(-1500*time.Millisecond))
 }
 
-// A gateway hears from a sidecar how far another has read what the operator
-// wrote.
-func TestGatewaysHearHowFarOthersHaveRead(t *testing.T) {
-	publisher, behind := pair(t, func(Notice) {})
+// A gateway learns from a sidecar up to which position of the operator's records
+// another gateway has read.
+func TestEchoCarriesFurthestReadPosition(t *testing.T) {
+	publisher, behind := newPair(t, func(Notice) {})
 	ahead, err := NewSubscriber("127.0.0.1:0")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
 	run := func(s *Subscriber, read int64, h Handler) {
-		audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Read: read}}
-		go s.Run(ctx, func() []Audience { return []Audience{audience} }, nil, h)
+		group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Read: read}}
+		go s.Run(ctx, func() []Audience { return []Audience{group} }, nil, h)
 	}
-	var got heard
+	var got recorder
 	run(behind, 3, &got)
-	run(ahead, 7, &heard{})
-	await(t, "what the other has read", func() bool {
+	run(ahead, 7, &recorder{})
+	await(t, "the position of the other gateway", func() bool {
 		got.mu.Lock()
 		defer got.mu.Unlock()
 		return got.read == 7
 	})
 }
 
-// Gateways with more demand are more often ahead at the room that a report
-// shows, and know their part of the demand.
-func TestTurnsGoByDemand(t *testing.T) {
-	publisher, _ := pair(t, func(Notice) {})
+// Gateways with more demand are more often ahead in the order of a report, and their
+// shares follow the demand.
+func TestDemandPositionsFollowDemand(t *testing.T) {
+	publisher, _ := newPair(t, func(Notice) {})
 	small, large := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
-	publisher.subs[small] = subscriber{since: time.Now(), demand: 9}
-	publisher.subs[large] = subscriber{since: time.Now(), demand: 29}
+	publisher.subs[small] = subscriber{subscribedAt: time.Now(), demand: 9}
+	publisher.subs[large] = subscriber{subscribedAt: time.Now(), demand: 29}
 	const rounds = 4000
 	ahead := 0
 	for range rounds {
-		turns := publisher.turnsLocked()
-		assert.Equal(t, turns[small].share, 0.25)
-		assert.Equal(t, turns[large].share, 0.75)
-		if turns[large].ahead == 0 {
+		positions := publisher.demandPositionsLocked()
+		assert.Equal(t, positions[small].share, 0.25)
+		assert.Equal(t, positions[large].share, 0.75)
+		if positions[large].ahead == 0 {
 			ahead++
-			assert.Equal(t, turns[small].ahead, 1.5, "three quarters of the demand of two gateways")
+			assert.Equal(t, positions[small].ahead, 1.5, "three quarters of the demand of two gateways")
 		} else {
-			assert.Equal(t, turns[small].ahead, 0.0)
-			assert.Equal(t, turns[large].ahead, 0.5)
+			assert.Equal(t, positions[small].ahead, 0.0)
+			assert.Equal(t, positions[large].ahead, 0.5)
 		}
 	}
 	assert.Assert(t, ahead > rounds*70/100 && ahead < rounds*80/100, "%d of %d", ahead, rounds)
 }
 
-// A gateway that was last heard before a suspension is not heard any more.
-func TestSubscriptionsEndWhileSuspended(t *testing.T) {
-	publisher, subscriber := pair(t, func(Notice) {})
+// The age of a subscription includes the time for which the host was suspended.
+func TestSubscriptionsExpireDuringSuspension(t *testing.T) {
+	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
-	audience := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Region: "r"}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{audience} }, nil, &heard{})
+	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Region: "r"}}
+	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &recorder{})
 	await(t, "a subscription", func() bool { return len(publisher.Gateways("r", 2, clock.Now())) == 1 })
 	cancel()
-	time.Sleep(50 * time.Millisecond) // what is under way
-	clock.SuspendForTest(t, subscription)
+	time.Sleep(50 * time.Millisecond) // datagrams in flight
+	clock.SuspendForTest(t, subscriptionTTL)
 	assert.Equal(t, len(publisher.Gateways("r", 2, clock.Now())), 0)
-	assert.Assert(t, clock.Since(publisher.Asked()) >= subscription)
+	assert.Assert(t, clock.Since(publisher.Asked()) >= subscriptionTTL)
 }
