--- a/admin/plans.go
+++ b/admin/plans.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	plan, err := intent.Make(in, m, s.world(r))
+	plan, err := intent.NewPlan(in, m, s.world(r))
 	if err != nil {
 		return nil, err
 	}
@@ -67,8 +67,8 @@
 // world is the state of everything that a plan is made from. The offset is
 // taken before the sweep, so that a record that comes meanwhile counts as
 // later.
-func (s *Server) world(r *http.Request) intent.World {
-	w := intent.World{
+func (s *Server) world(r *http.Request) intent.Snapshot {
+	w := intent.Snapshot{
 		Now:        time.Now(),
 		Workspaces: make(map[string]workspace.Workspace),
 		Links:      s.World.Links(),
@@ -226,9 +226,9 @@
 
 // BoxProgress is one box's copy.
 type BoxProgress struct {
-	Step    intent.Step `json:"step"`
-	Reached bool        `json:"reached"`
-	Copy    peer.Copy   `json:"copy"`
+	Step    intent.Step     `json:"step"`
+	Reached bool            `json:"reached"`
+	Copy    peer.CopyStatus `json:"copy"`
 }
 
 // Done reports whether every box that answers serves the plan's version.
@@ -261,7 +261,7 @@
 }
 
 func (p *Progress) add(step intent.Step, b BoxStatus) {
-	bp := BoxProgress{Step: step, Reached: b.Reached, Copy: peer.Copy{State: weights.Absent}}
+	bp := BoxProgress{Step: step, Reached: b.Reached, Copy: peer.CopyStatus{State: weights.Absent}}
 	for _, c := range b.Status.Copies {
 		if c.Ref == p.Plan.Intent.Ref {
 			bp.Copy = c
--- a/admin/problem.go
+++ b/admin/problem.go
@@ -87,7 +87,7 @@
 		return Problem(CodeMemory, "%v", err)
 	case errors.Is(err, weights.ErrBadManifest):
 		return Problem(CodeBadManifest, "%v", err)
-	case errors.Is(err, eventlog.ErrUnsettled):
+	case errors.Is(err, eventlog.ErrOutcomeUnknown):
 		return Problem(CodeUnsettled, "it is not known whether the change was accepted: %v", err)
 	case errors.Is(err, eventlog.ErrUnavailable):
 		return Problem(CodeUnavailable, "the change was not accepted, the log service does not answer: %v", err)
--- a/backpressure/decode.go
+++ b/backpressure/decode.go
@@ -29,18 +29,18 @@
 func (f Fields) Decode(status int, h http.Header) Signal {
 	var signal Signal
 	invalid := func(name, value string) {
-		signal.Unreadable = append(signal.Unreadable, name+": "+value[:min(len(value), maxInvalidValue)])
+		signal.Invalid = append(signal.Invalid, name+": "+value[:min(len(value), maxInvalidValue)])
 	}
 	for _, value := range h[f.Limit] {
 		rate, ok := parseDecimal(value)
 		switch {
 		case !ok:
 			invalid(f.Limit, value)
-		case !signal.Limit.Named || rate < signal.Limit.Rate:
+		case !signal.Limit.Set || rate < signal.Limit.Rate:
 			signal.Limit = Limited(rate)
 		}
 	}
-	signal.Limit.Kept = !signal.Limit.Named && len(h[f.Limit]) > 0
+	signal.Limit.Unchanged = !signal.Limit.Set && len(h[f.Limit]) > 0
 	for _, value := range h[f.Draining] {
 		if strings.TrimSpace(value) != drainingValue {
 			invalid(f.Draining, value)
--- a/backpressure/permit.go
+++ b/backpressure/permit.go
@@ -43,7 +43,7 @@
 
 // PermitRequest is a gateway's request for permits to send to an endpoint. It also
 // carries the state of the endpoint; with Want 0 it does only that.
-type Ask struct {
+type PermitRequest struct {
 	Record
 	Want int `json:"w,omitempty"`
 }
--- a/backpressure/quota.go
+++ b/backpressure/quota.go
@@ -35,11 +35,11 @@
 
 // Allocate merges the record of a permit request and grants permits. The result changed
 // reports that the grant must be sent to other gateways as well.
-func (q *Quotas) Ask(a Ask, now time.Time) (g Grant, changed bool) {
+func (q *Quotas) Allocate(a PermitRequest, now time.Time) (g Grant, changed bool) {
 	changed = len(q.table.Merge(a.Record, now)) > 0
-	s := q.table.Of(a.ID, a.Born)
+	s := q.table.State(a.ID, a.Born)
 	g.Record = s.record(now)
-	if a.Want > 0 && s.limit.Named {
+	if a.Want > 0 && s.limit.Set {
 		g.Permits, g.AfterMS = q.refill(s, now).take(a.Want, s.limit.Rate)
 	}
 	q.evict(now)
@@ -47,7 +47,7 @@
 }
 
 // Records returns the latest records of endpoints.
-func (q *Quotas) Tell(now time.Time) []Record { return q.table.Tell(now) }
+func (q *Quotas) Records(now time.Time) []Record { return q.table.Records(now) }
 
 // refill returns the bucket of an endpoint with its tokens up to now.
 func (q *Quotas) refill(s *State, now time.Time) *bucket {
@@ -77,7 +77,7 @@
 // evict evicts endpoints from the table, those without a signal within recordWindow as
 // unlisted, and drops the buckets of evicted endpoints.
 func (q *Quotas) evict(now time.Time) {
-	q.table.Forget(func(id string) bool { return now.Sub(q.table.states[id].signalAt) < recordWindow }, now)
+	q.table.Evict(func(id string) bool { return now.Sub(q.table.states[id].signalAt) < recordWindow }, now)
 	for s := range q.buckets {
 		if q.table.states[s.id] != s {
 			delete(q.buckets, s)
--- a/backpressure/quota_test.go
+++ b/backpressure/quota_test.go
@@ -112,8 +112,8 @@
 	all := make([]*gateway, sim.gateways)
 	for n := range all {
 		table := NewTable()
-		table.Share(sim.gateways)
-		all[n] = &gateway{table: table, state: table.Of("e", 1), cutOff: float64(n) < sim.cutOff*float64(sim.gateways), share: 1 / float64(sim.gateways)}
+		table.SetGateways(sim.gateways)
+		all[n] = &gateway{table: table, state: table.State("e", 1), cutOff: float64(n) < sim.cutOff*float64(sim.gateways), share: 1 / float64(sim.gateways)}
 	}
 	out := outcome{known: -1, ended: -1}
 	perStep := sim.demand / float64(max(sim.busy, 1)) * step.Seconds()
@@ -153,7 +153,7 @@
 		g.table.Merge(r, now)
 	}
 	if g.grant != nil {
-		g.table.Granted(*g.grant, now)
+		g.table.ApplyGrant(*g.grant, now)
 	}
 	signal := Signal{Limit: Limited(sim.rate)}
 	if at >= limitEnd {
@@ -161,7 +161,7 @@
 	}
 	for _, sent := range g.responses {
 		g.state.Observe(signal, sent, now)
-		if signal.Limit.Named && g.limitedAt.IsZero() {
+		if signal.Limit.Set && g.limitedAt.IsZero() {
 			g.limitedAt = now
 		}
 	}
@@ -179,7 +179,7 @@
 		}
 		g.slot = now.Add(time.Duration(float64(time.Second) / (max(sim.rate, minRate) * max(g.share, 1e-3))))
 		return true
-	case g.state.From(now).After(now):
+	case g.state.AvailableAt(now).After(now):
 		return false
 	default:
 		g.state.Take(now)
@@ -191,14 +191,14 @@
 // result.
 func (sim simulation) requestPermits(g *gateway, all []*gateway, quotas *Quotas, now time.Time) {
 	for range g.waiting {
-		g.state.Want()
+		g.state.AddDemand()
 	}
-	request, ok := g.state.Ask(now)
+	request, ok := g.state.PermitRequest(now)
 	switch {
 	case sim.strategy != byPermits:
-		g.state.Alone(now)
+		g.state.SetNoAllocator(now)
 	case ok && !g.cutOff:
-		grant, changed := quotas.Ask(request, now)
+		grant, changed := quotas.Allocate(request, now)
 		g.grant = &grant
 		for _, other := range all {
 			if changed && other != g && !other.cutOff {
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -35,7 +35,7 @@
 
 // record returns the state to send to other processes.
 func (s *State) record(now time.Time) Record {
-	r := Record{ID: s.id, Born: s.born, Draining: s.draining, Limited: s.limit.Named, Rate: s.limit.Rate, LimitAgeMS: -1}
+	r := Record{ID: s.id, Born: s.born, Draining: s.draining, Limited: s.limit.Set, Rate: s.limit.Rate, LimitAgeMS: -1}
 	if !s.limitAt.IsZero() {
 		r.LimitAgeMS = now.Sub(s.limitAt).Milliseconds()
 	}
@@ -44,7 +44,7 @@
 
 // Merge merges a record of another process and returns the changes.
 func (t *Table) Merge(r Record, now time.Time) []Change {
-	s := t.Of(r.ID, r.Born)
+	s := t.State(r.ID, r.Born)
 	if s.born > r.Born && r.Born != 0 {
 		return nil // an earlier incarnation
 	}
@@ -60,7 +60,7 @@
 		return out
 	}
 	at := now.Add(-time.Duration(r.LimitAgeMS) * time.Millisecond)
-	limit := Limit{Named: r.Limited, Rate: r.Rate}
+	limit := Limit{Set: r.Limited, Rate: r.Rate}
 	margin := mergeMargin
 	if limit.tighter(s.limit) {
 		margin = 0
@@ -73,7 +73,7 @@
 
 // Records returns up to maxRecords records of the endpoints with signals within
 // recordWindow, the latest first.
-func (t *Table) Tell(now time.Time) []Record {
+func (t *Table) Records(now time.Time) []Record {
 	var states []*State
 	for _, s := range t.states {
 		if now.Sub(s.signalAt) < recordWindow {
--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -24,7 +24,7 @@
 	Backoff time.Duration
 	// Invalid holds the headers whose values cannot be parsed, as NAME: VALUE. They
 	// change nothing in the state of the endpoint.
-	Unreadable []string
+	Invalid []string
 }
 
 // Limit is the rate limit of an endpoint, for all gateways together. The zero Limit is
@@ -32,22 +32,22 @@
 type Limit struct {
 	// Unchanged reports that the response has no valid value: the previous limit
 	// applies.
-	Kept bool
+	Unchanged bool
 	// Set reports that there is a limit.
-	Named bool
+	Set bool
 	// Rate is the limit in requests per second.
 	Rate float64
 }
 
 // Limited returns a limit of rate requests per second.
-func Limited(rate float64) Limit { return Limit{Named: true, Rate: rate} }
+func Limited(rate float64) Limit { return Limit{Set: true, Rate: rate} }
 
 // tighter reports whether l allows less than other.
 func (l Limit) tighter(other Limit) bool { return l.rate() < other.rate() }
 
 // rate returns the limit in requests per second, or infinity if there is none.
 func (l Limit) rate() float64 {
-	if !l.Named {
+	if !l.Set {
 		return math.Inf(1)
 	}
 	return l.Rate
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -24,10 +24,10 @@
 func NewTable() *Table { return &Table{states: make(map[string]*State), gateways: 1} }
 
 // SetGateways sets the number of gateways that share limits.
-func (t *Table) Share(gateways int) { t.gateways = max(gateways, 1) }
+func (t *Table) SetGateways(gateways int) { t.gateways = max(gateways, 1) }
 
 // NoSignals reports that no signal of any endpoint applies.
-func (t *Table) Quiet() bool { return !t.anySignal }
+func (t *Table) NoSignals() bool { return !t.anySignal }
 
 // State holds the signals of one incarnation of an endpoint.
 type State struct {
@@ -61,10 +61,10 @@
 // State returns the state of an incarnation of an endpoint, by endpoint ID and start
 // time in Unix milliseconds; 0 is unknown. A later start time replaces the state by an
 // empty one.
-func (t *Table) Of(id string, born int64) *State {
+func (t *Table) State(id string, born int64) *State {
 	s := t.states[id]
 	if s != nil && (born <= s.born || s.born == 0) {
-		s.Learn(born)
+		s.SetBorn(born)
 		return s
 	}
 	s = &State{table: t, id: id, born: born}
@@ -74,7 +74,7 @@
 
 // SetBorn sets the start time of the incarnation, in Unix milliseconds, if it is
 // unknown.
-func (s *State) Learn(born int64) {
+func (s *State) SetBorn(born int64) {
 	if s.born == 0 {
 		s.born = born
 	}
@@ -133,11 +133,11 @@
 		s.recovering = false
 		out = append(out, Change{Kind: BackoffEnded})
 	}
-	if !signal.Limit.Kept {
+	if !signal.Limit.Unchanged {
 		out = append(out, s.observeLimit(signal.Limit, sent, now)...)
 	}
-	out = append(out, s.observeInvalid(signal.Unreadable)...)
-	if signal.Draining || signal.Backoff > 0 || signal.Limit.Named {
+	out = append(out, s.observeInvalid(signal.Invalid)...)
+	if signal.Draining || signal.Backoff > 0 || signal.Limit.Set {
 		s.signalAt = now
 	}
 	return out
@@ -156,19 +156,19 @@
 
 // SetListedDraining marks the endpoint as draining from the endpoint list, which all
 // gateways read: no other gateway is notified.
-func (s *State) ListedDraining() { s.draining, s.table.anySignal = true, true }
+func (s *State) SetListedDraining() { s.draining, s.table.anySignal = true, true }
 
 // ObserveReport applies the signal in a load report of the endpoint's sidecar. An
 // endpoint may send its limit only in responses to gateways, so a report without a
 // limit ends only a limit of the previous report.
 func (s *State) ObserveReport(signal Signal, now time.Time) {
 	if signal.Draining {
-		s.ListedDraining()
+		s.SetListedDraining()
 	}
-	if signal.Limit.Named || s.limitInReport {
+	if signal.Limit.Set || s.limitInReport {
 		s.setLimit(signal.Limit, now)
 	}
-	s.limitInReport = signal.Limit.Named
+	s.limitInReport = signal.Limit.Set
 }
 
 // Draining reports whether the endpoint must get no new requests.
@@ -207,11 +207,11 @@
 func (s *State) setLimit(l Limit, at time.Time) []Change {
 	changed := l != s.limit
 	s.limit, s.limitAt = l, at
-	s.table.anySignal = s.table.anySignal || l.Named
+	s.table.anySignal = s.table.anySignal || l.Set
 	switch {
 	case !changed:
 		return nil
-	case !l.Named:
+	case !l.Set:
 		s.permits = s.permits.cleared()
 		return []Change{{Kind: LimitEnded}}
 	default:
@@ -239,7 +239,7 @@
 }
 
 // Limited reports whether a limit is in force.
-func (s *State) Limited() bool { return s.limit.Named }
+func (s *State) Limited() bool { return s.limit.Set }
 
 // Rate returns the limit for all gateways together, in requests per second. It is
 // valid only if Limited.
@@ -247,9 +247,9 @@
 
 // AvailableAt returns the earliest time at which this gateway may send a request to the
 // endpoint, or now. It ignores draining.
-func (s *State) From(now time.Time) time.Time {
+func (s *State) AvailableAt(now time.Time) time.Time {
 	availableAt := s.backoffEnd(now)
-	if s.limit.Named {
+	if s.limit.Set {
 		availableAt = later(availableAt, s.permits.availableAt(s.limit.Rate, s.table.gateways, now))
 	}
 	return availableAt
@@ -260,40 +260,40 @@
 	if s.recovering {
 		s.probedAt = now
 	}
-	if s.limit.Named {
+	if s.limit.Set {
 		s.permits.take(s.limit.Rate, s.table.gateways, now)
 	}
 }
 
 // AddDemand records that a request needs a permit of the endpoint.
-func (s *State) Want() {
-	if s.limit.Named {
+func (s *State) AddDemand() {
+	if s.limit.Set {
 		s.permits.wanted++
 	}
 }
 
 // PermitRequest returns the request to send to the permit allocator; ok is false if
 // there is none. It resets the demand.
-func (s *State) Ask(now time.Time) (a Ask, ok bool) {
+func (s *State) PermitRequest(now time.Time) (a PermitRequest, ok bool) {
 	if !s.notify && s.permits.wanted == 0 {
-		return Ask{}, false
+		return PermitRequest{}, false
 	}
 	want := s.permits.request(now)
 	if !s.notify && want == 0 {
-		return Ask{}, false
+		return PermitRequest{}, false
 	}
 	s.notify = false
-	return Ask{Record: s.record(now), Want: want}, true
+	return PermitRequest{Record: s.record(now), Want: want}, true
 }
 
 // SetNoAllocator records that there is no permit allocator. Requests are then sent in
 // slots until the next grant.
-func (s *State) Alone(now time.Time) {
+func (s *State) SetNoAllocator(now time.Time) {
 	s.permits.unansweredSince, s.permits.noAllocator = now.Add(-allocatorTimeout), true
 }
 
 // ApplyGrant merges the record of a grant and adds its permits. It returns the changes.
-func (t *Table) Granted(g Grant, now time.Time) []Change {
+func (t *Table) ApplyGrant(g Grant, now time.Time) []Change {
 	changes := t.Merge(g.Record, now)
 	if s := t.states[g.ID]; s.born == g.Born {
 		s.permits.applyGrant(g, now)
@@ -311,12 +311,12 @@
 
 // active reports whether a signal of the endpoint applies.
 func (s *State) active() bool {
-	return s.draining || s.limit.Named || s.recovering
+	return s.draining || s.limit.Set || s.recovering
 }
 
 // Evict removes the state of unlisted endpoints that has no active signal or has
 // expired.
-func (t *Table) Forget(listed func(id string) bool, now time.Time) {
+func (t *Table) Evict(listed func(id string) bool, now time.Time) {
 	var kept []*State
 	t.anySignal = false
 	for id, s := range t.states {
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -23,13 +23,13 @@
 }
 
 func TestChangesAreReportedOnce(t *testing.T) {
-	s := NewTable().Of("e", 1)
+	s := NewTable().State("e", 1)
 	assert.DeepEqual(t, kinds(s.Observe(Signal{Limit: Limited(2)}, at(0), at(0.1))), []Kind{LimitSet})
 	assert.DeepEqual(t, kinds(s.Observe(Signal{Limit: Limited(2)}, at(0), at(0.2))), []Kind(nil))
 	assert.DeepEqual(t, kinds(s.Observe(Signal{Draining: true, Limit: Limited(2)}, at(0.3), at(0.4))), []Kind{DrainingStarted})
 	assert.DeepEqual(t, kinds(s.Observe(Signal{Draining: true, Backoff: 3 * time.Second}, at(0.5), at(0.6))), []Kind{BackoffRequested, LimitEnded})
 	assert.DeepEqual(t, kinds(s.Observe(Signal{Backoff: 3 * time.Second}, at(0.6), at(0.7))), []Kind(nil))
-	invalid := Signal{Limit: Limit{Kept: true}, Unreadable: []string{"A: x"}}
+	invalid := Signal{Limit: Limit{Unchanged: true}, Invalid: []string{"A: x"}}
 	assert.DeepEqual(t, kinds(s.Observe(invalid, at(0.8), at(0.9))), []Kind{ValueInvalid})
 	assert.DeepEqual(t, kinds(s.Observe(invalid, at(0.8), at(0.9))), []Kind(nil))
 }
@@ -37,7 +37,7 @@
 // Responses arrive out of order: one to a request sent before the limit was received
 // must neither raise nor end the limit.
 func TestOvertakenAnswersDoNotLoosenALimit(t *testing.T) {
-	s := NewTable().Of("e", 1)
+	s := NewTable().State("e", 1)
 	s.Observe(Signal{Limit: Limited(2)}, at(1), at(1.1))
 	for _, old := range []Signal{{}, {Limit: Limited(5)}} {
 		s.Observe(old, at(0.9), at(1.2))
@@ -55,17 +55,17 @@
 // not make one.
 func TestNewIncarnationHasNoSignals(t *testing.T) {
 	table := NewTable()
-	s := table.Of("e", 0)
+	s := table.State("e", 0)
 	s.Observe(Signal{Draining: true}, at(0), at(0))
-	assert.Assert(t, table.Of("e", 7).draining)
-	assert.Assert(t, table.Of("e", 7).draining)
-	assert.Assert(t, table.Of("e", 0).draining, "an entry without start time")
-	assert.Assert(t, !table.Of("e", 8).draining)
+	assert.Assert(t, table.State("e", 7).draining)
+	assert.Assert(t, table.State("e", 7).draining)
+	assert.Assert(t, table.State("e", 0).draining, "an entry without start time")
+	assert.Assert(t, !table.State("e", 8).draining)
 }
 
 // A backoff is never shortened, and is bounded.
 func TestBackoffIsNotShortened(t *testing.T) {
-	s := NewTable().Of("e", 1)
+	s := NewTable().State("e", 1)
 	s.Observe(Signal{Backoff: 3 * time.Second}, at(0), at(0))
 	s.Observe(Signal{Backoff: time.Second}, at(0), at(0.1))
 	s.Observe(Signal{}, at(0), at(0.2))
@@ -77,7 +77,7 @@
 // After a backoff one request probes the endpoint; others are sent once it was
 // accepted.
 func TestOneRequestProbesAfterABackoff(t *testing.T) {
-	s := NewTable().Of("e", 1)
+	s := NewTable().State("e", 1)
 	s.Observe(Signal{Backoff: 3 * time.Second}, at(0), at(0))
 	assert.Assert(t, s.Closed(at(2.9)) && s.BackingOff(at(2.9)))
 	assert.Assert(t, !s.Closed(at(3)))
@@ -97,15 +97,15 @@
 	table := NewTable()
 	const endpoints = 10000
 	for n := range endpoints {
-		table.Of(fmt.Sprint("e", n), 1).Observe(Signal{Draining: true}, at(float64(n)/100), at(float64(n)/100))
+		table.State(fmt.Sprint("e", n), 1).Observe(Signal{Draining: true}, at(float64(n)/100), at(float64(n)/100))
 	}
 	unlisted := func(string) bool { return false }
-	table.Forget(unlisted, at(endpoints/100))
+	table.Evict(unlisted, at(endpoints/100))
 	assert.Equal(t, len(table.states), maxUnlisted)
-	assert.Assert(t, table.Of(fmt.Sprint("e", endpoints-1), 1).draining, "the latest signal is kept")
-	table.Forget(func(id string) bool { return id == "e9000" }, at(endpoints/100).Add(unlistedTTL+time.Second))
+	assert.Assert(t, table.State(fmt.Sprint("e", endpoints-1), 1).draining, "the latest signal is kept")
+	table.Evict(func(id string) bool { return id == "e9000" }, at(endpoints/100).Add(unlistedTTL+time.Second))
 	assert.Equal(t, len(table.states), 1)
-	assert.Assert(t, table.Of("e9000", 1).draining, "a listed endpoint is kept")
+	assert.Assert(t, table.State("e9000", 1).draining, "a listed endpoint is kept")
 }
 
 // NoSignals is true only while no signal applies.
@@ -113,15 +113,15 @@
 	listed := func(string) bool { return true }
 	for _, signal := range []Signal{{Draining: true}, {Backoff: time.Second}, {Limit: Limited(2)}} {
 		table := NewTable()
-		s := table.Of("e", 1)
-		assert.Assert(t, table.Quiet())
+		s := table.State("e", 1)
+		assert.Assert(t, table.NoSignals())
 		s.Observe(signal, at(0), at(0))
-		assert.Assert(t, !table.Quiet())
-		table.Forget(listed, at(2))
-		assert.Assert(t, !table.Quiet(), "%+v applies", signal)
+		assert.Assert(t, !table.NoSignals())
+		table.Evict(listed, at(2))
+		assert.Assert(t, !table.NoSignals(), "%+v applies", signal)
 		s.Observe(Signal{}, at(3), at(3))
-		table.Forget(listed, at(4))
-		assert.Equal(t, table.Quiet(), !signal.Draining, "%+v", signal)
+		table.Evict(listed, at(4))
+		assert.Equal(t, table.NoSignals(), !signal.Draining, "%+v", signal)
 	}
 }
 
@@ -129,13 +129,13 @@
 // nothing.
 func TestMergeIgnoresOlderRecords(t *testing.T) {
 	local, remote := NewTable(), NewTable()
-	remote.Of("e", 5).Observe(Signal{Limit: Limited(2)}, at(0), at(1))
-	r := remote.Of("e", 5).record(at(2))
+	remote.State("e", 5).Observe(Signal{Limit: Limited(2)}, at(0), at(1))
+	r := remote.State("e", 5).record(at(2))
 	assert.DeepEqual(t, kinds(local.Merge(r, at(2.01))), []Kind{LimitSet})
-	local.Of("e", 5).Observe(Signal{}, at(3), at(3.1))
-	assert.DeepEqual(t, kinds(local.Merge(remote.Of("e", 5).record(at(4)), at(4.01))), []Kind(nil)) // older than the end of the limit
-	assert.Equal(t, local.Of("e", 5).limit, Limit{})
+	local.State("e", 5).Observe(Signal{}, at(3), at(3.1))
+	assert.DeepEqual(t, kinds(local.Merge(remote.State("e", 5).record(at(4)), at(4.01))), []Kind(nil)) // older than the end of the limit
+	assert.Equal(t, local.State("e", 5).limit, Limit{})
 	r.Born = 4
 	assert.DeepEqual(t, kinds(local.Merge(r, at(5))), []Kind(nil)) // an earlier incarnation
-	assert.Equal(t, local.Of("e", 5).limit, Limit{})
+	assert.Equal(t, local.State("e", 5).limit, Limit{})
 }
--- a/cmd/mintlift/hostile_test.go
+++ b/cmd/mintlift/hostile_test.go
@@ -86,7 +86,7 @@
 			{ID: "a", Service: "e", Address: "127.0.0.1:1", Models: map[string]int{"m": 1}},
 			{ID: "b", Service: "p", Address: "127.0.0.1:2"},
 		})
-		server.Heard(fleet.Report{Address: "127.0.0.1:1", Model: "m", Version: 1}, 0)
+		server.HandleReport(fleet.Report{Address: "127.0.0.1:1", Model: "m", Version: 1}, 0)
 		for _, path := range []string{"/s/x", "/p/x"} {
 			r := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader("body"))
 			r.Header.Set(platform.Headers().Deadline, "30")
@@ -123,7 +123,7 @@
 		view.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 		view.told(n)
 		server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
-		server.HeardSuspects(n.Suspects, time.Now())
+		server.MergeSuspects(n.Suspects, time.Now())
 		_ = server.Suspects(time.Now())
 	})
 }
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -47,35 +47,35 @@
 }
 
 // Heard implements loadreport.Handler.
-func (v sidecarsView) Heard(r fleet.Report, e *loadreport.Echo) {
+func (v sidecarsView) HandleReport(r fleet.Report, e *loadreport.Echo) {
 	if e == nil {
-		v.server.Heard(r, noRoundTrip)
+		v.server.HandleReport(r, noRoundTrip)
 		return
 	}
 	now := clock.Now()
-	v.watcher.OthersRead(e.Read, now)
-	v.readers.Heard(e.Readers, now)
+	v.watcher.ObservePosition(e.Read, now)
+	v.readers.Add(e.Readers, now)
 	v.learner.heard(v.ctx, e, now)
-	v.server.Heard(r, e.RoundTrip)
+	v.server.HandleReport(r, e.RoundTrip)
 }
 
 // HeardSuspects implements loadreport.Handler.
-func (v sidecarsView) HeardSuspects(suspects []quarantine.Record) {
-	v.server.HeardSuspects(suspects, clock.Now())
+func (v sidecarsView) HandleSuspects(suspects []quarantine.Record) {
+	v.server.MergeSuspects(suspects, clock.Now())
 }
 
 // Granted implements loadreport.Handler.
-func (v sidecarsView) Granted(g backpressure.Grant) { v.server.Granted(g) }
+func (v sidecarsView) HandleGrant(g backpressure.Grant) { v.server.HandleGrant(g) }
 
 // HeardEndpoints implements loadreport.Handler.
-func (v sidecarsView) HeardEndpoints(records []backpressure.Record) {
-	v.server.HeardEndpoints(records)
+func (v sidecarsView) HandleEndpoints(records []backpressure.Record) {
+	v.server.MergeEndpointSignals(records)
 }
 
 // current reports whether the configuration in force is known to be the
 // newest.
 func current(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
-	return !p.Behind && !p.Lacks && !p.Confirmed.IsZero() && budget.Current(p.Age(now))
+	return !p.Behind && !p.Incomplete && !p.Confirmed.IsZero() && budget.Current(p.Age(now))
 }
 
 // noRoundTrip says that a report measured none.
@@ -110,7 +110,7 @@
 	server := ingress.New(ingress.Settings{
 		Place:           fleet.Place{Box: s.IP, Zone: s.Zone, Regions: s.Regions},
 		Headers:         platform.Headers(),
-		Signal:          platform.Signal,
+		DecodeSignal:    platform.Signal,
 		Budget:          budget,
 		VersionDeadline: s.VersionDeadline(),
 		Current:         func() bool { return current(p.watcher.Progress(), s.ConfigBudget(), clock.Now()) },
@@ -136,7 +136,7 @@
 	}
 	probes := http.NewServeMux()
 	probes.HandleFunc("/ready", server.ServeReady)
-	all.serve(server.Accepting(front), &http.Server{
+	all.serve(server.WatchAccepts(front), &http.Server{
 		Handler: server, ConnContext: ingress.ConnContext,
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: maxHeaderBytes,
 	})
@@ -153,12 +153,12 @@
 	})
 	follower := storerelay.NewFollower(readers, server, s.DrainBudget(), p.events)
 	all.spawn(func() { p.watchEndpoints(ctx, server, follower) })
-	told := func() []loadreport.Audience {
+	told := func() []loadreport.SubscriptionGroup {
 		return audiences(s, server, knownOf(p.watcher), clock.Now())
 	}
 	learner := &learner{watcher: p.watcher, operator: view, readers: readers, log: p.events}
 	all.spawn(func() {
-		subscriber.Run(ctx, told, server.TellSoon(), sidecarsView{ctx, server, p.watcher, readers, learner})
+		subscriber.Run(ctx, told, server.NoticeDue(), sidecarsView{ctx, server, p.watcher, readers, learner})
 	})
 	all.spawn(func() { askPermits(ctx, s, server, subscriber) })
 	all.spawn(func() { maintain(ctx, server) })
@@ -172,10 +172,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-server.AskSoon():
+		case <-server.PermitRequestsPending():
 		}
-		for _, a := range server.Asks() {
-			subscriber.Ask(a.Ask, s.Internal(a.Address, portPublish))
+		for _, a := range server.TakePermitRequests() {
+			subscriber.RequestPermits(a.PermitRequest, s.Internal(a.Address, portPublish))
 		}
 	}
 }
@@ -194,31 +194,31 @@
 	knowledge int64
 }
 
-func knownOf(w *platform.Watcher) known { return known{w.Progress().Read, w.Knowledge()} }
+func knownOf(w *platform.Watcher) known { return known{w.Progress().Read, w.VersionSum()} }
 
 // audiences are the sidecars of each service of engines, and what they are
 // told.
-func audiences(s *platform.Settings, server *ingress.Server, k known, now time.Time) []loadreport.Audience {
+func audiences(s *platform.Settings, server *ingress.Server, k known, now time.Time) []loadreport.SubscriptionGroup {
 	c := server.Configuration()
 	if c == nil {
 		return nil
 	}
-	var out []loadreport.Audience
+	var out []loadreport.SubscriptionGroup
 	for name, service := range c.Services {
 		if service.Engine == nil {
 			continue
 		}
 		notice := loadreport.Notice{
-			Model: service.Engine.Model, Region: s.Region, Read: k.read.Offset, Era: k.read.Era, Knowledge: k.knowledge,
-			Demand: math.Round(server.Demand(name, now)), Named: named(server, service.Engine.Model, now),
+			Model: service.Engine.Model, Region: s.Region, Read: k.read.Offset, Era: k.read.Era, VersionSum: k.knowledge,
+			Demand: math.Round(server.Demand(name, now)), NamedVersions: named(server, service.Engine.Model, now),
 		}
 		weights, ok := c.Weights(name)
-		knowing, others := server.EngineAddresses(name, weights.Sum(), now)
-		out = append(out, loadreport.Audience{Sidecars: publishers(s, knowing), Notice: notice})
+		knowing, others := server.EngineAddresses(name, weights.Checksum(), now)
+		out = append(out, loadreport.SubscriptionGroup{Sidecars: publishers(s, knowing), Notice: notice})
 		if ok {
 			notice.Weights = &weights
 		}
-		out = append(out, loadreport.Audience{Sidecars: publishers(s, others), Notice: notice})
+		out = append(out, loadreport.SubscriptionGroup{Sidecars: publishers(s, others), Notice: notice})
 	}
 	suspects := server.Suspects(now)
 	if len(suspects) == 0 {
@@ -240,12 +240,12 @@
 
 // tellSuspects divides audiences into the relays, which are told suspects, and
 // the others.
-func tellSuspects(audiences []loadreport.Audience, suspects []quarantine.Record, relays map[string]bool) []loadreport.Audience {
-	var out []loadreport.Audience
+func tellSuspects(audiences []loadreport.SubscriptionGroup, suspects []quarantine.Record, relays map[string]bool) []loadreport.SubscriptionGroup {
+	var out []loadreport.SubscriptionGroup
 	for _, a := range audiences {
-		told := loadreport.Audience{Notice: a.Notice}
+		told := loadreport.SubscriptionGroup{Notice: a.Notice}
 		told.Notice.Suspects = suspects
-		rest := loadreport.Audience{Notice: a.Notice}
+		rest := loadreport.SubscriptionGroup{Notice: a.Notice}
 		for _, sidecar := range a.Sidecars {
 			if relays[sidecar] {
 				told.Sidecars = append(told.Sidecars, sidecar)
@@ -268,12 +268,12 @@
 }
 
 // named are the named versions of a model as sidecars are told.
-func named(server *ingress.Server, model string, now time.Time) []loadreport.Named {
-	var out []loadreport.Named
-	for _, n := range server.Named(model) {
-		told := loadreport.Named{Version: n.Version, AgeMS: loadreport.UnknownAge, Overdue: n.Overdue(now)}
-		if !n.First {
-			told.AgeMS = now.Sub(n.Learned).Milliseconds()
+func named(server *ingress.Server, model string, now time.Time) []loadreport.NamedVersion {
+	var out []loadreport.NamedVersion
+	for _, n := range server.NamedVersions(model) {
+		told := loadreport.NamedVersion{Version: n.Version, AgeMS: loadreport.UnknownAge, PastCutoff: n.Overdue(now)}
+		if !n.AgeUnknown {
+			told.AgeMS = now.Sub(n.LearnedAt).Milliseconds()
 		}
 		out = append(out, told)
 	}
@@ -291,7 +291,7 @@
 		case <-time.After(look):
 		}
 	}
-	p.watcher.WatchEndpoints(ctx, server, follower.Follow, func(service string) int {
+	p.watcher.WatchEndpoints(ctx, server, follower.Poll, func(service string) int {
 		if named := server.Configuration().Services[service]; named != nil && named.Engine != nil {
 			return named.Engine.Layers
 		}
--- a/cmd/mintlift/platform_relay.go
+++ b/cmd/mintlift/platform_relay.go
@@ -31,12 +31,12 @@
 
 // relay gives what another gateway has read to a watcher.
 func relay(f *storerelay.RecordFollower) storewatch.Relay {
-	return func(ctx context.Context, from history.Position, age time.Duration) *storewatch.Relayed {
+	return func(ctx context.Context, from history.Position, age time.Duration) *storewatch.RelayedRecords {
 		got, ok := f.Since(ctx, from, age)
 		if !ok {
 			return nil
 		}
-		out := &storewatch.Relayed{Next: got.Next, Confirmed: got.Confirmed}
+		out := &storewatch.RelayedRecords{Next: got.Next, Confirmed: got.Confirmed}
 		for _, r := range got.Newest {
 			out.Records = append(out.Records, storewatch.Record(r))
 		}
@@ -63,13 +63,13 @@
 
 // heard takes what a sidecar tells of the gateway that knows most.
 func (l *learner) heard(ctx context.Context, e *loadreport.Echo, now time.Time) {
-	lacks := l.watcher.OthersKnow(e.Knowledge)
+	lacks := l.watcher.ObserveVersionSum(e.VersionSum)
 	if !l.due(lacks, now) {
 		return
 	}
-	l.log.Info("another gateway knows more of what the operator wrote", "gateway", e.Knower, "theirs", e.Knowledge, "own", l.watcher.Knowledge())
+	l.log.Info("another gateway knows more of what the operator wrote", "gateway", e.VersionSumGateway, "theirs", e.VersionSum, "own", l.watcher.VersionSum())
 	go func() {
-		records, ok := l.readers.All(ctx, e.Knower)
+		records, ok := l.readers.FetchRecords(ctx, e.VersionSumGateway)
 		if !ok {
 			return // it is logged
 		}
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -27,7 +27,7 @@
 	installer *installer.Installer
 
 	mu      sync.Mutex
-	weights routing.Weights
+	weights routing.WeightsConfig
 }
 
 // Configured implements platform.Operator.
@@ -38,7 +38,7 @@
 }
 
 // apply takes how weights come, unless something newer is known.
-func (v *sidecarView) apply(w routing.Weights) {
+func (v *sidecarView) apply(w routing.WeightsConfig) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if w.Chunks == 0 || w.Version <= v.weights.Version {
@@ -61,7 +61,7 @@
 	if !first {
 		named = clock.Now()
 	}
-	v.installer.Name(n.Model, n.Version, named)
+	v.installer.AddTarget(n.Model, n.Version, named)
 }
 
 // told takes what a gateway tells.
@@ -70,17 +70,17 @@
 		v.apply(*n.Weights)
 	}
 	now := clock.Now()
-	for _, named := range n.Named {
-		if since := named.Since(now); !since.IsZero() {
-			v.installer.Name(n.Model, named.Version, since)
+	for _, named := range n.NamedVersions {
+		if since := named.NamedAt(now); !since.IsZero() {
+			v.installer.AddTarget(n.Model, named.Version, since)
 			continue
 		}
-		v.installer.NameAssumed(n.Model, named.Version, named.Overdue, now)
+		v.installer.AddTargetOfUnknownAge(n.Model, named.Version, named.PastCutoff, now)
 	}
 }
 
 // known returns how weights come, as far as that is known.
-func (v *sidecarView) known() routing.Weights {
+func (v *sidecarView) known() routing.WeightsConfig {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.weights
@@ -92,7 +92,7 @@
 	if w.Chunks == 0 {
 		return 0
 	}
-	return w.Sum()
+	return w.Checksum()
 }
 
 // layers is how many layers the service's model has, or 0.
@@ -128,7 +128,7 @@
 			continue
 		}
 		out = append(out, installer.Peer{
-			Box: box, Address: v.settings.Internal(e.Address, portSidecars), Zone: e.Zone, Region: v.settings.Regions[e.Zone], Leaving: e.Draining,
+			Box: box, Address: v.settings.Internal(e.Address, portSidecars), Zone: e.Zone, Region: v.settings.Regions[e.Zone], Draining: e.Draining,
 		})
 	}
 	return out, nil
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return storerelay.Of(list, v.settings.Service), nil
+	return storerelay.EndpointsOf(list, v.settings.Service), nil
 }
 
 const (
@@ -164,7 +164,7 @@
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, look)
 		now := clock.Now()
-		heard := publisher.Asked()
+		heard := publisher.LastSubscribed()
 		if heard.IsZero() {
 			heard = began
 		}
@@ -233,12 +233,12 @@
 	i := view.installer
 	for {
 		if state, err := engine.State(ctx); err == nil {
-			i.Heard(state)
+			i.UpdateEngineState(state)
 			publisher.Publish(fleet.Report{
-				Address: view.settings.App, Model: state.Model, Version: state.Version, Busy: state.Busy || i.Leaving(), Promised: i.Promised(),
-				Doubted: i.Doubted(), Running: state.Running, Queued: state.Queued, Pace: state.Pace, Born: state.Born, Weights: view.sum(),
-				Draining: state.Signal.Draining, Limited: state.Signal.Limit.Named, Limit: state.Signal.Limit.Rate,
-			}, i.Changing(), clock.Now())
+				Address: view.settings.App, Model: state.Model, Version: state.Version, Busy: state.Busy || i.Draining(), UpdateScheduled: i.UpdateScheduled(),
+				Unverified: i.Unverified(), Running: state.Running, Queued: state.Queued, Pace: state.Pace, StartedMS: state.StartedMS, WeightsChecksum: view.sum(),
+				Draining: state.Signal.Draining, Limited: state.Signal.Limit.Set, Limit: state.Signal.Limit.Rate,
+			}, i.UpdatePending(), clock.Now())
 		}
 		select {
 		case <-ticker.C:
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -36,10 +36,10 @@
 // deafGateway takes what sidecars send.
 type deafGateway struct{}
 
-func (deafGateway) Heard(fleet.Report, *loadreport.Echo) {}
-func (deafGateway) Granted(backpressure.Grant)           {}
-func (deafGateway) HeardEndpoints([]backpressure.Record) {}
-func (deafGateway) HeardSuspects([]quarantine.Record)    {}
+func (deafGateway) HandleReport(fleet.Report, *loadreport.Echo) {}
+func (deafGateway) HandleGrant(backpressure.Grant)              {}
+func (deafGateway) HandleEndpoints([]backpressure.Record)       {}
+func (deafGateway) HandleSuspects([]quarantine.Record)          {}
 
 // A sidecar that gateways speak to reads nothing from the store; one that
 // hears none reads on its own, all once and then what is new.
@@ -64,9 +64,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	speaking, silence := context.WithCancel(ctx)
-	audience := loadreport.Audience{Sidecars: []string{"127.0.0.1:17701"}}
-	go subscriber.Run(speaking, func() []loadreport.Audience { return []loadreport.Audience{audience} }, nil, deafGateway{})
-	for publisher.Asked().IsZero() {
+	audience := loadreport.SubscriptionGroup{Sidecars: []string{"127.0.0.1:17701"}}
+	go subscriber.Run(speaking, func() []loadreport.SubscriptionGroup { return []loadreport.SubscriptionGroup{audience} }, nil, deafGateway{})
+	for publisher.LastSubscribed().IsZero() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	p := &platformProcess{
@@ -99,7 +99,7 @@
 	server.NameVersion("m", 2, true, now)
 	server.NameVersion("m", 3, false, now.Add(-2*time.Second))
 	select {
-	case <-server.TellSoon():
+	case <-server.NoticeDue():
 	default:
 		t.Fatal("a named version is not told at once")
 	}
@@ -117,14 +117,14 @@
 	view := &sidecarView{settings: settings}
 	view.installer = installer.New(installer.Settings{Box: "127.0.0.1"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	told := notice()
-	assert.DeepEqual(t, told.Named, []loadreport.Named{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
+	assert.DeepEqual(t, told.NamedVersions, []loadreport.NamedVersion{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
 	view.told(told)
 	want, _ := c.Weights("s")
 	assert.DeepEqual(t, view.known(), want)
 	assert.Equal(t, view.layers("s"), 2)
 	assert.Equal(t, view.layers("plain"), 0)
 
-	server.Heard(fleet.Report{Address: "127.0.0.1:9", Weights: view.sum()}, -1)
+	server.HandleReport(fleet.Report{Address: "127.0.0.1:9", WeightsChecksum: view.sum()}, -1)
 	assert.Assert(t, notice().Weights == nil, "it knows them")
 	newer := routing.New(6, nil, []*routing.Service{{Name: "s", Engine: &routing.Engine{Model: "m", Chunks: 8, ChunkBytes: 64, Layers: 2}}}, nil, routing.Limits{})
 	server.Apply(newer)
--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -90,7 +90,7 @@
 	if hasTime && now.Sub(created) > KeyTTL {
 		return Unknown
 	}
-	changedAt, changed := lastHomeChange(key, self, s.Changes)
+	changedAt, changed := lastHomeChange(key, self, s.HomeChanges)
 	switch {
 	case !changed:
 		return Run
@@ -108,7 +108,7 @@
 // weight for key was removed. Older changes set no stricter condition. It
 // returns false if there was no such change, or if self was among the first
 // homes of the service.
-func lastHomeChange(key string, self Self, changes []state.Change) (time.Time, bool) {
+func lastHomeChange(key string, self Self, changes []state.HomeChange) (time.Time, bool) {
 	ownWeight := weight(key, self.Box)
 	for i := len(changes) - 1; i >= 0; i-- {
 		c := changes[i]
--- a/dedup/dedup_test.go
+++ b/dedup/dedup_test.go
@@ -216,7 +216,7 @@
 	assert.Equal(t, table.Begin("a", "2", epoch).Status, Running)
 	table.Finish("a", "2", false, nil)
 	assert.Equal(t, table.Begin("a", "2", epoch).Status, Running, "another attempt must not finish the key")
-	table.Finish("a", "1", false, &Answer{Status: 200, Body: []byte("x")})
+	table.Finish("a", "1", false, &Response{Status: 200, Body: []byte("x")})
 	e := table.Begin("a", "2", epoch)
 	assert.Equal(t, e.Status, Done)
 	assert.Equal(t, string(e.Response.Body), "x")
--- a/dedup/table.go
+++ b/dedup/table.go
@@ -31,14 +31,14 @@
 	// keys of 36 bytes.
 	DefaultCapacity = 180000
 	// MaxResponseBytes bounds the body of one stored response.
-	MaxAnswer = 64 << 10
+	MaxResponseBytes = 64 << 10
 	// maxTotalResponseBytes bounds the bodies of all stored responses.
 	maxTotalResponseBytes = 16 << 20
 )
 
 // Response is a response that a Table stores for later attempts with the key.
 // Status is the HTTP status code.
-type Answer struct {
+type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Version     string `json:"version,omitempty"`
@@ -54,7 +54,7 @@
 	// reported an error.
 	Failed bool
 	// Response is nil if the response was too large, or there was none.
-	Response  *Answer
+	Response  *Response
 	createdAt time.Time
 	refusedAt time.Time // of the last refusal
 }
@@ -117,7 +117,7 @@
 // Finish records that the attempt has ended, with its response, which may be
 // nil. It does nothing unless the key is Running for this attempt. A response
 // beyond the bounds is not stored.
-func (t *Table) Finish(key, attempt string, failed bool, response *Answer) {
+func (t *Table) Finish(key, attempt string, failed bool, response *Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[key]
@@ -125,7 +125,7 @@
 		return
 	}
 	e.Status, e.Failed = Done, failed
-	if response != nil && len(response.Body) <= MaxAnswer && t.responseBytes+len(response.Body) <= maxTotalResponseBytes {
+	if response != nil && len(response.Body) <= MaxResponseBytes && t.responseBytes+len(response.Body) <= maxTotalResponseBytes {
 		e.Response = response
 		t.responseBytes += len(response.Body)
 	}
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -45,7 +45,7 @@
 	// offsets may refer to other records than those that were applied.
 	ErrEraChanged = errors.ConstError("log came back from an older copy")
 	// ErrOutcomeUnknown means that the record may or may not be in the log.
-	ErrUnsettled = errors.ConstError("log did not confirm the record")
+	ErrOutcomeUnknown = errors.ConstError("log did not confirm the record")
 	// ErrUnavailable means that the record is not in the log: no attempt to
 	// append it reached the log or was accepted by it.
 	ErrUnavailable = errors.ConstError("log service is not available")
@@ -104,7 +104,7 @@
 }
 
 // AppendResponse is the response to an append.
-type Appended struct {
+type AppendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
@@ -143,7 +143,7 @@
 // Append appends data to a stream in a single attempt and returns its offset.
 // After an error the data may have been appended nevertheless; see Commit.
 func (c *Client) Append(ctx context.Context, stream string, data any) (int64, error) {
-	var response Appended
+	var response AppendResponse
 	err := c.Call.JSON(ctx, http.MethodPost, c.url(stream), data, &response)
 	return response.Offset, err
 }
@@ -207,7 +207,7 @@
 	for !applied.Applied(id) {
 		select {
 		case <-ctx.Done():
-			return errors.WithType(errors.Errorf("record %s stands in the log but has not come back", id), ErrUnsettled)
+			return errors.WithType(errors.Errorf("record %s stands in the log but has not come back", id), ErrOutcomeUnknown)
 		case <-time.After(pollInterval):
 		}
 	}
@@ -222,7 +222,7 @@
 	case applied.Applied(id):
 		return nil
 	case maybeWritten:
-		return errors.WithType(errors.Annotatef(cause, "record %s", id), ErrUnsettled)
+		return errors.WithType(errors.Annotatef(cause, "record %s", id), ErrOutcomeUnknown)
 	default:
 		return errors.WithType(errors.Annotatef(cause, "record %s", id), ErrUnavailable)
 	}
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -35,33 +35,33 @@
 	// scheduled update may serve; it is lower than MinVersion near a version's
 	// deadline. An engine below MinVersion is only chosen if it can begin the
 	// request at once.
-	PromisedVersion int
+	MinVersionBeforeUpdate int
 	// NextMinVersion is the value that MinVersion will have shortly. An engine
 	// below it is only chosen if it can begin the request at once.
-	SoonVersion int
+	NextMinVersion int
 	// MaxLoad is the load at which an endpoint takes no more; 0 is no bound.
-	Limit float64
+	MaxLoad float64
 	// PrefillMS is the time an engine needs to read the prompt, and
 	// MeanPrefillMS that of a mean request, in milliseconds; both are 0 for plain
 	// services.
-	Work, UsualWork float64
+	PrefillMS, MeanPrefillMS float64
 	// Slots is how many requests an engine runs concurrently, and SlotIntervalMS
 	// how often a full engine frees a slot, in milliseconds.
-	Slots, SlotEvery float64
+	Slots, SlotIntervalMS float64
 	// MaxFirstByteMS bounds the estimated time to the first bytes, in
 	// milliseconds; 0 is no bound.
-	Within float64
+	MaxFirstByteMS float64
 	// MaxBacklogMS bounds the prefill time of requests that are ahead of this
 	// one at the engine, in milliseconds; 0 is no bound.
-	Backlog float64
+	MaxBacklogMS float64
 	// MaxConnections bounds this gateway's attempts in progress at an endpoint,
 	// each of which uses a connection; 0 is no bound.
-	Connections int
+	MaxConnections int
 	// Exclude holds the ids of endpoints that have been tried.
 	Exclude map[string]bool
 	// Isolated excludes endpoints that already have an isolated attempt of this
 	// gateway in progress, so that a crash can be attributed to one of them.
-	Alone bool
+	Isolated bool
 }
 
 // usable reports whether the endpoint may get the attempt, whatever its load.
@@ -71,17 +71,17 @@
 
 // fits is like usable, but also accepts draining endpoints.
 func (e *Endpoint) fits(q *Query, now time.Time) bool {
-	if e.misdirected || q.Exclude[e.ID] || q.Alone && e.isolated {
+	if e.misdirected || q.Exclude[e.ID] || q.Isolated && e.isolated {
 		return false
 	}
 	if q.Model == "" {
 		return true
 	}
 	version := e.Holds(q.Model, now)
-	if version < q.SoonVersion && !e.startsAtOnce(q, now) {
+	if version < q.NextMinVersion && !e.startsAtOnce(q, now) {
 		return false
 	}
-	return version > 0 && e.MayServe(version, q.MinVersion, q.PromisedVersion, now) && !(e.fresh(now) && e.report.Busy)
+	return version > 0 && e.MayServe(version, q.MinVersion, q.MinVersionBeforeUpdate, now) && !(e.fresh(now) && e.report.Busy)
 }
 
 // MayServe reports whether the endpoint, which holds version, may begin
@@ -93,7 +93,7 @@
 	if version >= minVersion {
 		return true
 	}
-	return version >= beforeUpdate && e.report.Promised && !e.report.Busy && now.Sub(e.reportAt) < recentReport
+	return version >= beforeUpdate && e.report.UpdateScheduled && !e.report.Busy && now.Sub(e.reportAt) < recentReport
 }
 
 // startsAtOnce reports whether an engine is expected to begin a new request
@@ -160,14 +160,14 @@
 	}
 	e.Signals.Take(now)
 	e.inFlight++
-	e.unansweredMS += q.Work
+	e.unansweredMS += q.PrefillMS
 	e.unanswered++
 	e.sentSinceReport++
 	e.recentSends = append(e.recentSends, now)
 	if e.brokenInRow > 0 {
 		e.probing = true
 	}
-	e.isolated = e.isolated || q.Alone
+	e.isolated = e.isolated || q.Isolated
 }
 
 // free returns the candidates with room. anyUsable reports whether any candidate
@@ -194,7 +194,7 @@
 	var unpermitted *Endpoint
 	for _, e := range free {
 		cost := f.cost(e, q, e.Load(now), now)
-		permitted := !e.Signals.From(now).After(now)
+		permitted := !e.Signals.AvailableAt(now).After(now)
 		switch {
 		case permitted && cost < bestCost:
 			best, bestCost = e, cost
@@ -203,7 +203,7 @@
 		}
 	}
 	if unpermitted != nil && unpermittedCost < bestCost {
-		unpermitted.Signals.Want()
+		unpermitted.Signals.AddDemand()
 	}
 	return best
 }
@@ -211,17 +211,17 @@
 // room returns an endpoint's load, and whether it has room for the attempt. The
 // load is 0 if the bound on connections is reached.
 func (f *Fleet) room(e *Endpoint, q *Query, now time.Time) (load float64, ok bool) {
-	if q.Connections > 0 && e.inFlight >= q.Connections {
+	if q.MaxConnections > 0 && e.inFlight >= q.MaxConnections {
 		return 0, false
 	}
 	load = e.Load(now)
 	switch {
-	case q.Limit > 0 && load >= f.maxLoad(e, q.Limit, now):
+	case q.MaxLoad > 0 && load >= f.maxLoad(e, q.MaxLoad, now):
 		return load, false
-	case q.Backlog > 0 && e.Backlog(q.UsualWork, now) > q.Backlog:
+	case q.MaxBacklogMS > 0 && e.Backlog(q.MeanPrefillMS, now) > q.MaxBacklogMS:
 		return load, false
 	default:
-		return load, q.Within <= 0 || e.firstByteMS(q, load, now) <= q.Within
+		return load, q.MaxFirstByteMS <= 0 || e.firstByteMS(q, load, now) <= q.MaxFirstByteMS
 	}
 }
 
@@ -260,16 +260,16 @@
 // firstByteMS estimates the time until the first bytes of a new request's
 // response, in milliseconds.
 func (e *Endpoint) firstByteMS(q *Query, load float64, now time.Time) float64 {
-	estimate := halfPassMS + loadCost*load + e.Backlog(q.UsualWork, now) + q.Work
+	estimate := halfPassMS + loadCost*load + e.Backlog(q.MeanPrefillMS, now) + q.PrefillMS
 	if load >= q.Slots {
-		estimate += q.SlotEvery * (load - q.Slots + 1)
+		estimate += q.SlotIntervalMS * (load - q.Slots + 1)
 	}
 	return estimate * e.slowdown(now)
 }
 
 // MinFirstByteMS returns the time until the first bytes at an idle engine, in
 // milliseconds.
-func (q *Query) AtBest() float64 { return halfPassMS + q.Work }
+func (q *Query) MinFirstByteMS() float64 { return halfPassMS + q.PrefillMS }
 
 // Backlog estimates the prefill time of the requests that the engine has been
 // sent and has not begun to answer, in milliseconds. meanPrefillMS is the
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -60,7 +60,7 @@
 // It is 0 if the last report called the version unverified, however old that
 // report is and whatever the record lists, since the engine itself cannot tell.
 func (e *Endpoint) Holds(model string, now time.Time) int {
-	if e.report.Doubted {
+	if e.report.Unverified {
 		return 0
 	}
 	if e.fresh(now) && e.report.Model == model {
@@ -84,7 +84,7 @@
 
 // ReceiveAge returns the time since anything last arrived from the endpoint or
 // its sidecar.
-func (e *Endpoint) SilentFor(now time.Time) time.Duration { return now.Sub(e.receivedAt) }
+func (e *Endpoint) ReceiveAge(now time.Time) time.Duration { return now.Sub(e.receivedAt) }
 
 // overdueCost returns the cost of an engine that has reported before, but from
 // whose box neither reports nor anything else has arrived for reportOverdue.
@@ -93,7 +93,7 @@
 	if e.reportAt.IsZero() {
 		return 0
 	}
-	return min(max(e.SilentFor(now)-reportOverdue, 0)*overdueWeight, overdueCostMax)
+	return min(max(e.ReceiveAge(now)-reportOverdue, 0)*overdueWeight, overdueCostMax)
 }
 
 // Parameters of overdueCost.
@@ -175,17 +175,17 @@
 	if age >= sentVisibleAfter {
 		return 0
 	}
-	sent := e.report.Turn + float64(e.sentSinceReport)*e.report.othersPerRequest()
+	sent := e.report.DemandAhead + float64(e.sentSinceReport)*e.report.othersPerRequest()
 	return waitingShare * sent * (1 - float64(age)/float64(sentVisibleAfter))
 }
 
 // othersPerRequest returns how many requests all other gateways together send
 // for each request of this one.
 func (r *Report) othersPerRequest() float64 {
-	if r.Share <= 0 {
+	if r.DemandShare <= 0 {
 		return float64(max(0, r.Gateways-1))
 	}
-	return (1 - r.Share) / r.Share
+	return (1 - r.DemandShare) / r.DemandShare
 }
 
 // slowdown returns how many times slower than normal the endpoint works, at
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -31,7 +31,7 @@
 	// StartedMS is the start time of the endpoint's process, in Unix
 	// milliseconds, or 0 if unknown. Together with the ID it identifies one
 	// incarnation of the endpoint.
-	Born int64
+	StartedMS int64
 	// Models maps the models that the endpoint holds completely to their
 	// versions; it is nil for endpoints that hold none or are not engines.
 	Models map[string]int
@@ -45,16 +45,16 @@
 	Model   string `json:"m"`
 	Version int    `json:"v"`
 	// StartedMS is Record.StartedMS as reported by the engine.
-	Born int64 `json:"n,omitempty"`
+	StartedMS int64 `json:"n,omitempty"`
 	// Busy is set while the engine takes no new requests, because an operation
 	// on it is in progress or it is about to be drained.
 	Busy bool `json:"b,omitempty"`
 	// UpdateScheduled is set if the engine will be drained and updated to a newer
 	// version before that version's deadline.
-	Promised bool `json:"c,omitempty"`
+	UpdateScheduled bool `json:"c,omitempty"`
 	// Unverified is set if it is unknown whether the engine's weights are really
 	// of the version that it reports.
-	Doubted bool `json:"d,omitempty"`
+	Unverified bool `json:"d,omitempty"`
 	// Draining and Limited are the backpressure signals in the engine's response
 	// to the sidecar; Limit is in requests a second.
 	Draining bool    `json:"draining,omitempty"`
@@ -68,14 +68,14 @@
 	Pace float64 `json:"p,omitempty"`
 	// WeightsChecksum is the routing.WeightsConfig checksum of the configuration
 	// that the sidecar has, or 0 if it has none.
-	Weights uint32 `json:"w,omitempty"`
+	WeightsChecksum uint32 `json:"w,omitempty"`
 	// Gateways is how many gateways receive these reports and so see the same
 	// free slots. DemandAhead is the demand, in average gateways, that may use
 	// them before the gateway that receives this report; it is drawn at random for
 	// each report. DemandShare is that gateway's share of the total demand.
-	Gateways int     `json:"g,omitempty"`
-	Turn     float64 `json:"u,omitempty"`
-	Share    float64 `json:"s,omitempty"`
+	Gateways    int     `json:"g,omitempty"`
+	DemandAhead float64 `json:"u,omitempty"`
+	DemandShare float64 `json:"s,omitempty"`
 }
 
 // Parameters of report expiry and ejection.
@@ -124,7 +124,7 @@
 func (f *Fleet) Put(r Record) bool {
 	changed := f.put(r)
 	if e := f.byID[r.ID]; e != nil && e.Draining {
-		e.Signals.ListedDraining()
+		e.Signals.SetListedDraining()
 	}
 	return changed
 }
@@ -133,10 +133,10 @@
 func (f *Fleet) put(r Record) bool {
 	e := f.byID[r.ID]
 	switch {
-	case e == nil || e.Born == 0 || r.Born == 0:
-	case r.Born < e.Born:
+	case e == nil || e.StartedMS == 0 || r.StartedMS == 0:
+	case r.StartedMS < e.StartedMS:
 		return false // earlier incarnation
-	case r.Born > e.Born:
+	case r.StartedMS > e.StartedMS:
 		f.Remove(r.ID)
 		e = nil
 	}
@@ -144,17 +144,17 @@
 		if old := f.byAddress[r.Address]; old != nil {
 			f.Remove(old.ID)
 		}
-		e = &Endpoint{Record: r, Signals: f.signals.Of(r.ID, r.Born)}
+		e = &Endpoint{Record: r, Signals: f.signals.State(r.ID, r.StartedMS)}
 		f.byID[r.ID] = e
 		f.byAddress[r.Address] = e
 		f.byService[r.Service] = append(f.byService[r.Service], e)
 		f.invalidateWatched(r.Service)
 		return true
 	}
-	r.Born = max(r.Born, e.Born)
+	r.StartedMS = max(r.StartedMS, e.StartedMS)
 	changed := e.Draining != r.Draining || !sameModels(e.Models, r.Models)
-	e.Born = r.Born
-	e.Signals.Learn(r.Born)
+	e.StartedMS = r.StartedMS
+	e.Signals.SetBorn(r.StartedMS)
 	if changed {
 		e.Record = r
 		e.misdirected = false
@@ -167,7 +167,7 @@
 // inherits no state but the rest of the record.
 func (f *Fleet) replaceIncarnation(e *Endpoint, startedMS int64) *Endpoint {
 	r := e.Record
-	r.Born, r.Models = startedMS, nil
+	r.StartedMS, r.Models = startedMS, nil
 	f.Remove(r.ID)
 	f.Put(r)
 	return f.byID[r.ID]
@@ -232,9 +232,9 @@
 
 // StartedMSAt returns the start time of the process of the endpoint at an
 // address, in Unix milliseconds, or 0 if it is unknown.
-func (f *Fleet) Life(address string) int64 {
+func (f *Fleet) StartedMSAt(address string) int64 {
 	if e := f.byAddress[address]; e != nil {
-		return e.Born
+		return e.StartedMS
 	}
 	return 0
 }
@@ -252,7 +252,7 @@
 // those whose fresh report has the weights checksum sum; others are the rest.
 func (f *Fleet) Addresses(service string, sum uint32, now time.Time) (current, others []string) {
 	for _, e := range f.watched(service) {
-		if e.fresh(now) && e.report.Weights == sum {
+		if e.fresh(now) && e.report.WeightsChecksum == sum {
 			current = append(current, e.Address)
 			continue
 		}
@@ -265,25 +265,25 @@
 // endpoint is not on the list or the report is of an earlier incarnation.
 // roundTrip is negative if none was measured. changed reports whether the
 // version, the readiness, the verification or the backpressure signals changed.
-func (f *Fleet) Heard(r Report, roundTrip time.Duration, now time.Time) (e *Endpoint, changed bool) {
+func (f *Fleet) ApplyReport(r Report, roundTrip time.Duration, now time.Time) (e *Endpoint, changed bool) {
 	e = f.byAddress[r.Address]
 	switch {
 	case e == nil:
 		return nil, false
-	case r.Born == 0 || r.Born == e.Born:
-	case r.Born < e.Born:
+	case r.StartedMS == 0 || r.StartedMS == e.StartedMS:
+	case r.StartedMS < e.StartedMS:
 		return nil, false // delayed, of an earlier incarnation
-	case e.Born == 0:
-		e.Born = r.Born
-		e.Signals.Learn(r.Born)
+	case e.StartedMS == 0:
+		e.StartedMS = r.StartedMS
+		e.Signals.SetBorn(r.StartedMS)
 	default:
-		e = f.replaceIncarnation(e, r.Born)
+		e = f.replaceIncarnation(e, r.StartedMS)
 	}
-	changed = e.reportAt.IsZero() || e.report.Version != r.Version || e.report.Busy != r.Busy || e.report.Doubted != r.Doubted ||
+	changed = e.reportAt.IsZero() || e.report.Version != r.Version || e.report.Busy != r.Busy || e.report.Unverified != r.Unverified ||
 		e.report.Draining != r.Draining || e.report.Limited != r.Limited || e.report.Limit != r.Limit
 	e.report = r
 	e.reportAt = now
-	e.Signals.ObserveReport(backpressure.Signal{Draining: r.Draining, Limit: backpressure.Limit{Named: r.Limited, Rate: r.Limit}}, now)
+	e.Signals.ObserveReport(backpressure.Signal{Draining: r.Draining, Limit: backpressure.Limit{Set: r.Limited, Rate: r.Limit}}, now)
 	e.receivedAt = now
 	if roundTrip >= 0 {
 		e.roundTrip, e.roundTripAt = roundTrip, now
@@ -298,7 +298,7 @@
 // RecordFirstByte records that an attempt received its first bytes, or that it
 // ended without any. prefillMS is the Query.PrefillMS of the attempt. lag is by
 // how much the bytes arrived later than estimated; it is negative if unknown.
-func (f *Fleet) Begun(e *Endpoint, prefillMS float64, lag time.Duration, now time.Time) {
+func (f *Fleet) RecordFirstByte(e *Endpoint, prefillMS float64, lag time.Duration, now time.Time) {
 	e.unanswered--
 	e.unansweredMS = math.Max(0, e.unansweredMS-prefillMS)
 	if e.unanswered == 0 {
@@ -360,7 +360,7 @@
 }
 
 // EndIsolated records that the attempt chosen with Query.Isolated has ended.
-func (f *Fleet) EndAlone(e *Endpoint) { e.isolated = false }
+func (f *Fleet) EndIsolated(e *Endpoint) { e.isolated = false }
 
 // RecordReceived records that bytes arrived from the endpoint.
 func (f *Fleet) RecordReceived(e *Endpoint, now time.Time) { e.receivedAt = now }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 }
 
 func query() Query {
-	return Query{Service: "s", Model: model, Slots: 4, Limit: 5, Work: 50, UsualWork: 50}
+	return Query{Service: "s", Model: model, Slots: 4, MaxLoad: 5, PrefillMS: 50, MeanPrefillMS: 50}
 }
 
 func report(id string, version, running, queued int) Report {
@@ -54,16 +54,16 @@
 
 func TestChooseCountsOthersBacklog(t *testing.T) {
 	f := engines(2)
-	f.Heard(report("a", 1, 0, 3), 0, start)
-	f.Heard(report("b", 1, 2, 0), 0, start)
+	f.ApplyReport(report("a", 1, 0, 3), 0, start)
+	f.ApplyReport(report("b", 1, 2, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "b")
 }
 
 func TestChooseStopsAtLimit(t *testing.T) {
 	f := engines(1)
-	f.Heard(report("a", 1, 5, 0), 0, start)
+	f.ApplyReport(report("a", 1, 5, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "")
-	f.Heard(report("a", 1, 4, 0), 0, start)
+	f.ApplyReport(report("a", 1, 4, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "a")
 	assert.Equal(t, chosen(f, query(), start), "", "own attempts must count at once")
 }
@@ -79,13 +79,13 @@
 // record; a new incarnation starts without signals.
 func TestSignalsOutliveTheRecord(t *testing.T) {
 	f := New(Place{Zone: "z"})
-	r := Record{ID: "a", Service: "s", Address: "a:1", Born: 5, Models: map[string]int{model: 1}}
+	r := Record{ID: "a", Service: "s", Address: "a:1", StartedMS: 5, Models: map[string]int{model: 1}}
 	for _, removeRecord := range []func(){
 		func() {},
 		func() { f.Remove("a") },
 		func() { f.Replace(nil) },
 		func() { f.Put(Record{ID: "other", Service: "s", Address: "a:1"}) },
-		func() { f.Forget(start) },
+		func() { f.PruneSignals(start) },
 	} {
 		f.Put(r)
 		f.ByID("a").Signals.Observe(backpressure.Signal{Draining: true}, start, start)
@@ -93,7 +93,7 @@
 		f.Put(r)
 		assert.Equal(t, chosen(f, query(), start), "")
 	}
-	r.Born = 6
+	r.StartedMS = 6
 	f.Put(r)
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
@@ -103,14 +103,14 @@
 	f := engines(2)
 	r := report("a", 1, 0, 0)
 	r.Draining = true
-	f.Heard(r, 0, start)
-	f.Heard(report("a", 1, 0, 0), 0, start)
+	f.ApplyReport(r, 0, start)
+	f.ApplyReport(report("a", 1, 0, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "b")
 	r = report("b", 1, 0, 0)
 	r.Limited, r.Limit = true, 1
-	f.Heard(r, 0, start)
+	f.ApplyReport(r, 0, start)
 	assert.Equal(t, chosen(f, query(), start), "", "a limited endpoint gets nothing without a permit")
-	f.Heard(report("b", 1, 0, 0), 0, start)
+	f.ApplyReport(report("b", 1, 0, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "b", "the limit has ended")
 }
 
@@ -118,7 +118,7 @@
 	f := engines(1)
 	r := report("a", 1, 0, 0)
 	r.Busy = true
-	f.Heard(r, 0, start)
+	f.ApplyReport(r, 0, start)
 	assert.Equal(t, chosen(f, query(), start), "")
 }
 
@@ -126,13 +126,13 @@
 	f := New(Place{Zone: "z"})
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1"})
 	assert.Equal(t, chosen(f, query(), start), "")
-	f.Heard(report("a", 1, 0, 0), 0, start)
+	f.ApplyReport(report("a", 1, 0, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
 
 func TestMinVersion(t *testing.T) {
 	f := engines(2)
-	f.Heard(report("b", 2, 4, 0), 0, start)
+	f.ApplyReport(report("b", 2, 4, 0), 0, start)
 	q := query()
 	q.MinVersion = 2
 	assert.Equal(t, chosen(f, q, start), "b")
@@ -142,7 +142,7 @@
 // An engine below NextMinVersion gets only requests that it can begin at once.
 func TestNextMinVersion(t *testing.T) {
 	q := query()
-	q.SoonVersion = 2
+	q.NextMinVersion = 2
 	for _, test := range []struct {
 		name      string
 		report    Report
@@ -157,23 +157,23 @@
 		{"new version", report("a", 2, 3, 1), 200 * time.Millisecond, "a"},
 	} {
 		f := engines(1)
-		f.Heard(test.report, test.roundTrip, start)
+		f.ApplyReport(test.report, test.roundTrip, start)
 		assert.Equal(t, chosen(f, q, start), test.want, test.name)
 	}
 	f := engines(1)
-	f.Heard(report("a", 1, 0, 0), time.Millisecond, start)
+	f.ApplyReport(report("a", 1, 0, 0), time.Millisecond, start)
 	manySlots := q
-	manySlots.Slots, manySlots.Limit = 16, 16
+	manySlots.Slots, manySlots.MaxLoad = 16, 16
 	assert.Equal(t, chosen(f, manySlots, start), "a")
 	assert.Equal(t, chosen(f, manySlots, start), "", "an unanswered prompt is queued there")
 
 	f = engines(1)
 	assert.Equal(t, chosen(f, q, start), "", "an engine without a report")
-	f.Heard(report("a", 1, 0, 0), time.Millisecond, start)
+	f.ApplyReport(report("a", 1, 0, 0), time.Millisecond, start)
 	assert.Equal(t, chosen(f, q, start.Add(recentReport)), "", "an engine without a recent report")
-	f.Heard(report("a", 1, 0, 0), time.Millisecond, start)
+	f.ApplyReport(report("a", 1, 0, 0), time.Millisecond, start)
 	e := f.Choose(q, start)
-	f.Begun(e, q.Work, time.Second, start)
+	f.RecordFirstByte(e, q.PrefillMS, time.Second, start)
 	f.End(e, Answered, start)
 	assert.Equal(t, chosen(f, q, start), "", "its last first bytes were late")
 }
@@ -182,10 +182,10 @@
 // while its sidecar reports a scheduled update.
 func TestScheduledUpdateExtendsOlderVersion(t *testing.T) {
 	q := query()
-	q.SoonVersion, q.MinVersion, q.PromisedVersion = 2, 2, 1
+	q.NextMinVersion, q.MinVersion, q.MinVersionBeforeUpdate = 2, 2, 1
 	scheduled := func(running, queued int, busy bool) Report {
 		r := report("a", 1, running, queued)
-		r.Promised, r.Busy = true, busy
+		r.UpdateScheduled, r.Busy = true, busy
 		return r
 	}
 	for _, test := range []struct {
@@ -201,26 +201,26 @@
 		{"no recent report", scheduled(0, 0, false), recentReport, ""},
 	} {
 		f := engines(1)
-		f.Heard(test.report, time.Millisecond, start)
+		f.ApplyReport(test.report, time.Millisecond, start)
 		assert.Equal(t, chosen(f, q, start.Add(test.after)), test.want, test.name)
 	}
-	q.PromisedVersion = 2
+	q.MinVersionBeforeUpdate = 2
 	f := engines(1)
-	f.Heard(scheduled(0, 0, false), time.Millisecond, start)
+	f.ApplyReport(scheduled(0, 0, false), time.Millisecond, start)
 	assert.Equal(t, chosen(f, q, start), "", "below MinVersionBeforeUpdate")
 }
 
 func TestBrokenEndpointIsEjectedThenProbed(t *testing.T) {
 	f := engines(1)
 	e := f.Choose(query(), start)
-	f.Begun(e, 50, -1, start)
+	f.RecordFirstByte(e, 50, -1, start)
 	f.End(e, Broken, start)
 	assert.Equal(t, chosen(f, query(), start.Add(ejectMin/2)), "")
 	later := start.Add(ejectMin + time.Millisecond)
 	e = f.Choose(query(), later)
 	assert.Assert(t, e != nil, "one request must probe it")
 	assert.Equal(t, chosen(f, query(), later), "", "only one request must probe it")
-	f.Begun(e, 50, 0, later)
+	f.RecordFirstByte(e, 50, 0, later)
 	f.End(e, Answered, later)
 	assert.Equal(t, chosen(f, query(), later), "a")
 }
@@ -241,7 +241,7 @@
 func TestMisdirected(t *testing.T) {
 	f := engines(1)
 	e := f.Choose(query(), start)
-	f.Begun(e, 50, -1, start)
+	f.RecordFirstByte(e, 50, -1, start)
 	f.End(e, Misdirected, start)
 	assert.Equal(t, chosen(f, query(), start.Add(time.Minute)), "")
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{model: 1}})
@@ -256,14 +256,14 @@
 	assert.Equal(t, chosen(f, query(), start), "")
 	assert.Equal(t, len(f.Endpoints("s")), 0)
 	f.Remove("a") // delayed removal of the earlier record
-	e, _ := f.Heard(report("a", 1, 0, 0), 0, start)
+	e, _ := f.ApplyReport(report("a", 1, 0, 0), 0, start)
 	assert.Equal(t, e.ID, "new")
 }
 
 func TestSlowLinkIsAvoided(t *testing.T) {
 	f := engines(2)
-	f.Heard(report("a", 1, 0, 0), 300*time.Millisecond, start)
-	f.Heard(report("b", 1, 2, 0), time.Millisecond, start)
+	f.ApplyReport(report("a", 1, 0, 0), 300*time.Millisecond, start)
+	f.ApplyReport(report("b", 1, 2, 0), time.Millisecond, start)
 	assert.Equal(t, chosen(f, query(), start), "b")
 	assert.Assert(t, f.byID["b"].Delay(start.Add(2*time.Second)) >= 400*time.Millisecond, "an overdue measurement must count as delay")
 }
@@ -271,7 +271,7 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	f := engines(2)
 	q := query()
-	q.Limit, q.Connections = 0, 2
+	q.MaxLoad, q.MaxConnections = 0, 2
 	for range 4 {
 		assert.Assert(t, f.Choose(q, start) != nil)
 	}
@@ -297,8 +297,8 @@
 	for ahead := range gateways {
 		f := New(Place{Zone: "z"})
 		f.Put(Record{ID: "e", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{"m": 1}})
-		f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: slots - 2, Gateways: gateways, Turn: float64(ahead)}, -1, now)
-		q := Query{Service: "s", Model: "m", MinVersion: 1, Slots: slots, Limit: slots}
+		f.ApplyReport(Report{Address: "a:1", Model: "m", Version: 1, Running: slots - 2, Gateways: gateways, DemandAhead: float64(ahead)}, -1, now)
+		q := Query{Service: "s", Model: "m", MinVersion: 1, Slots: slots, MaxLoad: slots}
 		if f.Choose(q, now.Add(time.Millisecond)) != nil {
 			sends++
 		}
@@ -318,25 +318,25 @@
 	now := time.Now()
 	f := New(Place{Zone: "z"})
 	f.Put(Record{ID: "e", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{"m": 1}})
-	f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: 5}, -1, now)
+	f.ApplyReport(Report{Address: "a:1", Model: "m", Version: 1, Running: 5}, -1, now)
 	e := f.Choose(Query{Service: "s", Model: "m", MinVersion: 1}, now)
 	assert.Assert(t, e != nil)
 	later := now.Add(reportLag / 2)
-	f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: 5}, -1, later)
+	f.ApplyReport(Report{Address: "a:1", Model: "m", Version: 1, Running: 5}, -1, later)
 	assert.Equal(t, e.Load(later), 6.0)
 	later = now.Add(2 * reportLag)
-	f.Heard(Report{Address: "a:1", Model: "m", Version: 1, Running: 6}, -1, later)
+	f.ApplyReport(Report{Address: "a:1", Model: "m", Version: 1, Running: 6}, -1, later)
 	assert.Equal(t, e.Load(later), 6.0)
 }
 
 // MaxBacklogMS excludes engines with more prefill work queued.
 func TestBacklogIsBounded(t *testing.T) {
 	f := engines(1)
-	f.Heard(report("a", 1, 0, 2), 0, start)
+	f.ApplyReport(report("a", 1, 0, 2), 0, start)
 	q := query()
-	q.Backlog = q.UsualWork
+	q.MaxBacklogMS = q.MeanPrefillMS
 	assert.Equal(t, chosen(f, q, start), "")
-	f.Heard(report("a", 1, 2, 0), 0, start)
+	f.ApplyReport(report("a", 1, 2, 0), 0, start)
 	assert.Equal(t, chosen(f, q, start), "a")
 }
 
@@ -344,11 +344,11 @@
 // but is still usable, since only its sidecar may have failed.
 func TestEngineWithOverdueReportsIsTheLastChoice(t *testing.T) {
 	f := engines(2)
-	f.Heard(report("a", 1, 0, 0), 0, start)
-	f.Heard(report("b", 1, 3, 0), 0, start)
+	f.ApplyReport(report("a", 1, 0, 0), 0, start)
+	f.ApplyReport(report("b", 1, 3, 0), 0, start)
 	later := start.Add(reportOverdue + 200*time.Millisecond)
-	f.Heard(report("b", 1, 3, 0), 0, later)
+	f.ApplyReport(report("b", 1, 3, 0), 0, later)
 	assert.Equal(t, chosen(f, query(), later), "b")
-	f.Heard(report("b", 1, 4, 4), 0, later)
+	f.ApplyReport(report("b", 1, 4, 4), 0, later)
 	assert.Equal(t, chosen(f, query(), later), "a")
 }
--- a/fleet/free_test.go
+++ b/fleet/free_test.go
@@ -20,19 +20,19 @@
 			if rapid.Bool().Draw(t, "reports") {
 				r := report(e.ID, rapid.IntRange(0, 3).Draw(t, "version"), rapid.IntRange(0, 6).Draw(t, "running"), rapid.IntRange(0, 3).Draw(t, "queued"))
 				r.Busy = rapid.Bool().Draw(t, "busy")
-				f.Heard(r, -1, now)
+				f.ApplyReport(r, -1, now)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "draining") == 0 {
-				e.Signals.ListedDraining()
+				e.Signals.SetListedDraining()
 			}
 		}
 		now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "later")) * time.Millisecond)
 		strict := query()
 		strict.MinVersion = rapid.IntRange(0, 2).Draw(t, "minVersion")
 		weak := strict
-		strict.Within = rapid.SampledFrom([]float64{0, 100, 250, 400}).Draw(t, "within")
-		strict.Backlog = rapid.SampledFrom([]float64{0, 50}).Draw(t, "backlog")
-		strict.Limit = float64(rapid.IntRange(1, 5).Draw(t, "limit"))
+		strict.MaxFirstByteMS = rapid.SampledFrom([]float64{0, 100, 250, 400}).Draw(t, "within")
+		strict.MaxBacklogMS = rapid.SampledFrom([]float64{0, 50}).Draw(t, "backlog")
+		strict.MaxLoad = float64(rapid.IntRange(1, 5).Draw(t, "limit"))
 		if rapid.Bool().Draw(t, "tried") {
 			strict.Exclude = map[string]bool{"a": true}
 		}
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -11,7 +11,7 @@
 
 // incarnation returns the record of endpoint a's incarnation started at startedMS.
 func incarnation(startedMS int64) Record {
-	return Record{ID: "a", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{model: 1}, Born: startedMS}
+	return Record{ID: "a", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{model: 1}, StartedMS: startedMS}
 }
 
 // A restarted endpoint must not inherit the state of its earlier incarnation, nor
@@ -20,7 +20,7 @@
 	f := New(Place{Zone: "z"})
 	f.Put(incarnation(1000))
 	e := f.Choose(query(), start)
-	f.Begun(e, 50, -1, start)
+	f.RecordFirstByte(e, 50, -1, start)
 	f.End(e, Broken, start)
 	assert.Equal(t, chosen(f, query(), start), "", "the endpoint must be ejected")
 	earlier := f.byID["a"]
@@ -43,7 +43,7 @@
 	old.Draining = true
 	assert.Assert(t, !f.Put(old))
 	assert.Assert(t, !f.byID["a"].Draining)
-	assert.Equal(t, f.byID["a"].Born, int64(2000))
+	assert.Equal(t, f.byID["a"].StartedMS, int64(2000))
 }
 
 // A start time that becomes known must not count as a restart.
@@ -53,9 +53,9 @@
 	e := f.Choose(query(), start)
 	f.Put(incarnation(1000))
 	assert.Equal(t, f.byID["a"], e)
-	assert.Equal(t, e.Born, int64(1000))
+	assert.Equal(t, e.StartedMS, int64(1000))
 	f.Put(incarnation(0))
-	assert.Equal(t, e.Born, int64(1000))
+	assert.Equal(t, e.StartedMS, int64(1000))
 }
 
 // A report of a restart takes effect before the list shows it; delayed reports of
@@ -64,14 +64,14 @@
 	f := New(Place{Zone: "z"})
 	f.Put(incarnation(1000))
 	old := report("a", 1, 2, 0)
-	old.Born = 1000
-	f.Heard(old, -1, start)
-	fresh := Report{Address: "a:1", Born: 2000}
-	e, changed := f.Heard(fresh, -1, start.Add(time.Millisecond))
+	old.StartedMS = 1000
+	f.ApplyReport(old, -1, start)
+	fresh := Report{Address: "a:1", StartedMS: 2000}
+	e, changed := f.ApplyReport(fresh, -1, start.Add(time.Millisecond))
 	assert.Assert(t, e != nil && changed)
 	assert.Equal(t, e.Holds(model, start.Add(2*time.Millisecond)), 0)
 	assert.Equal(t, e.Holds(model, start.Add(time.Minute)), 0, "the list still has the earlier incarnation after the report has expired")
-	late, _ := f.Heard(old, -1, start.Add(2*time.Millisecond))
+	late, _ := f.ApplyReport(old, -1, start.Add(2*time.Millisecond))
 	assert.Assert(t, late == nil)
 	assert.Equal(t, chosen(f, query(), start.Add(3*time.Millisecond)), "")
 	f.Put(incarnation(1000))
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -10,21 +10,21 @@
 
 // SetGateways sets the number of gateways that share the rate limits of
 // endpoints.
-func (f *Fleet) Share(gateways int) { f.signals.Share(gateways) }
+func (f *Fleet) SetGateways(gateways int) { f.signals.SetGateways(gateways) }
 
 // NextOpening returns the earliest time at which an endpoint of a service that may
 // not be sent requests now may be sent one. It is zero if there is no such time;
 // draining endpoints don't count.
-func (f *Fleet) Opens(service string, now time.Time) time.Time {
+func (f *Fleet) NextOpening(service string, now time.Time) time.Time {
 	var earliest time.Time
-	if f.signals.Quiet() {
+	if f.signals.NoSignals() {
 		return earliest
 	}
 	for _, e := range f.byService[service] {
 		if e.Signals.Draining() {
 			continue
 		}
-		if at := e.Signals.From(now); at.After(now) && (earliest.IsZero() || at.Before(earliest)) {
+		if at := e.Signals.AvailableAt(now); at.After(now) && (earliest.IsZero() || at.Before(earliest)) {
 			earliest = at
 		}
 	}
@@ -60,9 +60,9 @@
 // Closure reports whether all endpoints that could serve an attempt are closed by
 // their own signals until after by. Its Reason is that of the endpoint that opens
 // first, or Open if one is open by then or none could serve the attempt.
-func (f *Fleet) Closed(q Query, by, now time.Time) Closure {
+func (f *Fleet) Closure(q Query, by, now time.Time) Closure {
 	c := Closure{Reason: Open}
-	if f.signals.Quiet() {
+	if f.signals.NoSignals() {
 		return c
 	}
 	for _, e := range f.byService[q.Service] {
@@ -83,7 +83,7 @@
 // closure returns which signal of the endpoint closes it now, and when it opens: zero
 // if that is unknown, now if it is open.
 func (e *Endpoint) closure(now time.Time) (Reason, time.Time) {
-	opens := e.Signals.From(now)
+	opens := e.Signals.AvailableAt(now)
 	switch {
 	case e.Signals.Draining():
 		return Draining, time.Time{}
@@ -122,12 +122,12 @@
 
 // EachAsk calls ask with each pending message to a permit issuer about an endpoint
 // of a service: a request for permits, or just the endpoint's signals.
-func (f *Fleet) Asks(service string, now time.Time, ask func(e *Endpoint, a backpressure.Ask)) {
-	if f.signals.Quiet() {
+func (f *Fleet) EachAsk(service string, now time.Time, ask func(e *Endpoint, a backpressure.PermitRequest)) {
+	if f.signals.NoSignals() {
 		return
 	}
 	for _, e := range f.byService[service] {
-		if a, ok := e.Signals.Ask(now); ok {
+		if a, ok := e.Signals.PermitRequest(now); ok {
 			ask(e, a)
 		}
 	}
@@ -135,16 +135,16 @@
 
 // ApplyGrant applies a permit issuer's answer, with permits and the endpoint's
 // signals; it returns the changes of the signals.
-func (f *Fleet) Granted(g backpressure.Grant, now time.Time) []backpressure.Change {
-	return f.signals.Granted(g, now)
+func (f *Fleet) ApplyGrant(g backpressure.Grant, now time.Time) []backpressure.Change {
+	return f.signals.ApplyGrant(g, now)
 }
 
 // MergeSignals merges an endpoint's signals as known to another process; it returns
 // the changes.
-func (f *Fleet) HeardOf(r backpressure.Record, now time.Time) []backpressure.Change {
+func (f *Fleet) MergeSignals(r backpressure.Record, now time.Time) []backpressure.Change {
 	return f.signals.Merge(r, now)
 }
 
 // PruneSignals deletes signals of endpoints that are no longer on the list, once they
 // have expired or become too many.
-func (f *Fleet) Forget(now time.Time) { f.signals.Forget(f.Has, now) }
+func (f *Fleet) PruneSignals(now time.Time) { f.signals.Evict(f.Has, now) }
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -113,7 +113,7 @@
 // PermitIssuer returns the address of the relay whose sidecar issues permits for the
 // rate limit of the endpoint with the given id, which has no sidecar of its own.
 // Gateways with the same relays get the same result. It is empty without relays.
-func Dealer(relays []string, id string) string {
+func PermitAllocator(relays []string, id string) string {
 	weight := func(address string) uint64 { return xxhash.Sum64String(id + "/" + address) }
 	best := ""
 	for _, address := range relays {
--- a/fleet/watch_test.go
+++ b/fleet/watch_test.go
@@ -117,11 +117,11 @@
 			f := largeFleet("g0", 0, n)
 			now := time.Unix(2000, 0)
 			for i := range n {
-				f.Heard(Report{Address: fmt.Sprintf("e%d:1", i), Model: model, Version: 1, Running: i % 4, Gateways: 53, Share: 0.02}, time.Millisecond, now)
+				f.ApplyReport(Report{Address: fmt.Sprintf("e%d:1", i), Model: model, Version: 1, Running: i % 4, Gateways: 53, DemandShare: 0.02}, time.Millisecond, now)
 			}
 			for b.Loop() {
 				if e := f.Choose(query(), now); e != nil {
-					f.Begun(e, 50, 0, now)
+					f.RecordFirstByte(e, 50, 0, now)
 					f.End(e, Answered, now)
 				}
 			}
@@ -141,7 +141,7 @@
 		all := f.Relays("s", start)
 		assert.Equal(t, len(all), min(n, commonEndpoints), "no sidecar has reported yet")
 		for i := range n {
-			f.Heard(Report{Address: fmt.Sprint("e", i, ":1")}, -1, start)
+			f.ApplyReport(Report{Address: fmt.Sprint("e", i, ":1")}, -1, start)
 		}
 		assert.DeepEqual(t, f.Relays("s", start), all)
 		if n <= commonEndpoints {
@@ -150,7 +150,7 @@
 		later := start.Add(2 * reportTTL)
 		for i := range n {
 			if address := fmt.Sprint("e", i, ":1"); address != all[0] && address != all[1] {
-				f.Heard(Report{Address: address}, -1, later)
+				f.ApplyReport(Report{Address: address}, -1, later)
 			}
 		}
 		relays := f.Relays("s", later)
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -56,14 +56,14 @@
 
 // HedgeDelay returns how long after its wait a read may stay unanswered before a
 // hedged read is made.
-func (b Budget) Silence() time.Duration { return b.share(hedgeShare) }
+func (b Budget) HedgeDelay() time.Duration { return b.share(hedgeShare) }
 
 // AnswerTime returns how long the store may take to answer a read without a wait.
-func (b Budget) Answer() time.Duration { return b.share(answerShare) }
+func (b Budget) AnswerTime() time.Duration { return b.share(answerShare) }
 
 // RelayTimeout returns how long the response of a reader may take in addition to the
 // time for which it may hold the request.
-func (b Budget) Relay() time.Duration { return b.share(relayShare) }
+func (b Budget) RelayTimeout() time.Duration { return b.share(relayShare) }
 
 // StaleAfter returns the age of its data at which a process reads the store itself,
 // whatever calls are pending.
@@ -71,7 +71,7 @@
 
 // Hold returns how long a reader may hold the request of a follower with data of this
 // age. If it is not positive, the follower must read the store itself.
-func (b Budget) Hold(age time.Duration) time.Duration { return b.StaleAfter() - b.Relay() - age }
+func (b Budget) Hold(age time.Duration) time.Duration { return b.StaleAfter() - b.RelayTimeout() - age }
 
 // Current reports whether data of this age is within the bound.
 func (b Budget) Current(age time.Duration) bool { return age < b.bound }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -24,11 +24,11 @@
 
 // attemptResult is the result of one attempt at one endpoint.
 type attemptResult struct {
-	failure         *failure      // nil when the caller has received the whole response
-	responseStarted bool          // part of the response has reached the caller
-	healthy         bool          // the attempt does not count as a failure of the endpoint
-	staleRoute      bool          // refused: the box serves other versions now, or takes no requests for a while
-	response        *dedup.Answer // nil unless the whole response was buffered
+	failure         *failure        // nil when the caller has received the whole response
+	responseStarted bool            // part of the response has reached the caller
+	healthy         bool            // the attempt does not count as a failure of the endpoint
+	staleRoute      bool            // refused: the box serves other versions now, or takes no requests for a while
+	response        *dedup.Response // nil unless the whole response was buffered
 }
 
 // attempt sends the request to one endpoint and relays its response to the
@@ -48,7 +48,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get(peer.HeaderDraining) != "" {
-		d.table.Draining(ep.Box)
+		d.table.MarkDraining(ep.Box)
 	}
 	if resp.Header.Get(peer.HeaderOutcome) != "" {
 		return d.refusal(ep, resp)
@@ -101,12 +101,12 @@
 	}
 	switch reason {
 	case peer.ReasonDraining, peer.ReasonReplaced:
-		d.table.Draining(ep.Box)
+		d.table.MarkDraining(ep.Box)
 		fail.status, fail.retryAfter = http.StatusServiceUnavailable, shedRetryAfter
 	case peer.ReasonClosed:
-		d.table.Close(ep.Box, time.Now().Add(fail.retryAfter))
+		d.table.CloseUntil(ep.Box, time.Now().Add(fail.retryAfter))
 	case peer.ReasonVersion:
-		d.table.Serving(ep.Box, peer.SplitRefs(resp.Header.Get(peer.HeaderServing)))
+		d.table.SetServing(ep.Box, peer.SplitRefs(resp.Header.Get(peer.HeaderServing)))
 		fail.status, fail.retryAfter = http.StatusServiceUnavailable, shedRetryAfter
 	}
 	return attemptResult{failure: fail, healthy: reason != peer.ReasonEndpoint, staleRoute: reason == peer.ReasonVersion || reason == peer.ReasonClosed}
@@ -183,7 +183,7 @@
 		w.Header().Set("Content-Length", v)
 	}
 	w.WriteHeader(resp.StatusCode)
-	stored := &dedup.Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Version: versionString(ref), Body: buffered.Bytes()}
+	stored := &dedup.Response{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Version: versionString(ref), Body: buffered.Bytes()}
 	result := attemptResult{responseStarted: true, healthy: true, response: stored}
 	if _, err := w.Write(buffered.Bytes()); err != nil {
 		return result // the caller has disconnected; the request ran
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -40,7 +40,7 @@
 		d.reportFinish(q, home, outcome.NotRun, nil)
 		return notRun(http.StatusGatewayTimeout, "deadline", "the gateway was paused before the request could run")
 	}
-	result, response := outcome.Unknown, (*dedup.Answer)(nil)
+	result, response := outcome.Unknown, (*dedup.Response)(nil)
 	defer func() { d.reportFinish(q, home, result, response) }()
 	fail, response = d.admitAndRun(w, q)
 	switch {
@@ -56,7 +56,7 @@
 
 // claimKey requests a grant from the key's home. If no response arrives, it
 // retries with the same request ID. The result may be a denial.
-func (d *Daemon) claimKey(q *request) (state.Home, peer.Claimed, *failure) {
+func (d *Daemon) claimKey(q *request) (state.Home, peer.ClaimResult, *failure) {
 	var lastError string
 	for attempt := range maxClaimAttempts {
 		home, offset, ok := d.homeOf(q)
@@ -70,7 +70,7 @@
 			break
 		}
 		ctx, cancel := context.WithTimeout(q.ctx, claimTimeout)
-		var result peer.Claimed
+		var result peer.ClaimResult
 		err := d.Peers.JSON(ctx, http.MethodPost, d.Peers.URL(address, peer.PathClaim), peer.Claim{Workspace: q.workspace.Name, Key: q.key, Request: q.id, Offset: offset}, &result)
 		cancel()
 		if err == nil && (result.Reason != peer.ReasonNotHome || attempt == maxClaimAttempts-1) {
@@ -85,7 +85,7 @@
 	}
 	fail := unknownOutcome("no_home", lastError+"; this attempt did not run, an earlier one may have")
 	fail.status, fail.retryAfter = http.StatusServiceUnavailable, shedRetryAfter
-	return state.Home{}, peer.Claimed{}, fail
+	return state.Home{}, peer.ClaimResult{}, fail
 }
 
 // homeOf returns a key's home according to this gateway's replica, and the
@@ -129,7 +129,7 @@
 
 // respondNotGranted writes the stored response of an earlier attempt, if the
 // home has one; otherwise it returns the home's reason as a failure.
-func (d *Daemon) respondNotGranted(w http.ResponseWriter, q *request, claim peer.Claimed) *failure {
+func (d *Daemon) respondNotGranted(w http.ResponseWriter, q *request, claim peer.ClaimResult) *failure {
 	if claim.Answer != nil {
 		ref, _ := weights.ParseRef(claim.Answer.Version) // empty for services
 		d.setResponseHeaders(w, q, ref, claim.Answer.ContentType)
@@ -148,11 +148,11 @@
 
 // reportFinish reports the outcome of a granted attempt to the key's home.
 // Without a report, the home keeps answering that the key may have run.
-func (d *Daemon) reportFinish(q *request, home state.Home, result outcome.Outcome, response *dedup.Answer) {
+func (d *Daemon) reportFinish(q *request, home state.Home, result outcome.Outcome, response *dedup.Response) {
 	if result == outcome.Unknown {
 		return
 	}
-	if response != nil && len(response.Body) > dedup.MaxAnswer {
+	if response != nil && len(response.Body) > dedup.MaxResponseBytes {
 		response = nil
 	}
 	report := peer.Finish{Workspace: q.workspace.Name, Key: q.key, Request: q.id, Outcome: result, Answer: response}
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -161,31 +161,31 @@
 // admitAndRun admits the request within the limits of its workspace and of this
 // gateway, and runs it. The second result is the response if it was buffered
 // whole.
-func (d *Daemon) admitAndRun(w http.ResponseWriter, q *request) (*failure, *dedup.Answer) {
-	if !d.workspaceLimits.Enter(q.workspace.Name, q.workspace.MaxInFlight) {
+func (d *Daemon) admitAndRun(w http.ResponseWriter, q *request) (*failure, *dedup.Response) {
+	if !d.workspaceLimits.Acquire(q.workspace.Name, q.workspace.MaxInFlight) {
 		fail := notRun(http.StatusTooManyRequests, "workspace_limit", "the workspace has as many requests in progress as it may")
 		fail.retryAfter = shedRetryAfter
 		return fail, nil
 	}
-	defer d.workspaceLimits.Leave(q.workspace.Name)
+	defer d.workspaceLimits.Release(q.workspace.Name)
 	if err := d.gate.Acquire(q.ctx, q.workspace.Priority, q.workspace.Name); err != nil {
 		fail := notRun(http.StatusTooManyRequests, "overloaded", "the system is overloaded")
 		fail.retryAfter = shedRetryAfter
 		return fail, nil
 	}
 	defer d.gate.Release(q.workspace.Name)
-	d.retryBudget.Request()
+	d.retryBudget.AddRequest()
 	return d.run(w, q)
 }
 
 // run tries endpoints until one has responded or no further attempt is allowed.
-func (d *Daemon) run(w http.ResponseWriter, q *request) (*failure, *dedup.Answer) {
+func (d *Daemon) run(w http.ResponseWriter, q *request) (*failure, *dedup.Response) {
 	var tried []string
 	fail := notRun(http.StatusServiceUnavailable, "no_endpoint", "no endpoint can take the request now")
 	fail.retryAfter = shedRetryAfter
 	attempts, staleRoutes := 0, 0
 	for attempts < maxAttempts && staleRoutes < maxStaleRoutes {
-		if attempts > 0 && !d.retryBudget.Retry() {
+		if attempts > 0 && !d.retryBudget.TakeRetry() {
 			break
 		}
 		ep, ref, ok := d.findEndpoint(q, tried)
@@ -226,7 +226,7 @@
 // preference that has one. The version is zero for plain services.
 func (d *Daemon) chooseEndpoint(q *request, tried []string) (route.Endpoint, weights.Ref, bool) {
 	now := time.Now()
-	want := route.Want{Service: q.service, Zone: d.settings.Node.Zone, Prefix: q.promptPrefix, Not: tried}
+	want := route.Criteria{Service: q.service, Zone: d.settings.Node.Zone, Prefix: q.promptPrefix, Exclude: tried}
 	if q.service != "" {
 		ep, ok := d.table.Choose(want, now)
 		return ep, weights.Ref{}, ok
--- a/ingress/accept.go
+++ b/ingress/accept.go
@@ -31,7 +31,7 @@
 // WatchAccepts wraps the listener for callers. If accepting fails, such as when
 // file descriptors run out, the gateway closes its idle connections to endpoints
 // and becomes unready for acceptFailureHold.
-func (s *Server) Accepting(l net.Listener) net.Listener {
+func (s *Server) WatchAccepts(l net.Listener) net.Listener {
 	return &watchedListener{Listener: l, server: s}
 }
 
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -76,29 +76,29 @@
 	if service == nil {
 		return q
 	}
-	q.Connections = s.connectionLimit(service)
-	q.Alone = !x.acceptsLate && x.suspected(now)
+	q.MaxConnections = s.connectionLimit(service)
+	q.Isolated = !x.acceptsLate && x.suspected(now)
 	if service.Engine == nil {
-		q.Limit = plainLoadFactor * defaultSlots
+		q.MaxLoad = plainLoadFactor * defaultSlots
 		return q
 	}
 	q.Model = x.model
 	q.Slots = float64(service.Engine.Slots)
-	q.Work = x.prefillMS
-	q.UsualWork = x.meanPrefillMS
-	q.Limit = float64(service.Engine.Slots)
-	q.SlotEvery = slotIntervalMS(service.Engine)
+	q.PrefillMS = x.prefillMS
+	q.MeanPrefillMS = x.meanPrefillMS
+	q.MaxLoad = float64(service.Engine.Slots)
+	q.SlotIntervalMS = slotIntervalMS(service.Engine)
 	switch {
 	case x.attempts > 0:
-		q.Limit += retryExtraLoad
+		q.MaxLoad += retryExtraLoad
 	case x.acceptsLate:
-		q.Limit *= lateLoadShare
-		q.Backlog = lateBacklogPrompts * x.meanPrefillMS
+		q.MaxLoad *= lateLoadShare
+		q.MaxBacklogMS = lateBacklogPrompts * x.meanPrefillMS
 	}
-	q.Within = x.maxFirstByteMS(now)
+	q.MaxFirstByteMS = x.maxFirstByteMS(now)
 	q.MinVersion = s.minVersion(x.model, now)
-	q.PromisedVersion = s.minVersion(x.model, now.Add(-scheduledUpdateLead))
-	q.SoonVersion = s.minVersion(x.model, now.Add(nextVersionLead))
+	q.MinVersionBeforeUpdate = s.minVersion(x.model, now.Add(-scheduledUpdateLead))
+	q.NextMinVersion = s.minVersion(x.model, now.Add(nextVersionLead))
 	return q
 }
 
@@ -106,7 +106,7 @@
 // attempts end. Server.mu must be held.
 func (s *Server) servableQuery(x *exchange, now time.Time) fleet.Query {
 	q := s.attemptQuery(x, now)
-	q.Alone = false
+	q.Isolated = false
 	return q
 }
 
@@ -114,10 +114,10 @@
 // request for the service of x. Server.mu must be held.
 func (s *Server) widestQuery(x *exchange, now time.Time) fleet.Query {
 	q := s.attemptQuery(x, now)
-	q.Exclude, q.Alone = nil, false
-	q.Within, q.Backlog = 0, 0
+	q.Exclude, q.Isolated = nil, false
+	q.MaxFirstByteMS, q.MaxBacklogMS = 0, 0
 	if service := x.config.Services[x.service]; service != nil && service.Engine != nil {
-		q.Limit = float64(service.Engine.Slots) + retryExtraLoad
+		q.MaxLoad = float64(service.Engine.Slots) + retryExtraLoad
 	}
 	return q
 }
@@ -203,7 +203,7 @@
 		if ctx.Err() == nil || e == nil {
 			return e
 		}
-		s.fleet.Begun(e, x.prefillMS, unknownLateness, clock.Now())
+		s.fleet.RecordFirstByte(e, x.prefillMS, unknownLateness, clock.Now())
 		s.endAttemptLocked(x, e, fleet.Abandoned, clock.Now())
 		s.dispatch(x.service, clock.Now())
 	default:
@@ -242,7 +242,7 @@
 	s.mu.Lock()
 	q := s.attemptQuery(x, now)
 	s.mu.Unlock()
-	return q.Within > 0 && q.Work > 0 && q.AtBest() > q.Within
+	return q.MaxFirstByteMS > 0 && q.PrefillMS > 0 && q.MinFirstByteMS() > q.MaxFirstByteMS
 }
 
 // queueTimeout returns how long x may wait for an endpoint that responds in time.
@@ -262,7 +262,7 @@
 	q := s.servableQuery(x, now)
 	q.Exclude = nil
 	usable := s.fleet.Usable(q, now, now)
-	closure := s.fleet.Closed(q, now, now)
+	closure := s.fleet.Closure(q, now, now)
 	s.mu.Unlock()
 	spread := float64(retryAfterSpread) + float64(retryAfterRefusedSpread)*s.statsOf(x.service).refusedShare(now)
 	after := retryAfterMin + time.Duration(rand.Float64()*spread)
@@ -283,17 +283,17 @@
 
 // slotIntervalMS returns how often a full engine frees a slot, in milliseconds.
 func slotIntervalMS(e *routing.Engine) float64 {
-	decodeMS := float64(e.UsualAnswer) * float64(e.Step.Microseconds()) / 1000
-	return decodeMS/float64(max(e.Slots, 1)) + prefillMS(e, e.UsualPrompt)
+	decodeMS := float64(e.MeanAnswerTokens) * float64(e.Step.Microseconds()) / 1000
+	return decodeMS/float64(max(e.Slots, 1)) + prefillMS(e, e.MeanPromptTokens)
 }
 
 // prefillMS returns the prefill time of a prompt in milliseconds, or 0 if the
 // engine's prefill rate is unknown.
 func prefillMS(e *routing.Engine, tokens int) float64 {
-	if e.ReadRate <= 0 {
+	if e.PrefillRate <= 0 {
 		return 0
 	}
-	return float64(tokens) / e.ReadRate * 1000
+	return float64(tokens) / e.PrefillRate * 1000
 }
 
 // engineConfig returns the engine configuration of a service, or nil if it is no
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -118,7 +118,7 @@
 	s := x.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget(x.service, x.start).Request(x.start)
+	s.budget(x.service, x.start).AddRequest(x.start)
 }
 
 // finishAttempt reports the result of an attempt to the fleet.
@@ -127,7 +127,7 @@
 	now := clock.Now()
 	s.mu.Lock()
 	if !x.gotBytes {
-		s.fleet.Begun(e, x.prefillMS, unknownLateness, now)
+		s.fleet.RecordFirstByte(e, x.prefillMS, unknownLateness, now)
 	}
 	s.endAttemptLocked(x, e, result, now)
 	s.dispatch(x.service, now)
@@ -139,7 +139,7 @@
 	s.fleet.End(e, result, now)
 	if x.isolated {
 		x.isolated = false
-		s.fleet.EndAlone(e)
+		s.fleet.EndIsolated(e)
 	}
 }
 
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	now := clock.Now()
 	lateness := now.Sub(x.sentAt) - x.expectedFirstByte
-	s.fleet.Begun(e, x.prefillMS, max(lateness, 0), now)
+	s.fleet.RecordFirstByte(e, x.prefillMS, max(lateness, 0), now)
 	s.mu.Unlock()
 }
 
@@ -171,7 +171,7 @@
 	s.mu.Lock()
 	backlog, delay := e.Backlog(x.meanPrefillMS, now), e.Delay(now)
 	x.sentAt = now
-	x.endpointStartedMS = s.fleet.Life(e.Address)
+	x.endpointStartedMS = s.fleet.StartedMSAt(e.Address)
 	x.expectedFirstByte = enginePassTime + time.Duration((backlog+x.prefillMS)*float64(time.Millisecond))
 	load, age, holds, lowest := e.Load(now), e.ReportAge(now), e.Holds(x.model, now), s.minVersion(x.model, now)
 	s.mu.Unlock()
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -74,7 +74,7 @@
 		return false
 	}
 	s.metrics.Counter("mintlift_ingress_crashes_total", "service", c.service).Inc()
-	status := s.suspects.Crashed(c.identity, c.sentAt, now)
+	status := s.suspects.RecordCrash(c.identity, c.sentAt, now)
 	s.events.Info("endpoint crashed", "endpoint", c.endpoint, "request", c.request, "identity", c.identity.String(), "attempt", c.attempt,
 		"ms", now.Sub(c.sentAt).Milliseconds(), "crashes", status.Crashes, "quarantined", status.Quarantined())
 	s.mu.Lock()
@@ -95,7 +95,7 @@
 	const pollInterval = 20 * time.Millisecond
 	for began := clock.Now(); clock.Since(began) < restartDetectTimeout; time.Sleep(pollInterval) {
 		s.mu.Lock()
-		current := s.fleet.Life(address)
+		current := s.fleet.StartedMSAt(address)
 		s.mu.Unlock()
 		if current > startedMS {
 			return true
@@ -161,8 +161,8 @@
 }
 
 // suspectStatus returns the quarantine status of the request.
-func (x *exchange) suspectStatus(now time.Time) quarantine.Standing {
-	return x.server.suspects.Standing(x.identity, now)
+func (x *exchange) suspectStatus(now time.Time) quarantine.Status {
+	return x.server.suspects.Status(x.identity, now)
 }
 
 // crashLimitReached reports whether an endpoint crashed during this exchange and
@@ -174,7 +174,7 @@
 // recordCompletion records that the request completed, which clears it of
 // suspicion.
 func (x *exchange) recordCompletion() {
-	if !x.server.suspects.EndedWell(x.identity, clock.Now()) {
+	if !x.server.suspects.RecordCompletion(x.identity, clock.Now()) {
 		return
 	}
 	x.server.events.Info("request cleared", "request", x.id, "identity", x.identity.String())
@@ -190,20 +190,20 @@
 		x.respond(http.StatusBadGateway, outcomeQuarantined, cause)
 		return
 	}
-	left := x.server.suspects.Left(x.identity, clock.Now())
+	left := x.server.suspects.Remaining(x.identity, clock.Now())
 	x.writer.Header().Set("Retry-After", strconv.FormatFloat(math.Ceil(left.Seconds()), 'f', -1, 64))
 	x.respond(http.StatusServiceUnavailable, outcomeQuarantined, cause)
 }
 
 // Suspects returns the records of suspected requests to be sent to other gateways.
-func (s *Server) Suspects(now time.Time) []quarantine.Record { return s.suspects.Tell(now) }
+func (s *Server) Suspects(now time.Time) []quarantine.Record { return s.suspects.Records(now) }
 
 // MergeSuspects merges records of suspected requests from another gateway.
-func (s *Server) HeardSuspects(records []quarantine.Record, now time.Time) {
+func (s *Server) MergeSuspects(records []quarantine.Record, now time.Time) {
 	if len(records) == 0 || !s.suspects.Merge(records, now) {
 		return
 	}
-	suspected, quarantined := s.suspects.Len(now)
+	suspected, quarantined := s.suspects.Counts(now)
 	s.events.Info("suspects merged", "suspected", suspected, "quarantined", quarantined)
 }
 
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -74,7 +74,7 @@
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	after, err := strconv.Atoi(r.Header.Get("Retry-After"))
 	assert.NilError(t, err)
-	assert.Assert(t, time.Duration(after)*time.Second > quarantine.Life-time.Minute && time.Duration(after)*time.Second <= quarantine.Life, "%d s", after)
+	assert.Assert(t, time.Duration(after)*time.Second > quarantine.CrashTTL-time.Minute && time.Duration(after)*time.Second <= quarantine.CrashTTL, "%d s", after)
 }
 
 // A request that has crashed three endpoints is not sent again, whichever request
@@ -149,7 +149,7 @@
 		g.startCrashableEndpoint(fmt.Sprint("e", n), "engine", crashOnCrashBody)
 	}
 	answers.Wait()
-	suspected, quarantined := g.server.suspects.Len(time.Now())
+	suspected, quarantined := g.server.suspects.Counts(time.Now())
 	assert.Equal(t, suspected, 1, "only the request that crashed the endpoint")
 	assert.Equal(t, quarantined, 0)
 }
@@ -164,8 +164,8 @@
 	for range 4 {
 		_, _ = g.do("GET", "/safe/1", "")
 	}
-	assert.Equal(t, g.server.suspects.Standing(quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: "/safe/1", Workspace: "w"}), time.Now()).Crashes, 0)
-	suspected, _ := g.server.suspects.Len(time.Now())
+	assert.Equal(t, g.server.suspects.Status(quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: "/safe/1", Workspace: "w"}), time.Now()).Crashes, 0)
+	suspected, _ := g.server.suspects.Counts(time.Now())
 	assert.Equal(t, suspected, 0)
 }
 
@@ -179,14 +179,14 @@
 	now := time.Now()
 	for n := range quarantine.Threshold {
 		sent := now.Add(time.Duration(n-quarantine.Threshold) * time.Second)
-		other.Crashed(id, sent, sent.Add(50*time.Millisecond))
+		other.RecordCrash(id, sent, sent.Add(50*time.Millisecond))
 	}
-	g.server.HeardSuspects(other.Tell(now), now)
+	g.server.MergeSuspects(other.Records(now), now)
 	r, _ := g.do("POST", "/stream/1", "text")
 	assertQuarantineResponse(t, r, false)
 	assert.Equal(t, len(g.requests()), 0)
-	other.EndedWell(id, now)
-	g.server.HeardSuspects(other.Tell(now), now)
+	other.RecordCompletion(id, now)
+	g.server.MergeSuspects(other.Records(now), now)
 	r, _ = g.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
@@ -229,7 +229,7 @@
 	for n := range count {
 		target := fmt.Sprint("/slow/", n)
 		id := quarantine.Identify(quarantine.Request{Method: "GET", Host: "h.example", Target: target, Workspace: "w"})
-		g.server.suspects.Crashed(id, time.Now().Add(-time.Second), time.Now())
+		g.server.suspects.RecordCrash(id, time.Now().Add(-time.Second), time.Now())
 		answers.Go(func() {
 			r, _ := g.do("GET", target, "")
 			assert.Check(t, r.StatusCode == http.StatusOK, "%d", r.StatusCode)
@@ -245,7 +245,7 @@
 	close(release)
 	answers.Wait()
 	assert.Equal(t, len(used), count)
-	suspected, _ := g.server.suspects.Len(time.Now())
+	suspected, _ := g.server.suspects.Counts(time.Now())
 	assert.Equal(t, suspected, 0, "all have completed")
 }
 
@@ -256,9 +256,9 @@
 	id := requestIdentity(target, body)
 	for n := range quarantine.Threshold {
 		sent := now.Add(time.Duration(n-quarantine.Threshold) * time.Second)
-		other.Crashed(id, sent, sent.Add(50*time.Millisecond))
+		other.RecordCrash(id, sent, sent.Add(50*time.Millisecond))
 	}
-	return other.Tell(now)
+	return other.Records(now)
 }
 
 // requestIdentity returns the identity of a POST request of the test workspace.
@@ -280,7 +280,7 @@
 			began := time.Now().Add(-quarantine.TrialAfter - 5*time.Second)
 			for n := range quarantine.Threshold {
 				sent := began.Add(time.Duration(n) * time.Second)
-				g.server.suspects.Crashed(requestIdentity("/stream/1", body), sent, sent.Add(50*time.Millisecond))
+				g.server.suspects.RecordCrash(requestIdentity("/stream/1", body), sent, sent.Add(50*time.Millisecond))
 			}
 			r, _ := g.do("POST", "/stream/1", body)
 			assert.Equal(t, len(g.requests()), 1, "the trial runs once")
@@ -304,7 +304,7 @@
 	g.configure(1)
 	g.startCrashableEndpoint("e", "engine", crashOnCrashBody)
 	now := time.Now()
-	g.server.HeardSuspects(quarantineRecords("/stream/1", "text", now), now)
+	g.server.MergeSuspects(quarantineRecords("/stream/1", "text", now), now)
 	r, _ := g.do("POST", "/stream/1", "text")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, g.server.ClearSuspect(requestIdentity("/stream/1", "text"), time.Now()))
@@ -322,16 +322,16 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			g.server.Heard(fleet.Report{Address: g.records["e"].Address, Model: testModel, Version: 1, Born: 2}, -1)
+			g.server.HandleReport(fleet.Report{Address: g.records["e"].Address, Model: testModel, Version: 1, StartedMS: 2}, -1)
 		}()
 		panic(http.ErrAbortHandler)
 	})
 	record := g.records["e"]
-	record.Born = 1
+	record.StartedMS = 1
 	g.server.RemoveEndpoint("e")
 	g.server.PutEndpoint(record)
 	_, _ = g.do("POST", "/stream/1", "text")
-	for began := time.Now(); g.server.suspects.Standing(requestIdentity("/stream/1", "text"), time.Now()).Crashes == 0; time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); g.server.suspects.Status(requestIdentity("/stream/1", "text"), time.Now()).Crashes == 0; time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 2*time.Second, "no crash recorded against the request")
 	}
 }
--- a/ingress/dispatch_test.go
+++ b/ingress/dispatch_test.go
@@ -28,7 +28,7 @@
 	s := g.server
 	s.SetEndpoints(records)
 	for _, r := range reports {
-		s.Heard(r, -1)
+		s.HandleReport(r, -1)
 	}
 	c := s.Configuration()
 	q := &queue{}
@@ -48,7 +48,7 @@
 			s, reports := newFullServer(b, 76, waiters)
 			n := 0
 			for b.Loop() {
-				s.Heard(reports[n%len(reports)], -1)
+				s.HandleReport(reports[n%len(reports)], -1)
 				n++
 			}
 		})
--- a/ingress/endpoints.go
+++ b/ingress/endpoints.go
@@ -59,7 +59,7 @@
 	if added {
 		s.requestNoticeLocked()
 	}
-	s.events.Info("endpoint changed", "endpoint", r.ID, "address", r.Address, "service", r.Service, "draining", r.Draining, "models", r.Models, "born", r.Born)
+	s.events.Info("endpoint changed", "endpoint", r.ID, "address", r.Address, "service", r.Service, "draining", r.Draining, "models", r.Models, "born", r.StartedMS)
 	s.dispatch(r.Service, clock.Now())
 }
 
@@ -112,7 +112,7 @@
 	e := s.fleet.ByID(id)
 	if e == nil {
 		// Another endpoint may have replaced it at its address before.
-		s.recordRemoval(fleet.Record{ID: id, Born: anyIncarnation}, now)
+		s.recordRemoval(fleet.Record{ID: id, StartedMS: anyIncarnation}, now)
 		return false
 	}
 	s.recordRemoval(e.Record, now)
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -218,10 +218,10 @@
 		promptTokens, _, _ := strings.Cut(h.Get(names.TokenUsage), ",")
 		tokens, err := strconv.Atoi(promptTokens)
 		if err != nil || tokens < 0 {
-			tokens = engine.UsualPrompt
+			tokens = engine.MeanPromptTokens
 		}
 		x.prefillMS = prefillMS(engine, tokens)
-		x.meanPrefillMS = prefillMS(engine, engine.UsualPrompt)
+		x.meanPrefillMS = prefillMS(engine, engine.MeanPromptTokens)
 		h.Set(names.Priority, strconv.Itoa(min(max(x.priority, 0), maxPriority)))
 	}
 }
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -92,7 +92,7 @@
 	g.server.Apply(routing.New(version, routes,
 		[]*routing.Service{
 			{Name: "plain"},
-			{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, ReadRate: 20000, UsualPrompt: 1000}},
+			{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, PrefillRate: 20000, MeanPromptTokens: 1000}},
 		},
 		[]*routing.Workspace{{Name: "w", Keys: []string{testKey}, Priority: 1}},
 		routing.Limits{BodyBytes: 1 << 20}))
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -51,8 +51,8 @@
 	Headers Headers
 	// DecodeSignal decodes the signals that an endpoint sends about itself in
 	// response headers. If nil, responses carry no signals.
-	Signal func(status int, head http.Header) backpressure.Signal
-	Budget retrybudget.Params
+	DecodeSignal func(status int, head http.Header) backpressure.Signal
+	Budget       retrybudget.Params
 	// VersionDeadline is how long after a version was named older versions may
 	// still start requests.
 	VersionDeadline time.Duration
@@ -109,8 +109,8 @@
 	Version int
 	// LearnedAt is when this gateway read the version. AgeUnknown reports that the
 	// version had already been named, at an unknown time, when the process started.
-	Learned time.Time
-	First   bool
+	LearnedAt  time.Time
+	AgeUnknown bool
 	// cutoff is the time from which older versions may start no requests.
 	cutoff time.Time
 }
@@ -144,14 +144,14 @@
 		list:                  newListState(),
 		rollback:              newStoreRollback(),
 	}
-	server.fleet.Share(s.Budget.Gateways)
+	server.fleet.SetGateways(s.Budget.Gateways)
 	server.registerSignalGauges(m)
 	m.Gauge("mintlift_ingress_suspects", func() float64 {
-		suspected, _ := server.suspects.Len(clock.Now())
+		suspected, _ := server.suspects.Counts(clock.Now())
 		return float64(suspected)
 	})
 	m.Gauge("mintlift_ingress_quarantined", func() float64 {
-		_, quarantined := server.suspects.Len(clock.Now())
+		_, quarantined := server.suspects.Counts(clock.Now())
 		return float64(quarantined)
 	})
 	return server
@@ -191,7 +191,7 @@
 	if first && s.anyEndpointHolds(model, version, now) {
 		cutoff = now
 	}
-	s.namedVersions[model] = append(list, NamedVersion{Version: version, Learned: now, First: first, cutoff: cutoff})
+	s.namedVersions[model] = append(list, NamedVersion{Version: version, LearnedAt: now, AgeUnknown: first, cutoff: cutoff})
 	s.events.Info("version named", "model", model, "version", version, "age_unknown", first, "due", cutoff)
 	s.requestNoticeLocked()
 }
@@ -212,7 +212,7 @@
 	list := s.namedVersions[model]
 	for i := range list {
 		n := &list[i]
-		if !n.First || n.Version > reported || !n.cutoff.After(now) {
+		if !n.AgeUnknown || n.Version > reported || !n.cutoff.After(now) {
 			continue
 		}
 		n.cutoff = now
@@ -282,18 +282,18 @@
 // HandleReport processes an engine's load report. roundTrip is the measured round
 // trip to the sidecar, or negative if there is none. Reports of endpoints not on
 // the list are ignored.
-func (s *Server) Heard(r fleet.Report, roundTrip time.Duration) {
+func (s *Server) HandleReport(r fleet.Report, roundTrip time.Duration) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, changed := s.fleet.Heard(r, roundTrip, now)
+	e, changed := s.fleet.ApplyReport(r, roundTrip, now)
 	if e == nil {
 		return
 	}
 	s.raiseGateways(r.Gateways)
 	if changed {
 		s.cutOffOlderVersions(r.Model, e.Holds(r.Model, now), now)
-		s.events.Info("engine reported", "endpoint", e.ID, "model", r.Model, "version", r.Version, "busy", r.Busy, "doubted", r.Doubted, "draining", r.Draining, "limited", r.Limited, "rate", r.Limit)
+		s.events.Info("engine reported", "endpoint", e.ID, "model", r.Model, "version", r.Version, "busy", r.Busy, "doubted", r.Unverified, "draining", r.Draining, "limited", r.Limited, "rate", r.Limit)
 	}
 	s.dispatch(e.Service, now)
 }
@@ -305,20 +305,20 @@
 		return
 	}
 	s.gateways = n
-	s.fleet.Share(n)
+	s.fleet.SetGateways(n)
 	for _, b := range s.budgets {
-		b.Share(n)
+		b.SetGateways(n)
 	}
 	s.events.Info("gateway count increased", "gateways", n)
 }
 
 // NoticeDue returns a channel that receives when sidecars should be notified at
 // once: a version has been named, an endpoint was added, or suspects have changed.
-func (s *Server) TellSoon() <-chan struct{} { return s.noticeDue }
+func (s *Server) NoticeDue() <-chan struct{} { return s.noticeDue }
 
 // NamedVersions returns the most recently named versions of a model, newest last,
 // at most maxNamedVersions.
-func (s *Server) Named(model string) []NamedVersion {
+func (s *Server) NamedVersions(model string) []NamedVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.namedVersions[model]
@@ -376,7 +376,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireRollback(now)
-	s.fleet.Forget(now)
+	s.fleet.PruneSignals(now)
 }
 
 // Close closes the idle connections to endpoints.
@@ -387,7 +387,7 @@
 	b := s.budgets[service]
 	if b == nil {
 		b = retrybudget.New(s.settings.Budget, now)
-		b.Share(s.gateways)
+		b.SetGateways(s.gateways)
 		s.budgets[service] = b
 	}
 	return b
--- a/ingress/list.go
+++ b/ingress/list.go
@@ -50,7 +50,7 @@
 }
 
 // ConfirmList records that the list was current at now.
-func (s *Server) Listed(now time.Time) {
+func (s *Server) ConfirmList(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.confirmedAt = now
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -106,7 +106,7 @@
 			kept = append(kept, w)
 			continue
 		}
-		w.exchange.isolated = q.Alone
+		w.exchange.isolated = q.Isolated
 		w.exchange.hasPermit = e.Signals.Limited()
 		if e.Signals.Limited() {
 			s.metrics.Counter("mintlift_ingress_limited_requests_total", "service", service).Inc()
@@ -120,11 +120,11 @@
 // refuseClosed refuses the waiters for which all endpoints are closed by their own
 // signals until after the waiter's deadline. Server.mu must be held.
 func (s *Server) refuseClosed(q *queue, now time.Time) {
-	if s.fleet.Closed(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
+	if s.fleet.Closure(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
 		return
 	}
 	q.waiters = slices.DeleteFunc(q.waiters, func(w *waiter) bool {
-		c := s.fleet.Closed(s.servableQuery(w.exchange, now), w.deadline, now)
+		c := s.fleet.Closure(s.servableQuery(w.exchange, now), w.deadline, now)
 		if c.Reason == fleet.Open {
 			return false
 		}
@@ -139,7 +139,7 @@
 	if len(q.waiters) == 0 {
 		return
 	}
-	at := s.fleet.Opens(service, now)
+	at := s.fleet.NextOpening(service, now)
 	if at.IsZero() || q.nextDispatch.After(now) && !at.Before(q.nextDispatch) {
 		return
 	}
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -16,10 +16,10 @@
 // recordSignals records the signals in a response of e.
 func (x *exchange) recordSignals(e *fleet.Endpoint, r *upstream.Response) {
 	s := x.server
-	if s.settings.Signal == nil || r.Status == http.StatusMisdirectedRequest {
+	if s.settings.DecodeSignal == nil || r.Status == http.StatusMisdirectedRequest {
 		return // may come from another endpoint at the same address
 	}
-	signal := s.settings.Signal(r.Status, r.Header)
+	signal := s.settings.DecodeSignal(r.Status, r.Header)
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,7 @@
 	if x.hasPermit || !e.Signals.Limited() {
 		return true
 	}
-	if e.Signals.From(now).After(now) {
+	if e.Signals.AvailableAt(now).After(now) {
 		return false
 	}
 	e.Signals.Take(now)
@@ -72,17 +72,17 @@
 // PermitRequest is a request for permits to the sidecar that allocates them for an
 // endpoint.
 type PermitRequest struct {
-	backpressure.Ask
+	backpressure.PermitRequest
 	// Address is the address of the endpoint next to the sidecar.
 	Address string
 }
 
 // PermitRequestsPending returns a channel that receives when TakePermitRequests has
 // something to return.
-func (s *Server) AskSoon() <-chan struct{} { return s.permitRequestsPending }
+func (s *Server) PermitRequestsPending() <-chan struct{} { return s.permitRequestsPending }
 
 // TakePermitRequests returns and clears the permit requests that are due.
-func (s *Server) Asks() []PermitRequest {
+func (s *Server) TakePermitRequests() []PermitRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	asks := s.permitRequests
@@ -97,14 +97,14 @@
 // queuePermitRequests queues the permit requests that are due for the endpoints of
 // a service. Server.mu must be held.
 func (s *Server) queuePermitRequests(service string, now time.Time) {
-	s.fleet.Asks(service, now, func(e *fleet.Endpoint, a backpressure.Ask) {
+	s.fleet.EachAsk(service, now, func(e *fleet.Endpoint, a backpressure.PermitRequest) {
 		address := s.permitAllocator(e, now)
 		if address == "" {
-			e.Signals.Alone(now)
+			e.Signals.SetNoAllocator(now)
 			return
 		}
 		if len(s.permitRequests) < maxPermitRequests {
-			s.permitRequests = append(s.permitRequests, PermitRequest{Ask: a, Address: address})
+			s.permitRequests = append(s.permitRequests, PermitRequest{PermitRequest: a, Address: address})
 		}
 	})
 	if len(s.permitRequests) == 0 {
@@ -133,27 +133,27 @@
 			relays = append(relays, s.fleet.Relays(name, now)...)
 		}
 	}
-	return fleet.Dealer(relays, e.ID)
+	return fleet.PermitAllocator(relays, e.ID)
 }
 
 // HandleGrant processes permits that a sidecar granted.
-func (s *Server) Granted(g backpressure.Grant) {
+func (s *Server) HandleGrant(g backpressure.Grant) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.logSignalChanges(g.ID, "", s.fleet.Granted(g, now))
+	s.logSignalChanges(g.ID, "", s.fleet.ApplyGrant(g, now))
 	if e := s.fleet.ByID(g.ID); e != nil {
 		s.dispatch(e.Service, now)
 	}
 }
 
 // MergeEndpointSignals merges signals of endpoints that other gateways received.
-func (s *Server) HeardEndpoints(records []backpressure.Record) {
+func (s *Server) MergeEndpointSignals(records []backpressure.Record) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range records {
-		changes := s.fleet.HeardOf(r, now)
+		changes := s.fleet.MergeSignals(r, now)
 		s.logSignalChanges(r.ID, "", changes)
 		if e := s.fleet.ByID(r.ID); e != nil && len(changes) > 0 {
 			s.dispatch(e.Service, now)
--- a/ingress/signals_test.go
+++ b/ingress/signals_test.go
@@ -25,7 +25,7 @@
 
 // decodeSignals makes the gateway decode the signals of the test endpoints.
 func (g *testGateway) decodeSignals() {
-	g.server.settings.Signal = func(_ int, h http.Header) backpressure.Signal {
+	g.server.settings.DecodeSignal = func(_ int, h http.Header) backpressure.Signal {
 		signal := backpressure.Signal{Draining: h.Get(drainingHeader) != ""}
 		if s, err := strconv.ParseFloat(h.Get(backoffHeader), 64); err == nil {
 			signal.Backoff = time.Duration(s * float64(time.Second))
@@ -152,10 +152,10 @@
 	g.decodeSignals()
 	g.configure(1)
 	g.startEndpoint("e", "engine", respondOK("body"))
-	g.server.Heard(fleet.Report{Address: g.records["e"].Address, Model: testModel, Version: 1, Running: 100}, 0)
+	g.server.HandleReport(fleet.Report{Address: g.records["e"].Address, Model: testModel, Version: 1, Running: 100}, 0)
 	const closeDelay = 60 * time.Millisecond
 	time.AfterFunc(closeDelay, func() {
-		g.server.HeardEndpoints([]backpressure.Record{{ID: "e", Draining: true, LimitAgeMS: -1}})
+		g.server.MergeEndpointSignals([]backpressure.Record{{ID: "e", Draining: true, LimitAgeMS: -1}})
 	})
 	began := time.Now()
 	r, body := g.do("POST", "/stream/1", "")
--- a/ingress/stall_test.go
+++ b/ingress/stall_test.go
@@ -164,7 +164,7 @@
 	go func() {
 		for range reporting.C {
 			for _, r := range g.records {
-				g.server.Heard(fleet.Report{Address: r.Address, Model: testModel, Version: 1, Running: 1}, -1)
+				g.server.HandleReport(fleet.Report{Address: r.Address, Model: testModel, Version: 1, Running: 1}, -1)
 			}
 		}
 	}()
@@ -179,7 +179,7 @@
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondOK(""))
 	now := time.Now()
-	g.server.Heard(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1}, -1)
+	g.server.HandleReport(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1}, -1)
 	e := g.server.fleet.Endpoints("engine")[0]
 	idle := nextEventTimeout + idleCheckInterval
 	assert.Assert(t, idle < firstEventTimeout)
@@ -340,7 +340,7 @@
 	listener := &exhaustibleListener{Listener: l}
 	listener.exhausted.Store(true)
 	front := &http.Server{ConnContext: ConnContext, Handler: g.server}
-	go func() { _ = front.Serve(g.server.Accepting(listener)) }()
+	go func() { _ = front.Serve(g.server.WatchAccepts(listener)) }()
 	defer front.Close()
 	for began := time.Now(); g.server.Ready(); time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 20*time.Second)
--- a/ingress/storerollback.go
+++ b/ingress/storerollback.go
@@ -72,7 +72,7 @@
 // recordRemoval records that an endpoint's entry was removed. Server.mu must be
 // held.
 func (s *Server) recordRemoval(r fleet.Record, now time.Time) {
-	s.rollback.removed[r.ID] = removal{r.Born, now}
+	s.rollback.removed[r.ID] = removal{r.StartedMS, now}
 	delete(s.rollback.unconfirmed, r.ID)
 }
 
@@ -89,11 +89,11 @@
 	for _, r := range records {
 		listed[r.ID] = true
 		delete(s.rollback.unconfirmed, r.ID)
-		if d, wasRemoved := s.rollback.removed[r.ID]; wasRemoved && d.removedAt.Before(s.rollback.startedAt) && r.Born <= d.startedMS {
-			s.events.Info("stale entry of a removed endpoint ignored", "endpoint", r.ID, "born", r.Born)
+		if d, wasRemoved := s.rollback.removed[r.ID]; wasRemoved && d.removedAt.Before(s.rollback.startedAt) && r.StartedMS <= d.startedMS {
+			s.events.Info("stale entry of a removed endpoint ignored", "endpoint", r.ID, "born", r.StartedMS)
 			continue
 		}
-		if e := s.fleet.ByID(r.ID); e != nil && e.Born == r.Born {
+		if e := s.fleet.ByID(r.ID); e != nil && e.StartedMS == r.StartedMS {
 			r.Draining = r.Draining || e.Draining
 		}
 		out = append(out, r)
--- a/ingress/storerollback_test.go
+++ b/ingress/storerollback_test.go
@@ -22,7 +22,7 @@
 
 // testRecord returns the entry of an endpoint whose process started at startedMS.
 func testRecord(id string, startedMS int64) fleet.Record {
-	return fleet.Record{ID: id, Service: "s", Address: id + ":1", Born: startedMS}
+	return fleet.Record{ID: id, Service: "s", Address: id + ":1", StartedMS: startedMS}
 }
 
 // drainingByID returns the endpoints of a server by ID, and whether each is
@@ -70,7 +70,7 @@
 	s.SetEndpoints(staleCopy)
 	want := map[string]bool{"again": false, "drains": true, "successor": false}
 	assert.DeepEqual(t, drainingByID(s), want)
-	assert.Equal(t, s.fleet.ByID("again").Born, int64(2))
+	assert.Equal(t, s.fleet.ByID("again").StartedMS, int64(2))
 	s.SetEndpoints(staleCopy)
 	assert.DeepEqual(t, drainingByID(s), want) // the same list, as from a gateway that has just started
 
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -262,5 +262,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return idle >= limit || e.SilentFor(now) >= boxSilenceTimeout
+	return idle >= limit || e.ReceiveAge(now) >= boxSilenceTimeout
 }
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -170,9 +170,9 @@
 	g = newTestGateway(t)
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	g.server.Heard(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1}, 0)
+	g.server.HandleReport(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1}, 0)
 	g.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
-	g.server.Heard(fleet.Report{Address: g.records["b"].Address, Model: testModel, Version: 2}, 0)
+	g.server.HandleReport(fleet.Report{Address: g.records["b"].Address, Model: testModel, Version: 2}, 0)
 	g.server.NameVersion(testModel, 2, true, time.Now().Add(-time.Millisecond))
 	for range 5 {
 		g.do("POST", "/stream/1", "x")
@@ -188,10 +188,10 @@
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	full := fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Running: 5}
-	g.server.Heard(full, 0)
+	g.server.HandleReport(full, 0)
 	time.AfterFunc(40*time.Millisecond, func() {
 		full.Running = 1
-		g.server.Heard(full, 0)
+		g.server.HandleReport(full, 0)
 	})
 	r, body := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
@@ -205,12 +205,12 @@
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	full := fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Running: 5}
-	g.server.Heard(full, 0)
+	g.server.HandleReport(full, 0)
 	learnedAt := time.Now().Add(150*time.Millisecond + maxVersionMargin - g.server.settings.VersionDeadline)
 	g.server.NameVersion(testModel, 2, false, learnedAt)
 	time.AfterFunc(250*time.Millisecond, func() {
 		full.Running = 0
-		g.server.Heard(full, 0)
+		g.server.HandleReport(full, 0)
 	})
 	r, _ := g.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "1700"))
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
@@ -225,7 +225,7 @@
 	g.startEndpoint("old", "engine", respondEvents(2, 2))
 	g.startEndpoint("new", "engine", respondEvents(2, 2))
 	report := func(id string, version int) {
-		g.server.Heard(fleet.Report{Address: g.records[id].Address, Model: testModel, Version: version}, -1)
+		g.server.HandleReport(fleet.Report{Address: g.records[id].Address, Model: testModel, Version: version}, -1)
 	}
 	g.server.NameVersion(testModel, 2, true, time.Now())
 	report("old", 1)
@@ -255,11 +255,11 @@
 	// Prefill takes 5 s, so that delayed reports on a busy machine do not look like
 	// completed prefills.
 	g.server.Apply(routing.New(2, []*routing.Route{quick},
-		[]*routing.Service{{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, ReadRate: 200, UsualPrompt: 1000}}},
+		[]*routing.Service{{Name: "engine", Engine: &routing.Engine{Slots: 4, Model: testModel, PrefillRate: 200, MeanPromptTokens: 1000}}},
 		[]*routing.Workspace{{Name: "w", Keys: []string{testKey}, Priority: 1}}, routing.Limits{BodyBytes: 1 << 20}))
 	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	report := func(queued int) {
-		g.server.Heard(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Queued: queued}, 0)
+		g.server.HandleReport(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Queued: queued}, 0)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -316,7 +316,7 @@
 			began = time.Now()
 			respondEvents(lastEvent, lastEvent)(rw, r)
 		})
-		g.server.Heard(fleet.Report{Address: g.records["old"].Address, Model: testModel, Version: 1}, 0)
+		g.server.HandleReport(fleet.Report{Address: g.records["old"].Address, Model: testModel, Version: 1}, 0)
 		g.server.NameVersion(testModel, 2, false, deadline.Add(-g.server.settings.VersionDeadline))
 		g.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "3000"))
 		assert.Assert(t, began.IsZero() || began.Before(deadline), "sent %s before the deadline, started %s after it", before, began.Sub(deadline))
--- a/ingress/suspend_test.go
+++ b/ingress/suspend_test.go
@@ -73,7 +73,7 @@
 	g := newTestGateway(t)
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondEvents(3, 3))
-	g.server.Heard(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Busy: true}, -1)
+	g.server.HandleReport(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Busy: true}, -1)
 	r, _ := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable, "the engine is busy")
 	clock.SuspendForTest(t, 5*time.Second)
--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -48,9 +48,9 @@
 		case inFlight < limit:
 			p = swarm.Next(clock.Now())
 		case limit > 1 && inFlight < limit+extraFirstFetches:
-			p = swarm.NextFirst(clock.Now())
+			p = swarm.NextFirstFetch(clock.Now())
 		}
-		has := swarm.Wants()
+		has := swarm.HeldOrInFlight()
 		if p.Kind != transfer.None {
 			inFlight++
 		}
@@ -117,15 +117,15 @@
 	params := transfer.Params{
 		Chunks:        len(r.manifest.Digests),
 		OriginRegions: []string{i.originRegion(task, peers)},
-		ChunkTurn:     chunkInterval(task.params),
-		TakeOver:      takeOverDelay,
-		Quiet:         chunkLostAfter,
-		Patient:       true,
+		ChunkInterval: chunkInterval(task.params),
+		TakeOverDelay: takeOverDelay,
+		IdleTimeout:   chunkLostAfter,
+		PauseTakeOver: true,
 	}
 	addresses := make(map[string]string, len(peers))
 	self := false
 	for _, p := range peers {
-		params.Peers = append(params.Peers, transfer.Peer{Box: p.Box, Region: p.Region, Zone: p.Zone, Passive: p.Leaving})
+		params.Peers = append(params.Peers, transfer.Peer{Box: p.Box, Region: p.Region, Zone: p.Zone, Passive: p.Draining})
 		addresses[p.Box] = p.Address
 		self = self || p.Box == i.settings.Box
 	}
@@ -136,7 +136,7 @@
 	i.mu.Lock()
 	swarm := transfer.NewSwarm(params, order, i.settings.Box, r.held, clock.Now())
 	if r.swarm != nil {
-		swarm.Continue(r.swarm)
+		swarm.InheritTiming(r.swarm)
 	}
 	r.swarm = swarm
 	r.addresses = addresses
@@ -190,9 +190,9 @@
 			defer i.mu.Unlock()
 			switch {
 			case err == nil:
-				swarm.Known(box, availability)
+				swarm.AddAvailability(box, availability)
 			case ctx.Err() == nil:
-				swarm.Silent(box, clock.Now())
+				swarm.MarkUnresponsive(box, clock.Now())
 				i.log.Info("partner query failed", "version", m.Version, "peer", box, "error", err.Error())
 			}
 		})
@@ -301,7 +301,7 @@
 	case ctx.Err() != nil:
 		swarm.Drop(p) // the replica is complete, or the task was cancelled
 	case errors.Is(err, errNoUsefulChunk):
-		swarm.Nothing(p, availability, now)
+		swarm.NothingUseful(p, availability, now)
 	case errors.Is(err, errChunkNotNeeded):
 		swarm.Drop(p)
 	case errors.Is(err, errBusy):
@@ -309,12 +309,12 @@
 	case errors.Is(err, stall.Err):
 		swarm.Stalled(p, now)
 	case errors.Is(err, errDigestMismatch):
-		swarm.Bad(p, now)
+		swarm.InvalidChunk(p, now)
 	case isTimeout(err):
 		swarm.Unreachable(p, now)
 		i.log.Info("chunk pull timed out", "version", r.manifest.Version, "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
 	default:
-		swarm.Broken(p, now)
+		swarm.ConnectionFailed(p, now)
 		i.log.Info("chunk pull failed", "version", r.manifest.Version, "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
 	}
 }
@@ -333,7 +333,7 @@
 	case transfer.FromOrigin:
 		source = "origin"
 		r.fromOrigin++
-	case transfer.FromFar:
+	case transfer.FromRemoteRegion:
 		source = "far"
 		r.fromRemoteRegion++
 	default:
@@ -345,21 +345,21 @@
 // requestChunk requests the chunk of p from the origin or a peer. sending is
 // called when a peer of another region, which may have waited for the chunk
 // itself, starts to send it.
-func (i *Installer) requestChunk(ctx context.Context, r *replica, swarm *transfer.Swarm, p *transfer.Pull, has *bitset.BitSet, sending func()) (transfer.Knowledge, []byte, error) {
+func (i *Installer) requestChunk(ctx context.Context, r *replica, swarm *transfer.Swarm, p *transfer.Pull, has *bitset.BitSet, sending func()) (transfer.Availability, []byte, error) {
 	i.mu.Lock()
-	stallTimeout := swarm.StallLimit()
+	stallTimeout := swarm.StallTimeout()
 	address := r.addresses[p.Peer]
 	i.mu.Unlock()
 	if p.Kind == transfer.FromOrigin {
 		data, err := i.origin.Chunk(ctx, r.manifest.Model, r.manifest.Version, p.Chunk)
-		return transfer.Knowledge{}, data, err
+		return transfer.Availability{}, data, err
 	}
 	firstByteTimeout := stallTimeout
-	if p.Kind == transfer.FromFar {
+	if p.Kind == transfer.FromRemoteRegion {
 		firstByteTimeout += chunkWaitTimeout
 	}
 	accept := func(chunk int) bool {
-		if p.Kind == transfer.FromFar {
+		if p.Kind == transfer.FromRemoteRegion {
 			sending()
 		}
 		i.mu.Lock()
--- a/installer/installer.go
+++ b/installer/installer.go
@@ -75,7 +75,7 @@
 	Pace float64
 	// StartedMS is when the engine's process started, in Unix milliseconds, or 0
 	// if the engine does not report it.
-	Born int64
+	StartedMS int64
 	// Signal is the backpressure signal that came with the engine's report.
 	Signal backpressure.Signal
 }
@@ -107,7 +107,7 @@
 	Region  string
 	Zone    string
 	// Draining is set while the endpoint beside the sidecar is being drained.
-	Leaving bool
+	Draining bool
 }
 
 // Params describe the service's model and its rollouts.
@@ -235,7 +235,7 @@
 
 // AddTarget records that the operator named a version of the model. namedAt is
 // when, or zero if unknown; of several reports the earliest known time counts.
-func (i *Installer) Name(model string, version int, namedAt time.Time) {
+func (i *Installer) AddTarget(model string, version int, namedAt time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.addTargetLocked(model, target{version: version, namedAt: namedAt})
@@ -251,7 +251,7 @@
 // routes to no older one. If no gateway has reported the age within overdueGrace,
 // the version's deadline counts as passed: the engine gets no requests until it
 // is updated, so it does not wait for its slot.
-func (i *Installer) NameAssumed(model string, version int, overdue bool, now time.Time) {
+func (i *Installer) AddTargetOfUnknownAge(model string, version int, overdue bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.addTargetLocked(model, target{version: version, namedAt: now, ageUnknown: true})
@@ -332,7 +332,7 @@
 
 // UpdatePending reports whether the engine has a version loaded and a newer one
 // than its verified version is named.
-func (i *Installer) Changing() bool {
+func (i *Installer) UpdatePending() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.engineState.Version > 0 && i.verifiedVersion() < i.newestTarget().version
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -94,7 +94,7 @@
 		e.cut += e.running
 		e.running = 0
 	}
-	return Taken, nil
+	return Accepted, nil
 }
 
 // load stages a version and loads it, without an order.
@@ -187,7 +187,7 @@
 		go func() {
 			for ctx.Err() == nil {
 				s, _ := c.engines[k].State(ctx)
-				c.installers[k].Heard(s)
+				c.installers[k].UpdateEngineState(s)
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
@@ -198,7 +198,7 @@
 // announce names a version to all installers.
 func (c *cluster) announce(version int) {
 	for _, i := range c.installers {
-		i.Name(testModel, version, time.Now())
+		i.AddTarget(testModel, version, time.Now())
 	}
 }
 
@@ -341,21 +341,21 @@
 	c.announce(2)
 	draining := false
 	for began := time.Now(); time.Since(began) < 3*time.Second && !draining; time.Sleep(5 * time.Millisecond) {
-		draining = c.installers[0].Leaving()
+		draining = c.installers[0].Draining()
 	}
 	assert.Assert(t, draining)
 	c.awaitVersion(2)
 	assert.Equal(t, c.engines[0].cut, 3)
-	for began := time.Now(); c.installers[0].Leaving(); time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); c.installers[0].Draining(); time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 3*time.Second, "the drain does not end")
 	}
 }
 
 func TestOlderNamingIsIgnored(t *testing.T) {
 	i := New(Settings{}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
-	i.Name(testModel, 3, time.Now())
-	i.Name(testModel, 2, time.Now())
-	i.Name(testModel, 3, time.Now())
+	i.AddTarget(testModel, 3, time.Now())
+	i.AddTarget(testModel, 2, time.Now())
+	i.AddTarget(testModel, 3, time.Now())
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	assert.Equal(t, len(i.targets), 1)
@@ -367,12 +367,12 @@
 func TestEarliestNamingTimeCounts(t *testing.T) {
 	i := New(Settings{Box: "a"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	now := time.Now()
-	i.Name(testModel, 2, time.Time{})
-	i.Name(testModel, 2, now)
+	i.AddTarget(testModel, 2, time.Time{})
+	i.AddTarget(testModel, 2, now)
 	assert.Equal(t, i.newestTarget().namedAt, now, "a known time replaces an unknown one")
-	i.Name(testModel, 2, now.Add(-time.Second))
-	i.Name(testModel, 2, now.Add(-namingSkew/2))
-	i.Name(testModel, 2, time.Time{})
+	i.AddTarget(testModel, 2, now.Add(-time.Second))
+	i.AddTarget(testModel, 2, now.Add(-namingSkew/2))
+	i.AddTarget(testModel, 2, time.Time{})
 	assert.Equal(t, i.newestTarget().namedAt, now.Add(-time.Second))
 	assert.Equal(t, len(i.targets), 1)
 }
@@ -395,10 +395,10 @@
 			const linkRate = testChunks * testBytes // one copy of the model a second
 			i := New(Settings{Box: "a", LinkRate: linkRate}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 			i.Configure(Params{Model: testModel, Chunks: testChunks, ChunkBytes: testBytes, Deadline: 8 * time.Second})
-			i.Heard(EngineState{Model: testModel, Version: 1})
+			i.UpdateEngineState(EngineState{Model: testModel, Version: 1})
 			now := time.Now()
-			i.Name(testModel, 2, now.Add(-c.since-2*time.Second))
-			i.Name(testModel, 3, now.Add(-c.since))
+			i.AddTarget(testModel, 2, now.Add(-c.since-2*time.Second))
+			i.AddTarget(testModel, 3, now.Add(-c.since))
 			older := newReplica(manifestOf(2), "a")
 			for n := range uint(testChunks) {
 				older.held.Set(n)
--- a/installer/load.go
+++ b/installer/load.go
@@ -30,7 +30,7 @@
 	Unknown Outcome = iota
 	// Accepted means that the engine accepted the order, or has the version loaded
 	// already.
-	Taken
+	Accepted
 	// Refused means that the engine did not accept the order and will not.
 	Refused
 )
@@ -81,7 +81,7 @@
 			continue
 		}
 		switch i.sendStart(ctx, s, state, checked) {
-		case Taken:
+		case Accepted:
 			return i.awaitStart(ctx, s, state)
 		case Refused:
 			if !sent {
@@ -129,7 +129,7 @@
 		i.metrics.Counter("mintlift_installer_starts_unanswered_total").Inc()
 	case Refused:
 		i.log.Info("start refused", "version", m.Version, "orders", state.Orders, "ms", took, "error", errorText(err))
-	case Taken:
+	case Accepted:
 		since := time.Duration(-1)
 		if !s.namedAt.IsZero() {
 			since = clock.Since(s.namedAt)
--- a/installer/manifest.go
+++ b/installer/manifest.go
@@ -36,7 +36,7 @@
 func ancestors(peers []Peer, s Settings, version int) []Peer {
 	var region []Peer
 	for _, p := range peers {
-		if p.Region == s.Region && (!p.Leaving || p.Box == s.Box) {
+		if p.Region == s.Region && (!p.Draining || p.Box == s.Box) {
 			region = append(region, p)
 		}
 	}
--- a/installer/obtain.go
+++ b/installer/obtain.go
@@ -149,7 +149,7 @@
 	if r.swarm == nil {
 		return int(r.held.Count())
 	}
-	return r.swarm.Reachable()
+	return r.swarm.AvailableChunks()
 }
 
 // obtain fetches the version of task until its replica is complete, in as many
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -115,29 +115,29 @@
 
 // held asks a peer which chunks of a version it holds. A peer without a replica
 // holds none.
-func (c *peerClient) held(ctx context.Context, address string, m *Manifest) (transfer.Knowledge, error) {
+func (c *peerClient) held(ctx context.Context, address string, m *Manifest) (transfer.Availability, error) {
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
 	defer cancel()
 	_, header, err := c.get(ctx, address, weightsPath(m.Model, m.Version, "held"))
 	if err != nil && !errors.Is(err, errNoReplica) {
-		return transfer.Knowledge{}, err
+		return transfer.Availability{}, err
 	}
-	return peer.KnowledgeOf(header, len(m.Digests)), nil
+	return peer.ParseAvailability(header, len(m.Digests)), nil
 }
 
 // pull requests a chunk from a peer, or any chunk that is not in has if chunk is
 // -1. accept is called with the number of the offered chunk before its bytes are
 // read; if it returns false, pull returns errChunkNotNeeded. pull returns
 // stall.Err if no byte arrives within firstByteTimeout, or later for stallTimeout.
-func (c *peerClient) pull(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, firstByteTimeout, stallTimeout time.Duration, accept func(int) bool) (transfer.Knowledge, []byte, error) {
+func (c *peerClient) pull(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, firstByteTimeout, stallTimeout time.Duration, accept func(int) bool) (transfer.Availability, []byte, error) {
 	ctx, guard := stall.New(ctx, firstByteTimeout, stallTimeout)
 	defer guard.Stop()
 	availability, data, err := c.pullOnce(ctx, address, self, m, chunk, has, accept, guard)
 	return availability, data, stall.Cause(ctx, err)
 }
 
-func (c *peerClient) pullOnce(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, accept func(int) bool, guard *stall.Guard) (transfer.Knowledge, []byte, error) {
-	var availability transfer.Knowledge
+func (c *peerClient) pullOnce(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, accept func(int) bool, guard *stall.Guard) (transfer.Availability, []byte, error) {
+	var availability transfer.Availability
 	body, err := json.Marshal(peer.PullRequest{Box: self, Chunk: chunk, Has: peer.EncodeBits(has)})
 	if err != nil {
 		return availability, nil, errors.Trace(err)
@@ -151,7 +151,7 @@
 		return availability, nil, errors.Trace(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	availability = peer.KnowledgeOf(response.Header, len(m.Digests))
+	availability = peer.ParseAvailability(response.Header, len(m.Digests))
 	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusNoContent, http.StatusNotFound:
@@ -212,6 +212,6 @@
 	i.mu.Lock()
 	availability := found.availability()
 	i.mu.Unlock()
-	peer.SetKnowledge(w.Header(), availability)
+	peer.SetAvailability(w.Header(), availability)
 	w.WriteHeader(http.StatusOK)
 }
--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -92,13 +92,13 @@
 		t.Cleanup(cancel)
 		i.Configure(Params{Model: testModel, Chunks: testChunks, ChunkBytes: testBytes, OriginRate: 1 << 20, OriginRegion: "r0", Deadline: time.Second})
 		s, _ := engines[k].State(ctx)
-		i.Heard(s)
+		i.UpdateEngineState(s)
 		go i.Run(ctx)
 	}
 	time.Sleep(100 * time.Millisecond) // until the replicas of the staged version are opened
 	origin.manifests.Store(0)
 	for _, i := range installers {
-		i.Name(testModel, 2, time.Now())
+		i.AddTarget(testModel, 2, time.Now())
 	}
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		complete := 0
--- a/installer/start.go
+++ b/installer/start.go
@@ -259,7 +259,7 @@
 
 // UpdateScheduled reports whether the engine has a slot in which it will be
 // drained and updated, and the drain has not started.
-func (i *Installer) Promised() bool {
+func (i *Installer) UpdateScheduled() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.updateScheduled && !i.draining
@@ -267,7 +267,7 @@
 
 // Draining reports whether the engine should get no new requests because it is
 // about to be updated.
-func (i *Installer) Leaving() bool {
+func (i *Installer) Draining() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.draining
--- a/installer/start_test.go
+++ b/installer/start_test.go
@@ -72,7 +72,7 @@
 		}
 		s, _ := i.nextUpdate(now)
 		i.recordSchedule(s)
-		assert.Assert(t, i.Promised())
+		assert.Assert(t, i.UpdateScheduled())
 		late, _ := i.nextUpdate(s.startAt)
 		assert.Equal(t, late.drainLimit, s.drainLimit, "a scheduled update is drained, however late its slot")
 		if first.IsZero() || s.startAt.Before(first) {
@@ -95,14 +95,14 @@
 	i.replicas[0].completedAt = now
 	s, _ := i.nextUpdate(now)
 	i.recordSchedule(s)
-	assert.Assert(t, !i.Promised())
+	assert.Assert(t, !i.UpdateScheduled())
 	i = newLoadedInstaller([]target{{version: 2, namedAt: now}}, 2)
 	i.engineState = EngineState{}
 	s, _ = i.nextUpdate(now)
 	i.recordSchedule(s)
-	assert.Assert(t, !i.Promised())
+	assert.Assert(t, !i.UpdateScheduled())
 	i.recordSchedule(nil)
-	assert.Assert(t, !i.Promised())
+	assert.Assert(t, !i.UpdateScheduled())
 }
 
 func TestEmptyEngineIsLoadedAtOnce(t *testing.T) {
@@ -188,7 +188,7 @@
 func addPeerHolding(r *replica, now time.Time, held *bitset.BitSet) {
 	params := transfer.Params{Chunks: testChunks, Peers: []transfer.Peer{{Box: "box0", Region: "r"}, {Box: "box1", Region: "far"}}, OriginRegions: []string{"far"}}
 	r.swarm = transfer.NewSwarm(params, transfer.NewOrder(params), "box0", r.held, now)
-	r.swarm.Known("box1", transfer.Knowledge{Held: held})
+	r.swarm.AddAvailability("box1", transfer.Availability{Held: held})
 }
 
 // Chunks held by other sidecars count as reachable. If the versions' ages are
@@ -217,17 +217,17 @@
 		i := newLoadedInstaller(nil, 2)
 		i.replicas[0].completedAt = now
 		i.peerList = []Peer{{Box: "other"}, {Box: "box0"}}
-		i.NameAssumed(testModel, 2, true, now)
+		i.AddTargetOfUnknownAge(testModel, 2, true, now)
 		if known {
-			i.Name(testModel, 2, now.Add(-namingSkew/2))
+			i.AddTarget(testModel, 2, now.Add(-namingSkew/2))
 		}
 		s, _ := i.nextUpdate(now)
 		assert.Assert(t, s.startAt.After(now), "a gateway may still report the age")
 		later := now.Add(overdueGrace)
-		i.NameAssumed(testModel, 2, false, later)
+		i.AddTargetOfUnknownAge(testModel, 2, false, later)
 		s, _ = i.nextUpdate(later)
 		assert.Assert(t, s.startAt.After(later))
-		i.NameAssumed(testModel, 2, true, later)
+		i.AddTargetOfUnknownAge(testModel, 2, true, later)
 		s, _ = i.nextUpdate(later)
 		assert.Equal(t, s.startAt.After(later), known)
 	}
@@ -275,8 +275,8 @@
 	go clock.Watch(t.Context(), nil)
 	const deadline = time.Minute
 	c := newCluster(t, 1, 1, deadline, engineLoadedWith(1))
-	c.installers[0].Name(testModel, 2, clock.Now())
-	for began := time.Now(); !c.installers[0].Promised(); time.Sleep(5 * time.Millisecond) {
+	c.installers[0].AddTarget(testModel, 2, clock.Now())
+	for began := time.Now(); !c.installers[0].UpdateScheduled(); time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 10*time.Second, "the update is not scheduled")
 	}
 	resumed := time.Now()
--- a/installer/uploads.go
+++ b/installer/uploads.go
@@ -146,7 +146,7 @@
 		data = found.chunks[chunk]
 	}
 	i.mu.Unlock()
-	peer.SetKnowledge(w.Header(), availability)
+	peer.SetAvailability(w.Header(), availability)
 	if data == nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
@@ -158,9 +158,9 @@
 
 // availability returns which chunks are held here and which some box of the region
 // is known to hold, for the headers of an answer; Installer.mu is held.
-func (r *replica) availability() transfer.Knowledge {
+func (r *replica) availability() transfer.Availability {
 	if r.swarm != nil {
-		return r.swarm.Knows()
+		return r.swarm.Availability()
 	}
-	return transfer.Knowledge{Held: r.held.Clone(), Exists: r.held.Clone()}
+	return transfer.Availability{Held: r.held.Clone(), Exists: r.held.Clone()}
 }
--- a/installer/verify.go
+++ b/installer/verify.go
@@ -24,7 +24,7 @@
 	startedMS, orders int64
 }
 
-func loadIDOf(s EngineState) loadID { return loadID{s.Born, s.Orders} }
+func loadIDOf(s EngineState) loadID { return loadID{s.StartedMS, s.Orders} }
 
 // verifiedVersion returns the version that the engine has loaded, or 0 if the load
 // is not verified. Installer.mu is held.
@@ -43,7 +43,7 @@
 
 // Unverified reports whether the engine has a version loaded that is not verified,
 // so that it must get no requests.
-func (i *Installer) Doubted() bool {
+func (i *Installer) Unverified() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.unverified()
@@ -54,7 +54,7 @@
 func (i *Installer) expectStart(state EngineState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.expectedLoad = loadID{state.Born, state.Orders + 1}
+	i.expectedLoad = loadID{state.StartedMS, state.Orders + 1}
 }
 
 // startAccepted reports whether state shows that the engine accepted the last
@@ -185,7 +185,7 @@
 
 // UpdateEngineState records the engine's report. The load in the first report
 // counts as verified.
-func (i *Installer) Heard(s EngineState) {
+func (i *Installer) UpdateEngineState(s EngineState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	old, first := i.engineState, i.engineStateAt.IsZero()
@@ -194,8 +194,8 @@
 	if first {
 		i.verifiedLoad = loadIDOf(s) // a sidecar stages no other version while a start may be accepted
 	}
-	if first || old.Version != s.Version || old.Busy != s.Busy || old.Orders != s.Orders || old.Born != s.Born {
-		i.log.Info("engine state changed", "model", s.Model, "version", s.Version, "was", old.Version, "busy", s.Busy, "orders", s.Orders, "born", s.Born,
+	if first || old.Version != s.Version || old.Busy != s.Busy || old.Orders != s.Orders || old.StartedMS != s.StartedMS {
+		i.log.Info("engine state changed", "model", s.Model, "version", s.Version, "was", old.Version, "busy", s.Busy, "orders", s.Orders, "born", s.StartedMS,
 			"vouched", !i.unverified())
 		i.notifyLocked()
 	}
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -56,7 +56,7 @@
 }
 
 // Snapshot is the state of the cluster from which NewPlan computes a plan.
-type World struct {
+type Snapshot struct {
 	// Base is the log offset of the snapshot.
 	Base int64
 	Now  time.Time
@@ -73,7 +73,7 @@
 
 // NewPlan computes a plan for an intent, with the status Proposed. Apart from the
 // plan's random id, it is a pure function of its arguments.
-func Make(in Intent, m *weights.Manifest, snap World) (*Plan, error) {
+func NewPlan(in Intent, m *weights.Manifest, snap Snapshot) (*Plan, error) {
 	if err := in.Validate(); err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 
 // priorityOf returns the priority of an intent: its own, or else the highest of its
 // workspaces. It returns ErrUnknownWorkspace for a workspace that does not exist.
-func priorityOf(in Intent, snap World) (int, error) {
+func priorityOf(in Intent, snap Snapshot) (int, error) {
 	highest := 0
 	for _, name := range in.Workspaces {
 		ws, ok := snap.Workspaces[name]
@@ -174,7 +174,7 @@
 }
 
 // addSteps adds one step per box and assigns the waves.
-func (p *Plan) addSteps(boxes []Candidate, m *weights.Manifest, snap World) error {
+func (p *Plan) addSteps(boxes []Candidate, m *weights.Manifest, snap Snapshot) error {
 	origin := originRegion(boxes)
 	var evicting []int // indices of the steps that evict a version
 	for _, c := range boxes {
@@ -243,7 +243,7 @@
 // every affected workspace keeps its floor while the boxes of one wave do not
 // serve. evicting holds the indices of those steps, which are also those of their
 // boxes.
-func (p *Plan) addWaves(evicting []int, boxes []Candidate, snap World) error {
+func (p *Plan) addWaves(evicting []int, boxes []Candidate, snap Snapshot) error {
 	serving := servingBoxes(snap.Boxes)
 	size := len(evicting)
 	for _, name := range affectedWorkspaces(evicting, p, boxes, snap) {
@@ -285,7 +285,7 @@
 
 // affectedWorkspaces returns the workspaces served by versions that the plan
 // evicts, sorted.
-func affectedWorkspaces(evicting []int, p *Plan, boxes []Candidate, snap World) []string {
+func affectedWorkspaces(evicting []int, p *Plan, boxes []Candidate, snap Snapshot) []string {
 	names := make(map[string]bool)
 	for _, index := range evicting {
 		for _, l := range boxes[index].Loaded {
@@ -309,7 +309,7 @@
 
 // addCapacities adds the capacity of each affected workspace and of each workspace
 // of the intent. waveSize is the largest number of boxes in a wave.
-func (p *Plan) addCapacities(evicting []int, boxes []Candidate, waveSize int, serving map[string]int, snap World) {
+func (p *Plan) addCapacities(evicting []int, boxes []Candidate, waveSize int, serving map[string]int, snap Snapshot) {
 	names := affectedWorkspaces(evicting, p, boxes, snap)
 	for _, name := range p.Intent.Workspaces {
 		if !slices.Contains(names, name) {
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -34,8 +34,8 @@
 // testSnapshot returns a snapshot of n boxes in two regions that serve v1 to
 // workspace a, whose floor is given. memory is the size of each engine's memory in
 // bytes; 0 means no limit.
-func testSnapshot(n int, memory int64, floor int) World {
-	snap := World{
+func testSnapshot(n int, memory int64, floor int) Snapshot {
+	snap := Snapshot{
 		Base:       7,
 		Now:        time.Unix(1000, 0),
 		Workspaces: map[string]workspace.Workspace{"a": {Name: "a", Priority: 30, Floor: floor}, "b": {Name: "b", Priority: 60}},
@@ -56,10 +56,10 @@
 
 func TestWeighingSelectsExtraCopies(t *testing.T) {
 	in := Intent{Ref: v2, Workspaces: []string{"a", "b"}}
-	fastest, err := Make(in, manifest(v2), testSnapshot(12, 0, 0))
+	fastest, err := NewPlan(in, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
 	in.Weighing = OriginBytes
-	cheapest, err := Make(in, manifest(v2), testSnapshot(12, 0, 0))
+	cheapest, err := NewPlan(in, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
 	assert.Equal(t, fastest.ExtraCopies, 1.0)
 	assert.Equal(t, cheapest.ExtraCopies, 0.0)
@@ -73,7 +73,7 @@
 }
 
 func TestOneRegionReadsFromTheOrigin(t *testing.T) {
-	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), testSnapshot(4, 0, 0))
+	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), testSnapshot(4, 0, 0))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, p.OriginRegions(), []string{"r1"})
 	for _, s := range p.Steps {
@@ -86,7 +86,7 @@
 }
 
 func TestReplicasSpreadOverZones(t *testing.T) {
-	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}, Replicas: 4}, manifest(v2), testSnapshot(12, 0, 0))
+	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}, Replicas: 4}, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
 	zones := map[string]int{}
 	for _, s := range p.Steps {
@@ -97,17 +97,17 @@
 
 func TestEvictionsAndWavesDependOnMemory(t *testing.T) {
 	in := Intent{Ref: v2, Workspaces: []string{"a"}}
-	large, err := Make(in, manifest(v2), testSnapshot(6, 2*size, 2))
+	large, err := NewPlan(in, manifest(v2), testSnapshot(6, 2*size, 2))
 	assert.NilError(t, err)
 	assert.Equal(t, large.Waves(), 1, "both versions fit: no box stops serving")
-	small, err := Make(in, manifest(v2), testSnapshot(6, size*3/2, 2))
+	small, err := NewPlan(in, manifest(v2), testSnapshot(6, size*3/2, 2))
 	assert.NilError(t, err)
 	assert.Equal(t, small.Waves(), 2, "6 boxes, floor 2: waves of 4 and 2 boxes")
 	assert.DeepEqual(t, small.Steps[0].Evicts, []weights.Ref{v1})
 	assert.Equal(t, small.Capacities[0].Lowest, 2)
-	_, err = Make(in, manifest(v2), testSnapshot(6, size/2, 2))
+	_, err = NewPlan(in, manifest(v2), testSnapshot(6, size/2, 2))
 	assert.Assert(t, errors.Is(err, ErrNoMemory))
-	_, err = Make(in, manifest(v2), testSnapshot(2, size*3/2, 2))
+	_, err = NewPlan(in, manifest(v2), testSnapshot(2, size*3/2, 2))
 	assert.Assert(t, errors.Is(err, ErrFloor))
 }
 
@@ -118,7 +118,7 @@
 		n := rapid.IntRange(1, 40).Draw(t, "boxes")
 		floor := rapid.IntRange(0, n).Draw(t, "floor")
 		snap := testSnapshot(n, size*3/2, floor)
-		p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), snap)
+		p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), snap)
 		if floor >= n {
 			if !errors.Is(err, ErrFloor) {
 				t.Fatalf("%d boxes, floor %d: %v", n, floor, err)
@@ -147,7 +147,7 @@
 // became unavailable since the plan was computed.
 func TestNextWaveKeepsFloor(t *testing.T) {
 	snap := testSnapshot(6, size*3/2, 2)
-	p, err := Make(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), snap)
+	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), snap)
 	assert.NilError(t, err)
 	assert.Assert(t, NextWaveKeepsFloor(p, snap.Boxes, snap.Workspaces))
 	assert.Assert(t, !NextWaveKeepsFloor(p, snap.Boxes[3:], snap.Workspaces), "3 boxes are available, 2 would stop, floor 2")
@@ -163,8 +163,8 @@
 	} {
 		assert.Assert(t, errors.Is(in.Validate(), errors.NotValid), name)
 	}
-	_, err := Make(Intent{Ref: v1, Workspaces: []string{"c"}}, manifest(v1), testSnapshot(2, 0, 0))
+	_, err := NewPlan(Intent{Ref: v1, Workspaces: []string{"c"}}, manifest(v1), testSnapshot(2, 0, 0))
 	assert.Assert(t, errors.Is(err, ErrUnknownWorkspace))
-	_, err = Make(Intent{Ref: v1, Workspaces: []string{"a"}, Zones: []string{"z9"}}, manifest(v1), testSnapshot(2, 0, 0))
+	_, err = NewPlan(Intent{Ref: v1, Workspaces: []string{"a"}, Zones: []string{"z9"}}, manifest(v1), testSnapshot(2, 0, 0))
 	assert.Assert(t, errors.Is(err, ErrNoBoxes))
 }
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -195,11 +195,11 @@
 
 func (s *sim) build() {
 	p := transfer.Params{
-		Chunks:      s.Chunks,
-		ChunkTurn:   time.Duration(s.Window.Seconds() / 4 / float64(s.Chunks) * float64(time.Second)),
-		TakeOver:    transfer.TakeOver(s.floor),
-		Downloads:   s.Downloads,
-		ExtraOrigin: transfer.ExtraOrigin(s.Chunks, s.Boxes, s.ExtraCopies),
+		Chunks:        s.Chunks,
+		ChunkInterval: time.Duration(s.Window.Seconds() / 4 / float64(s.Chunks) * float64(time.Second)),
+		TakeOverDelay: transfer.TakeOverDelay(s.floor),
+		Downloads:     s.Downloads,
+		ExtraOrigin:   transfer.ExtraOrigin(s.Chunks, s.Boxes, s.ExtraCopies),
 	}
 	for r := range s.OriginRegions {
 		p.OriginRegions = append(p.OriginRegions, regionName(r))
@@ -220,7 +220,7 @@
 	for _, b := range s.boxes {
 		b.swarm = transfer.NewSwarm(p, o, b.name, b.held, s.epoch)
 		b.picker = transfer.NewPicker(s.Chunks, uint64(b.id))
-		b.queue = &prio.Queue{Slots: cmp.Or(s.Slots, transfer.UploadSlots), Waiting: cmp.Or(s.Waiting, transfer.UploadWaiting)}
+		b.queue = &prio.Queue{Slots: cmp.Or(s.Slots, transfer.UploadSlots), Waiting: cmp.Or(s.Waiting, transfer.UploadQueueLength)}
 		s.after(0, func() { s.ask(b) })
 	}
 }
@@ -261,7 +261,7 @@
 			continue
 		}
 		s.ids++
-		r := &request{from: b, to: s.byName[p.Peer], pull: p, id: s.ids, has: b.swarm.Wants()}
+		r := &request{from: b, to: s.byName[p.Peer], pull: p, id: s.ids, has: b.swarm.HeldOrInFlight()}
 		s.after(s.latency(b, r.to), func() { s.asked(r) })
 	}
 }
@@ -304,7 +304,7 @@
 
 // serve picks the chunk for a pull that has got a slot.
 func (s *sim) serve(r *request) {
-	known := r.to.swarm.Knows()
+	known := r.to.swarm.Availability()
 	held := known.Held
 	chunk := r.pull.Chunk
 	if chunk < 0 {
@@ -315,7 +315,7 @@
 	if chunk < 0 {
 		s.release(r.to)
 		s.after(s.latency(r.from, r.to), func() {
-			r.from.swarm.Nothing(r.pull, known, s.clock())
+			r.from.swarm.NothingUseful(r.pull, known, s.clock())
 			s.ask(r.from)
 		})
 		return
@@ -342,7 +342,7 @@
 	if b.dead {
 		return
 	}
-	b.swarm.Bad(p, s.clock())
+	b.swarm.InvalidChunk(p, s.clock())
 	s.ask(b)
 }
 
@@ -443,7 +443,7 @@
 	if f.to.swarm == nil {
 		return time.Hour
 	}
-	return f.to.swarm.StallLimit()
+	return f.to.swarm.StallTimeout()
 }
 
 // land ends a flight, whole or not.
@@ -497,13 +497,13 @@
 		if f.corrupt {
 			s.res.CorruptChunks++
 		}
-		b.swarm.Bad(f.pull, s.clock())
+		b.swarm.InvalidChunk(f.pull, s.clock())
 		s.ask(b)
 		return
 	}
-	var known transfer.Knowledge
+	var known transfer.Availability
 	if f.from != nil && !f.from.dead {
-		known = f.from.swarm.Knows()
+		known = f.from.swarm.Availability()
 	}
 	b.swarm.Arrived(f.pull, known, s.now-f.began, s.clock())
 	if b.swarm.Done() {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -96,7 +96,7 @@
 	if l.Faults.lose() {
 		cut()
 	}
-	answerJSON(w, http.StatusOK, eventlog.Appended{Offset: offset})
+	answerJSON(w, http.StatusOK, eventlog.AppendResponse{Offset: offset})
 }
 
 // Add appends data, past the rate and the faults.
--- a/loadreport/demand.go
+++ b/loadreport/demand.go
@@ -66,7 +66,7 @@
 
 // withDemandPosition returns the report for one gateway.
 func withDemandPosition(r fleet.Report, position demandPosition) fleet.Report {
-	r.Share, r.Turn = round2(position.share), round2(position.ahead)
+	r.DemandShare, r.DemandAhead = round2(position.share), round2(position.ahead)
 	return r
 }
 
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -47,32 +47,32 @@
 	// Region is the gateway's region.
 	Region string `json:"region,omitempty"`
 	// NamedVersions are the newest named versions of the model, the newest last.
-	Named []Named `json:"named,omitempty"`
+	NamedVersions []NamedVersion `json:"named,omitempty"`
 	// Read is the offset up to which the gateway has read the operator's records, or
 	// -1 if it has read none, and Era the era of that offset.
 	Read int64 `json:"read"`
 	Era  int64 `json:"era,omitempty"`
 	// VersionSum is the sum of the versions of the operator's records that the gateway
 	// holds; see storewatch.Watcher.VersionSum.
-	Knowledge int64 `json:"known,omitempty"`
+	VersionSum int64 `json:"known,omitempty"`
 	// Demand is the gateway's recent rate of requests for the service, per second.
 	Demand float64 `json:"demand"`
 	// Weights describes where and how to load the model's weights. It is nil for
 	// sidecars whose reports have its checksum.
-	Weights *routing.Weights `json:"weights,omitempty"`
+	Weights *routing.WeightsConfig `json:"weights,omitempty"`
 	// Suspects are requests during which endpoints crashed. They are sent only to the
 	// sidecars that all gateways subscribe to, which relay them to the gateways.
 	Suspects []quarantine.Record `json:"suspects,omitempty"`
 }
 
 // NamedVersion is a version that the operator named.
-type Named struct {
+type NamedVersion struct {
 	Version int `json:"version"`
 	// AgeMS is the time since the gateway read it, in milliseconds, or UnknownAge if
 	// it was named before the gateway started.
 	AgeMS int64 `json:"age_ms"`
 	// PastCutoff is set once the gateway sends no requests to older versions.
-	Overdue bool `json:"overdue,omitempty"`
+	PastCutoff bool `json:"overdue,omitempty"`
 }
 
 // UnknownAge is the age of a version that was named at an unknown time.
@@ -80,7 +80,7 @@
 
 // NamedAt returns when the version was named, given that AgeMS is its age at now;
 // zero if the age is unknown.
-func (n Named) Since(now time.Time) time.Time {
+func (n NamedVersion) NamedAt(now time.Time) time.Time {
 	if n.AgeMS < 0 {
 		return time.Time{}
 	}
@@ -88,7 +88,7 @@
 }
 
 // SubscriptionGroup is a set of sidecars of one service, and the notice sent to them.
-type Audience struct {
+type SubscriptionGroup struct {
 	Sidecars []string // IP:PORT of their Publishers
 	Notice   Notice
 }
@@ -102,7 +102,7 @@
 	Stamp int64 `json:"stamp"`
 	// PermitRequest is a request for permits. A datagram with one is no subscription
 	// and carries nothing else.
-	PermitRequest *backpressure.Ask `json:"ask,omitempty"`
+	PermitRequest *backpressure.PermitRequest `json:"ask,omitempty"`
 }
 
 // sidecarDatagram is a datagram from a sidecar to a gateway: a report, the response to
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -32,7 +32,7 @@
 	endpoints []backpressure.Record
 }
 
-func (h *recorder) HeardSuspects(suspects []quarantine.Record) {
+func (h *recorder) HandleSuspects(suspects []quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.suspects == nil {
@@ -43,19 +43,19 @@
 	}
 }
 
-func (h *recorder) Granted(g backpressure.Grant) {
+func (h *recorder) HandleGrant(g backpressure.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.grants = append(h.grants, g)
 }
 
-func (h *recorder) HeardEndpoints(records []backpressure.Record) {
+func (h *recorder) HandleEndpoints(records []backpressure.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.endpoints = append(h.endpoints, records...)
 }
 
-func (h *recorder) Heard(r fleet.Report, e *Echo) {
+func (h *recorder) HandleReport(r fleet.Report, e *Echo) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports = append(h.reports, r)
@@ -97,15 +97,15 @@
 		received = n
 	})
 	notice := Notice{
-		Model:   "m",
-		Weights: &routing.Weights{Version: 7, Model: "m", Layers: 4, Chunks: 64, ChunkBytes: 4096, Origin: "127.0.0.1:9", OriginZone: "z", OriginRate: 1e6},
-		Named:   []Named{{Version: 2, AgeMS: UnknownAge}, {Version: 3, AgeMS: 1500}},
+		Model:         "m",
+		Weights:       &routing.WeightsConfig{Version: 7, Model: "m", Layers: 4, Chunks: 64, ChunkBytes: 4096, Origin: "127.0.0.1:9", OriginZone: "z", OriginRate: 1e6},
+		NamedVersions: []NamedVersion{{Version: 2, AgeMS: UnknownAge}, {Version: 3, AgeMS: 1500}},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var got recorder
-	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String(), "nonsense"}, Notice: notice}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &got)
+	group := SubscriptionGroup{Sidecars: []string{publisher.conn.LocalAddr().String(), "nonsense"}, Notice: notice}
+	go subscriber.Run(ctx, func() []SubscriptionGroup { return []SubscriptionGroup{group} }, nil, &got)
 	report := fleet.Report{Address: "a:1", Model: "m", Version: 2, Running: 3}
 	await(t, "a report and an echo", func() bool {
 		publisher.Publish(report, false, time.Now())
@@ -121,7 +121,7 @@
 	mu.Lock()
 	assert.DeepEqual(t, received, notice)
 	mu.Unlock()
-	assert.Assert(t, time.Since(publisher.Asked()) < 2*time.Second)
+	assert.Assert(t, time.Since(publisher.LastSubscribed()) < 2*time.Second)
 }
 
 func TestUnchangedReportIsRepeated(t *testing.T) {
@@ -145,8 +145,8 @@
 func TestSubscriptionExpires(t *testing.T) {
 	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
-	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &recorder{})
+	group := SubscriptionGroup{Sidecars: []string{publisher.conn.LocalAddr().String()}}
+	go subscriber.Run(ctx, func() []SubscriptionGroup { return []SubscriptionGroup{group} }, nil, &recorder{})
 	subscribed := func() int {
 		publisher.mu.Lock()
 		defer publisher.mu.Unlock()
@@ -160,8 +160,8 @@
 
 func TestNamedVersionTime(t *testing.T) {
 	now := time.Now()
-	assert.Assert(t, Named{AgeMS: UnknownAge}.Since(now).IsZero())
-	assert.Equal(t, Named{AgeMS: 1500}.Since(now), now.Add(-1500*time.Millisecond))
+	assert.Assert(t, NamedVersion{AgeMS: UnknownAge}.NamedAt(now).IsZero())
+	assert.Equal(t, NamedVersion{AgeMS: 1500}.NamedAt(now), now.Add(-1500*time.Millisecond))
 }
 
 // A gateway learns from a sidecar up to which position of the operator's records
@@ -174,8 +174,8 @@
 	defer cancel()
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
 	run := func(s *Subscriber, read int64, h Handler) {
-		group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Read: read}}
-		go s.Run(ctx, func() []Audience { return []Audience{group} }, nil, h)
+		group := SubscriptionGroup{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Read: read}}
+		go s.Run(ctx, func() []SubscriptionGroup { return []SubscriptionGroup{group} }, nil, h)
 	}
 	var got recorder
 	run(behind, 3, &got)
@@ -215,12 +215,12 @@
 func TestSubscriptionsExpireDuringSuspension(t *testing.T) {
 	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
-	group := Audience{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Region: "r"}}
-	go subscriber.Run(ctx, func() []Audience { return []Audience{group} }, nil, &recorder{})
+	group := SubscriptionGroup{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Region: "r"}}
+	go subscriber.Run(ctx, func() []SubscriptionGroup { return []SubscriptionGroup{group} }, nil, &recorder{})
 	await(t, "a subscription", func() bool { return len(publisher.Gateways("r", 2, clock.Now())) == 1 })
 	cancel()
 	time.Sleep(50 * time.Millisecond) // datagrams in flight
 	clock.SuspendForTest(t, subscriptionTTL)
 	assert.Equal(t, len(publisher.Gateways("r", 2, clock.Now())), 0)
-	assert.Assert(t, clock.Since(publisher.Asked()) >= subscriptionTTL)
+	assert.Assert(t, clock.Since(publisher.LastSubscribed()) >= subscriptionTTL)
 }
--- a/loadreport/publisher.go
+++ b/loadreport/publisher.go
@@ -72,11 +72,11 @@
 		}
 		p.mu.Lock()
 		p.lastSubscribed = now
-		p.subs[from] = subscriber{subscribedAt: p.lastSubscribed, region: datagram.Region, demand: datagram.Demand, versionSum: datagram.Knowledge}
+		p.subs[from] = subscriber{subscribedAt: p.lastSubscribed, region: datagram.Region, demand: datagram.Demand, versionSum: datagram.VersionSum}
 		p.read = history.Later(p.read, history.Position{Era: datagram.Era, Offset: datagram.Read})
 		response := sidecarDatagram{
 			Report: withDemandPosition(p.last, p.demandPositionsLocked()[from]), Echo: datagram.Stamp, Read: p.read.Offset, Era: p.read.Era,
-			Readers: p.readersLocked(datagram.Region), Suspects: p.suspects.Tell(now), Endpoints: p.quotas.Tell(now),
+			Readers: p.readersLocked(datagram.Region), Suspects: p.suspects.Records(now), Endpoints: p.quotas.Records(now),
 		}
 		response.VersionSum, response.VersionSumGateway = p.maxVersionSumLocked(now)
 		p.mu.Unlock()
@@ -99,7 +99,7 @@
 		return
 	}
 	p.suspectsSentAt = now
-	datagram := sidecarDatagram{Suspects: p.suspects.Tell(now)}
+	datagram := sidecarDatagram{Suspects: p.suspects.Records(now)}
 	for to := range p.subs {
 		p.send(datagram, to)
 	}
@@ -108,10 +108,10 @@
 // allocatePermits responds to a permit request. If it brings a new signal of the
 // endpoint, that is sent to all subscribers at once, so that they respect the new
 // limit.
-func (p *Publisher) allocatePermits(request backpressure.Ask, from netip.AddrPort, now time.Time) {
+func (p *Publisher) allocatePermits(request backpressure.PermitRequest, from netip.AddrPort, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	grant, changed := p.quotas.Ask(request, now)
+	grant, changed := p.quotas.Allocate(request, now)
 	p.send(sidecarDatagram{Grant: &grant}, from)
 	if !changed {
 		return
@@ -156,7 +156,7 @@
 }
 
 // LastSubscribed returns when the last subscription was received; zero if none was.
-func (p *Publisher) Asked() time.Time {
+func (p *Publisher) LastSubscribed() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastSubscribed
--- a/loadreport/subscriber.go
+++ b/loadreport/subscriber.go
@@ -36,8 +36,8 @@
 	Read history.Position
 	// VersionSum is the highest Notice.VersionSum of the gateways with a current
 	// subscription there, and VersionSumGateway the IP address of that gateway.
-	Knowledge int64
-	Knower    string
+	VersionSum        int64
+	VersionSumGateway string
 	// Readers are the IP addresses of the gateways that read the store for the
 	// subscriber's region, selected by SelectReaders from those with a current
 	// subscription there.
@@ -47,14 +47,14 @@
 // Handler receives what sidecars send. Its methods are not called concurrently.
 type Handler interface {
 	// HandleReport receives a report; e is nil if it is no response to a subscription.
-	Heard(r fleet.Report, e *Echo)
+	HandleReport(r fleet.Report, e *Echo)
 	// HandleSuspects receives the requests, reported by gateways, during which
 	// endpoints crashed.
-	HeardSuspects(suspects []quarantine.Record)
+	HandleSuspects(suspects []quarantine.Record)
 	// HandleGrant receives the response to Subscriber.RequestPermits.
-	Granted(g backpressure.Grant)
+	HandleGrant(g backpressure.Grant)
 	// HandleEndpoints receives the signals of endpoints reported by gateways.
-	HeardEndpoints(records []backpressure.Record)
+	HandleEndpoints(records []backpressure.Record)
 }
 
 // NewSubscriber listens for reports at address, IP:PORT. Run receives them.
@@ -69,7 +69,7 @@
 // Run subscribes to the sidecars that groups returns, every SubscribeInterval, and
 // passes what they send to h, until ctx ends. Each value of wake starts a round of
 // subscriptions early, at least minRoundInterval after the last one; wake may be nil.
-func (s *Subscriber) Run(ctx context.Context, groups func() []Audience, wake <-chan struct{}, h Handler) {
+func (s *Subscriber) Run(ctx context.Context, groups func() []SubscriptionGroup, wake <-chan struct{}, h Handler) {
 	context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	go s.receive(h)
 	ticker := time.NewTicker(SubscribeInterval)
@@ -89,7 +89,7 @@
 }
 
 // subscribe sends a subscription to each sidecar of a group. It skips invalid addresses.
-func (s *Subscriber) subscribe(group Audience) {
+func (s *Subscriber) subscribe(group SubscriptionGroup) {
 	text, err := json.Marshal(gatewayDatagram{Notice: group.Notice, Stamp: s.stamp()})
 	if err != nil {
 		panic("loadreport: encode subscription: " + err.Error())
@@ -103,7 +103,7 @@
 
 // RequestPermits sends a permit request to the sidecar whose Publisher has the address
 // sidecar, IP:PORT. The response is passed to Handler.HandleGrant.
-func (s *Subscriber) Ask(request backpressure.Ask, sidecar string) {
+func (s *Subscriber) RequestPermits(request backpressure.PermitRequest, sidecar string) {
 	text, err := json.Marshal(gatewayDatagram{PermitRequest: &request})
 	if err != nil {
 		panic("loadreport: encode permit request: " + err.Error())
@@ -127,22 +127,22 @@
 			continue
 		}
 		if len(m.Suspects) > 0 {
-			h.HeardSuspects(m.Suspects)
+			h.HandleSuspects(m.Suspects)
 		}
 		if len(m.Endpoints) > 0 {
-			h.HeardEndpoints(m.Endpoints)
+			h.HandleEndpoints(m.Endpoints)
 		}
 		if m.Grant != nil {
-			h.Granted(*m.Grant)
+			h.HandleGrant(*m.Grant)
 		}
 		switch {
 		case m.Address == "":
 		case m.Echo <= 0:
-			h.Heard(m.Report, nil)
+			h.HandleReport(m.Report, nil)
 		default:
-			h.Heard(m.Report, &Echo{
+			h.HandleReport(m.Report, &Echo{
 				RoundTrip: time.Duration(s.stamp()-m.Echo) * time.Microsecond,
-				Read:      history.Position{Era: m.Era, Offset: m.Read}, Readers: m.Readers, Knowledge: m.VersionSum, Knower: m.VersionSumGateway,
+				Read:      history.Position{Era: m.Era, Offset: m.Read}, Readers: m.Readers, VersionSum: m.VersionSum, VersionSumGateway: m.VersionSumGateway,
 			})
 		}
 	}
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -23,7 +23,7 @@
 	id := quarantine.Identify(quarantine.Request{Target: "/x"})
 	for n := range quarantine.Threshold {
 		sent := now.Add(time.Duration(n-quarantine.Threshold) * time.Second)
-		table.Crashed(id, sent, sent.Add(50*time.Millisecond))
+		table.RecordCrash(id, sent, sent.Add(50*time.Millisecond))
 	}
 	return table, id
 }
@@ -35,9 +35,9 @@
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
 	ctx := t.Context()
 	table, id := newSuspectTable(time.Now())
-	groups := func(suspects func() []quarantine.Record) func() []Audience {
-		return func() []Audience {
-			return []Audience{{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Suspects: suspects()}}}
+	groups := func(suspects func() []quarantine.Record) func() []SubscriptionGroup {
+		return func() []SubscriptionGroup {
+			return []SubscriptionGroup{{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Suspects: suspects()}}}
 		}
 	}
 	none := func() []quarantine.Record { return nil }
@@ -61,7 +61,7 @@
 		defer subscribed.mu.Unlock()
 		return subscribed.echoes > 0
 	})
-	go reporting.Run(ctx, groups(func() []quarantine.Record { return table.Tell(time.Now()) }), nil, &recorder{})
+	go reporting.Run(ctx, groups(func() []quarantine.Record { return table.Records(time.Now()) }), nil, &recorder{})
 	await(t, "suspects at the gateway that has subscribed", hasSuspect(subscribed))
 	await(t, "suspects at a new gateway", hasSuspect(subscribe()))
 }
@@ -83,25 +83,25 @@
 		id := quarantine.Identify(quarantine.Request{Target: string(rune('a' + n))})
 		for crash := range quarantine.Threshold + 2 {
 			sent := now.Add(time.Duration(10*crash-500) * time.Second)
-			table.Crashed(id, sent, sent.Add(9999*time.Millisecond))
+			table.RecordCrash(id, sent, sent.Add(9999*time.Millisecond))
 		}
 	}
 	subscription, err := json.Marshal(gatewayDatagram{
 		Notice: Notice{
-			Model: "a-model-with-a-long-name", Region: "a-region", Named: []Named{{1 << 20, 1 << 30, true}, {1 << 20, 1 << 30, true}}, Read: 1 << 40, Demand: 1e6,
-			Weights:  &routing.Weights{Version: 1 << 40, Model: "a-model-with-a-long-name", Layers: 1000, Chunks: 1 << 20, ChunkBytes: 1 << 30, Origin: "255.255.255.255:65535", OriginZone: "an-availability-zone", OriginRate: 1e9},
-			Suspects: table.Tell(now),
+			Model: "a-model-with-a-long-name", Region: "a-region", NamedVersions: []NamedVersion{{1 << 20, 1 << 30, true}, {1 << 20, 1 << 30, true}}, Read: 1 << 40, Demand: 1e6,
+			Weights:  &routing.WeightsConfig{Version: 1 << 40, Model: "a-model-with-a-long-name", Layers: 1000, Chunks: 1 << 20, ChunkBytes: 1 << 30, Origin: "255.255.255.255:65535", OriginZone: "an-availability-zone", OriginRate: 1e9},
+			Suspects: table.Records(now),
 		},
 		Stamp: 1 << 50,
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, len(subscription) < maxDatagram, "%d bytes", len(subscription))
 	response, err := json.Marshal(sidecarDatagram{
-		Report:    fleet.Report{Address: "255.255.255.255:65535", Model: "a-model-with-a-long-name", Version: 1 << 20, Busy: true, Promised: true, Running: 9999, Queued: 9999, Pace: 12.345678, Weights: 1<<32 - 1, Gateways: 9999, Turn: 99.99, Share: 0.99, Born: 1 << 42, Draining: true, Limited: true, Limit: 123.456789},
+		Report:    fleet.Report{Address: "255.255.255.255:65535", Model: "a-model-with-a-long-name", Version: 1 << 20, Busy: true, UpdateScheduled: true, Running: 9999, Queued: 9999, Pace: 12.345678, WeightsChecksum: 1<<32 - 1, Gateways: 9999, DemandAhead: 99.99, DemandShare: 0.99, StartedMS: 1 << 42, Draining: true, Limited: true, Limit: 123.456789},
 		Echo:      1 << 50,
 		Read:      1 << 40,
 		Readers:   []string{"255.255.255.255", "255.255.255.255"},
-		Suspects:  table.Tell(now),
+		Suspects:  table.Records(now),
 		Endpoints: maxEndpointRecords(now),
 	})
 	assert.NilError(t, err)
@@ -113,9 +113,9 @@
 func maxEndpointRecords(now time.Time) []backpressure.Record {
 	quotas := backpressure.NewQuotas()
 	for n := range 100 {
-		quotas.Ask(backpressure.Ask{Record: backpressure.Record{ID: fmt.Sprintf("i-%022d", n), Born: 1 << 42, Draining: true, Limited: true, Rate: 123.456789, LimitAgeMS: 1e6}}, now)
+		quotas.Allocate(backpressure.PermitRequest{Record: backpressure.Record{ID: fmt.Sprintf("i-%022d", n), Born: 1 << 42, Draining: true, Limited: true, Rate: 123.456789, LimitAgeMS: 1e6}}, now)
 	}
-	return quotas.Tell(now)
+	return quotas.Records(now)
 }
 
 // A sidecar evicts suspects that gateways have stopped reporting.
@@ -123,10 +123,10 @@
 	publisher, reporting := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(t.Context())
 	table, id := newSuspectTable(time.Now())
-	go reporting.Run(ctx, func() []Audience {
-		return []Audience{{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Suspects: table.Tell(time.Now())}}}
+	go reporting.Run(ctx, func() []SubscriptionGroup {
+		return []SubscriptionGroup{{Sidecars: []string{publisher.conn.LocalAddr().String()}, Notice: Notice{Suspects: table.Records(time.Now())}}}
 	}, nil, &recorder{})
-	await(t, "suspects at the sidecar", func() bool { return publisher.suspects.Standing(id, time.Now()).Quarantined() })
+	await(t, "suspects at the sidecar", func() bool { return publisher.suspects.Status(id, time.Now()).Quarantined() })
 	cancel()
-	assert.Assert(t, !publisher.suspects.Standing(id, time.Now().Add(quarantine.Life)).Suspected())
+	assert.Assert(t, !publisher.suspects.Status(id, time.Now().Add(quarantine.CrashTTL)).Suspected())
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -102,7 +102,7 @@
 )
 
 // CopyStatus reports the progress of a box's copy of a version.
-type Copy struct {
+type CopyStatus struct {
 	weights.Ref
 	Plan  string            `json:"plan"`
 	State weights.CopyState `json:"state"`
@@ -122,7 +122,7 @@
 
 // LoadedVersion is a version that the engine has loaded; Bytes is its size in
 // memory.
-type Loaded struct {
+type LoadedVersion struct {
 	weights.Ref
 	Bytes int64 `json:"bytes"`
 }
@@ -138,11 +138,11 @@
 	Draining  bool  `json:"draining"`
 	// Ready reports whether the last contact with the log is recent enough for
 	// the process to be the home of idempotency keys.
-	Ready       bool     `json:"ready"`
-	Service     string   `json:"service,omitempty"`
-	Copies      []Copy   `json:"copies,omitempty"`
-	Loaded      []Loaded `json:"loaded,omitempty"`
-	MemoryBytes int64    `json:"memory_bytes,omitempty"`
+	Ready       bool            `json:"ready"`
+	Service     string          `json:"service,omitempty"`
+	Copies      []CopyStatus    `json:"copies,omitempty"`
+	Loaded      []LoadedVersion `json:"loaded,omitempty"`
+	MemoryBytes int64           `json:"memory_bytes,omitempty"`
 	// EngineKnown reports whether the sidecar has queried its engine; until then
 	// Loaded and MemoryBytes are not valid.
 	EngineKnown bool `json:"engine_known,omitempty"`
@@ -205,7 +205,7 @@
 }
 
 // ClaimResult is the answer to a Claim.
-type Claimed struct {
+type ClaimResult struct {
 	// Granted reports whether the attempt may run, once.
 	Granted bool `json:"granted"`
 	// Reason and Outcome are set if it may not: the reason, and the outcome of
@@ -216,7 +216,7 @@
 	// RetryMS is the delay before a retry, or 0.
 	RetryMS int64 `json:"retry_ms,omitempty"`
 	// Answer is the stored answer of an earlier attempt, if there is one.
-	Answer *dedup.Answer `json:"answer,omitempty"`
+	Answer *dedup.Response `json:"answer,omitempty"`
 	// Offset is the log offset of the home's state.
 	Offset int64 `json:"offset"`
 }
@@ -229,7 +229,7 @@
 	// Outcome is the attempt's outcome; Unknown leaves the key marked as
 	// running.
 	Outcome outcome.Outcome `json:"outcome"`
-	Answer  *dedup.Answer   `json:"answer,omitempty"`
+	Answer  *dedup.Response `json:"answer,omitempty"`
 }
 
 // Headers of the answer to a pull.
@@ -287,7 +287,7 @@
 
 // SetAvailability sets the headers of an answer that carry the sender's
 // availability.
-func SetKnowledge(h http.Header, a transfer.Knowledge) {
+func SetAvailability(h http.Header, a transfer.Availability) {
 	h.Set(HeaderHeld, EncodeBits(a.Held))
 	h.Set(HeaderExists, EncodeBits(a.Exists))
 }
@@ -295,16 +295,16 @@
 // ParseAvailability parses the headers set by SetAvailability for a version of
 // the given number of chunks. A bitmap that is missing or invalid is nil, and
 // both are if that of HeaderHeld is.
-func KnowledgeOf(h http.Header, chunks int) transfer.Knowledge {
+func ParseAvailability(h http.Header, chunks int) transfer.Availability {
 	held, err := DecodeBits(h.Get(HeaderHeld), chunks)
 	if err != nil {
-		return transfer.Knowledge{}
+		return transfer.Availability{}
 	}
 	exists, err := DecodeBits(h.Get(HeaderExists), chunks)
 	if err != nil {
 		exists = nil
 	}
-	return transfer.Knowledge{Held: held, Exists: exists}
+	return transfer.Availability{Held: held, Exists: exists}
 }
 
 // Refusal is the body of an error response that mintlift generates in place of
@@ -330,7 +330,7 @@
 
 // Authorized reports whether r has the key as its bearer token, or the key is
 // empty.
-func (t Token) Allowed(r *http.Request) bool {
+func (t Token) Authorized(r *http.Request) bool {
 	key := t()
 	return key == "" || r.Header.Get("Authorization") == "Bearer "+key
 }
--- a/process/process.go
+++ b/process/process.go
@@ -174,7 +174,7 @@
 // Guard asks callers for the shared key and marks answers while draining.
 func (p *Process) Guard(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !p.token.Allowed(r) {
+		if !p.token.Authorized(r) {
 			p.Log.Info("peer without the key refused", "from", r.RemoteAddr)
 			http.Error(w, "wrong or missing key", http.StatusUnauthorized)
 			return
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -48,7 +48,7 @@
 	detectionDelay = 30 * time.Millisecond
 	// CrashTTL is how long a crash counts. A request in quarantine may run again
 	// after it, and crashes at most Threshold more endpoints in each CrashTTL.
-	Life = 10 * time.Minute
+	CrashTTL = 10 * time.Minute
 	// TrialAfter is how long after the last crash one process may run a request in
 	// quarantine once, if it was not cleared. An innocent request leaves quarantine
 	// after this time instead of CrashTTL, such as a common one when all endpoints
@@ -65,20 +65,20 @@
 )
 
 // Status is the status of a request.
-type Standing struct {
+type Status struct {
 	// Crashes is the number of endpoint crashes with the request in progress since
 	// it last completed, with correlated ones counted as one.
 	Crashes int
 	// Completed reports that it completed recently in this process.
-	Proven bool
+	Completed bool
 }
 
 // Suspected reports whether an endpoint crashed with the request in progress.
-func (s Standing) Suspected() bool { return s.Crashes > 0 }
+func (s Status) Suspected() bool { return s.Crashes > 0 }
 
 // Quarantined reports whether the request must be sent to no endpoint.
-func (s Standing) Quarantined() bool {
-	if s.Proven {
+func (s Status) Quarantined() bool {
+	if s.Completed {
 		return s.Crashes >= completedThreshold
 	}
 	return s.Crashes >= Threshold
@@ -184,27 +184,27 @@
 func NewRelayed() *Table { return &Table{relayed: true, entries: make(map[ID]*entry)} }
 
 // Status returns the status of a request; it is zero for one without crashes.
-func (t *Table) Standing(id ID, now time.Time) Standing {
+func (t *Table) Status(id ID, now time.Time) Status {
 	if !t.nonEmpty.Load() {
-		return Standing{}
+		return Status{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
 	if e == nil || t.expired(e, now) {
-		return Standing{}
+		return Status{}
 	}
 	return t.status(id, e)
 }
 
 // status returns the status of a request with an entry; Table.mu is held.
-func (t *Table) status(id ID, e *entry) Standing {
-	return Standing{Crashes: e.count(), Proven: t.completed.has(id)}
+func (t *Table) status(id ID, e *entry) Status {
+	return Status{Crashes: e.count(), Completed: t.completed.has(id)}
 }
 
 // RecordCrash records the crash of an endpoint to which the request was sent at
 // sent, and returns the status of the request.
-func (t *Table) Crashed(id ID, sent, now time.Time) Standing {
+func (t *Table) RecordCrash(id ID, sent, now time.Time) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
@@ -257,7 +257,7 @@
 
 // RecordCompletion records that the request got a complete response. It reports
 // whether that cleared any crashes.
-func (t *Table) EndedWell(id ID, now time.Time) bool {
+func (t *Table) RecordCompletion(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.completed.add(id)
@@ -266,19 +266,19 @@
 
 // Remaining returns how long a request in quarantine stays there unless it is
 // cleared, or 0 if the table has no entry for it.
-func (t *Table) Left(id ID, now time.Time) time.Duration {
+func (t *Table) Remaining(id ID, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[id]
 	if e == nil {
 		return 0
 	}
-	return max(0, Life-now.Sub(e.lastCrash()))
+	return max(0, CrashTTL-now.Sub(e.lastCrash()))
 }
 
 // Counts returns the number of suspected requests, and how many of them are in
 // quarantine.
-func (t *Table) Len(now time.Time) (suspected, quarantined int) {
+func (t *Table) Counts(now time.Time) (suspected, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.entries {
@@ -300,7 +300,7 @@
 	if t.relayed {
 		return now.Sub(e.refreshedAt) > relayedTTL
 	}
-	return now.Sub(e.lastCrash()) > Life
+	return now.Sub(e.lastCrash()) > CrashTTL
 }
 
 // lastCrash returns the time of the last crash, or of the last change if there is no
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -27,16 +27,16 @@
 
 func TestThreeCrashesPutARequestInQuarantine(t *testing.T) {
 	table := New()
-	assert.Equal(t, table.Standing(nth(1), at(0)), Standing{})
+	assert.Equal(t, table.Status(nth(1), at(0)), Status{})
 	for n := range Threshold {
-		assert.Assert(t, !table.Standing(nth(1), at(1000*n)).Quarantined())
-		s := table.Crashed(nth(1), at(1000*n), at(1000*n+50))
-		assert.Equal(t, s, Standing{Crashes: n + 1})
+		assert.Assert(t, !table.Status(nth(1), at(1000*n)).Quarantined())
+		s := table.RecordCrash(nth(1), at(1000*n), at(1000*n+50))
+		assert.Equal(t, s, Status{Crashes: n + 1})
 		assert.Assert(t, s.Suspected())
 	}
-	assert.Assert(t, table.Standing(nth(1), at(5000)).Quarantined())
-	assert.Assert(t, !table.Standing(nth(2), at(5000)).Suspected())
-	suspected, quarantined := table.Len(at(5000))
+	assert.Assert(t, table.Status(nth(1), at(5000)).Quarantined())
+	assert.Assert(t, !table.Status(nth(2), at(5000)).Suspected())
+	suspected, quarantined := table.Counts(at(5000))
 	assert.Equal(t, suspected, 1)
 	assert.Equal(t, quarantined, 1)
 }
@@ -44,12 +44,12 @@
 // An innocent request completes at its next endpoint, which must clear its crashes.
 func TestOneCompletionClears(t *testing.T) {
 	table := New()
-	assert.Assert(t, !table.EndedWell(nth(1), at(0)), "no crash to clear")
-	table.Crashed(nth(1), at(0), at(50))
-	table.Crashed(nth(1), at(100), at(150))
-	assert.Assert(t, table.EndedWell(nth(1), at(300)))
-	assert.Assert(t, !table.Standing(nth(1), at(300)).Suspected())
-	assert.Equal(t, table.Crashed(nth(1), at(400), at(450)).Crashes, 1)
+	assert.Assert(t, !table.RecordCompletion(nth(1), at(0)), "no crash to clear")
+	table.RecordCrash(nth(1), at(0), at(50))
+	table.RecordCrash(nth(1), at(100), at(150))
+	assert.Assert(t, table.RecordCompletion(nth(1), at(300)))
+	assert.Assert(t, !table.Status(nth(1), at(300)).Suspected())
+	assert.Equal(t, table.RecordCrash(nth(1), at(400), at(450)).Crashes, 1)
 }
 
 // Simultaneous crashes, as of a rack that loses power, count as one. Crashes of a
@@ -57,60 +57,60 @@
 func TestCrashesAtOneMomentCountOnce(t *testing.T) {
 	table := New()
 	for n := range 2 * maxCrashes {
-		s := table.Crashed(nth(1), at(0), at(500+n))
+		s := table.RecordCrash(nth(1), at(0), at(500+n))
 		assert.Equal(t, s.Crashes, 1)
 	}
-	assert.Equal(t, table.Crashed(nth(1), at(501), at(505)).Crashes, 1, "sent to one of them before its crash was detected")
-	assert.Equal(t, table.Crashed(nth(1), at(600), at(650)).Crashes, 2, "sent after them")
-	assert.Equal(t, table.Crashed(nth(1), at(0), at(900)).Crashes, 3, "long after them")
+	assert.Equal(t, table.RecordCrash(nth(1), at(501), at(505)).Crashes, 1, "sent to one of them before its crash was detected")
+	assert.Equal(t, table.RecordCrash(nth(1), at(600), at(650)).Crashes, 2, "sent after them")
+	assert.Equal(t, table.RecordCrash(nth(1), at(0), at(900)).Crashes, 3, "long after them")
 }
 
 func TestACrashExpires(t *testing.T) {
 	table := New()
 	for n := range Threshold {
-		table.Crashed(nth(1), at(1000*n), at(1000*n+50))
+		table.RecordCrash(nth(1), at(1000*n), at(1000*n+50))
 	}
 	last := at(1000*(Threshold-1) + 50)
-	assert.Assert(t, table.Standing(nth(1), last.Add(Life)).Quarantined())
-	assert.Assert(t, !table.Standing(nth(1), last.Add(Life+1)).Suspected())
-	assert.Equal(t, table.Crashed(nth(1), last.Add(Life), last.Add(Life+time.Second)).Crashes, 1)
+	assert.Assert(t, table.Status(nth(1), last.Add(CrashTTL)).Quarantined())
+	assert.Assert(t, !table.Status(nth(1), last.Add(CrashTTL+1)).Suspected())
+	assert.Equal(t, table.RecordCrash(nth(1), last.Add(CrashTTL), last.Add(CrashTTL+time.Second)).Crashes, 1)
 }
 
 // The table is bounded, and many other requests do not evict one in quarantine.
 func TestTheTableIsBounded(t *testing.T) {
 	table := New()
 	for n := range Threshold {
-		table.Crashed(nth(0), at(1000*n), at(1000*n+50))
+		table.RecordCrash(nth(0), at(1000*n), at(1000*n+50))
 	}
 	for n := range 3 * maxRequests {
-		table.Crashed(nth(1+n), at(5000+n), at(5000+n))
+		table.RecordCrash(nth(1+n), at(5000+n), at(5000+n))
 	}
 	assert.Equal(t, len(table.entries), maxRequests)
-	assert.Assert(t, table.Standing(nth(0), at(9000)).Quarantined())
-	assert.Assert(t, table.Standing(nth(3*maxRequests), at(9000)).Suspected(), "the newest is kept")
-	assert.Assert(t, !table.Standing(nth(1), at(9000)).Suspected(), "the oldest is evicted")
+	assert.Assert(t, table.Status(nth(0), at(9000)).Quarantined())
+	assert.Assert(t, table.Status(nth(3*maxRequests), at(9000)).Suspected(), "the newest is kept")
+	assert.Assert(t, !table.Status(nth(1), at(9000)).Suspected(), "the oldest is evicted")
 }
 
 // A process that only relays evicts entries that no gateway sends any more.
 func TestARelayEvictsEntries(t *testing.T) {
 	gateway, relay := New(), NewRelayed()
-	gateway.Crashed(nth(1), at(0), at(50))
-	assert.Assert(t, relay.Merge(gateway.Tell(at(60)), at(60)))
-	assert.Assert(t, !relay.Merge(gateway.Tell(at(4000)), at(4000)), "unchanged")
-	assert.Equal(t, len(relay.Tell(at(4000).Add(relayedTTL))), 1)
-	assert.Equal(t, len(relay.Tell(at(4001).Add(relayedTTL))), 0)
+	gateway.RecordCrash(nth(1), at(0), at(50))
+	assert.Assert(t, relay.Merge(gateway.Records(at(60)), at(60)))
+	assert.Assert(t, !relay.Merge(gateway.Records(at(4000)), at(4000)), "unchanged")
+	assert.Equal(t, len(relay.Records(at(4000).Add(relayedTTL))), 1)
+	assert.Equal(t, len(relay.Records(at(4001).Add(relayedTTL))), 0)
 }
 
 // A delayed message, such as one to a suspended process, neither duplicates a crash
 // nor makes it later.
 func TestADelayedMessageChangesNothing(t *testing.T) {
 	one, other := New(), New()
-	one.Crashed(nth(1), at(0), at(50))
-	early := one.Tell(at(60))
+	one.RecordCrash(nth(1), at(0), at(50))
+	early := one.Records(at(60))
 	assert.Assert(t, other.Merge(early, at(70)))
 	assert.Assert(t, !other.Merge(early, at(8000)))
-	assert.Assert(t, !one.Merge(other.Tell(at(8000)), at(12000)))
-	assert.Equal(t, one.Standing(nth(1), at(12000)).Crashes, 1)
+	assert.Assert(t, !one.Merge(other.Records(at(8000)), at(12000)))
+	assert.Equal(t, one.Status(nth(1), at(12000)).Crashes, 1)
 	assert.Equal(t, one.entries[nth(1)].crashes[0].at, at(50))
 }
 
@@ -119,15 +119,15 @@
 func TestAClearedRequestStaysCleared(t *testing.T) {
 	one, other := New(), New()
 	for n := range Threshold {
-		one.Crashed(nth(1), at(1000*n), at(1000*n+50))
+		one.RecordCrash(nth(1), at(1000*n), at(1000*n+50))
 	}
-	other.Merge(one.Tell(at(3000)), at(3000))
-	assert.Assert(t, other.Standing(nth(1), at(3000)).Quarantined())
-	other.EndedWell(nth(1), at(3100))
-	other.Merge(one.Tell(at(3200)), at(3200))
-	assert.Assert(t, !other.Standing(nth(1), at(3200)).Suspected())
-	one.Merge(other.Tell(at(3300)), at(3300))
-	assert.Assert(t, !one.Standing(nth(1), at(3300)).Suspected())
+	other.Merge(one.Records(at(3000)), at(3000))
+	assert.Assert(t, other.Status(nth(1), at(3000)).Quarantined())
+	other.RecordCompletion(nth(1), at(3100))
+	other.Merge(one.Records(at(3200)), at(3200))
+	assert.Assert(t, !other.Status(nth(1), at(3200)).Suspected())
+	one.Merge(other.Records(at(3300)), at(3300))
+	assert.Assert(t, !one.Status(nth(1), at(3300)).Suspected())
 }
 
 // For messages that arrive in any order, late, twice or not at all, all processes
@@ -155,16 +155,16 @@
 			switch rapid.SampledFrom([]string{"crash", "crash", "complete", "send", "send", "deliver"}).Draw(t, "event") {
 			case "crash":
 				crashes[request]++
-				tables[process].Crashed(nth(request), at(now-100), at(now))
+				tables[process].RecordCrash(nth(request), at(now-100), at(now))
 			case "complete":
-				if tables[process].EndedWell(nth(request), at(now)) {
+				if tables[process].RecordCompletion(nth(request), at(now)) {
 					crashes[request] = 0
 					for _, other := range tables { // all receive it before the next crash
-						other.Merge(tables[process].Tell(at(now)), at(now))
+						other.Merge(tables[process].Records(at(now)), at(now))
 					}
 				}
 			case "send":
-				inFlight = append(inFlight, message{rapid.IntRange(0, processes-1).Draw(t, "to"), tables[process].Tell(at(now))})
+				inFlight = append(inFlight, message{rapid.IntRange(0, processes-1).Draw(t, "to"), tables[process].Records(at(now))})
 			case "deliver":
 				if len(inFlight) == 0 {
 					continue
@@ -176,16 +176,16 @@
 		for range processes {
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Merge(from.Tell(at(now)), at(now))
+					to.Merge(from.Records(at(now)), at(now))
 				}
 			}
 		}
 		for request := range requests {
 			for _, table := range tables {
-				s := table.Standing(nth(request), at(now))
+				s := table.Status(nth(request), at(now))
 				assert.Assert(t, s.Crashes <= crashes[request])
 				assert.Equal(t, s.Crashes >= Threshold, crashes[request] >= Threshold, "request %d: %d crashes, %v", request, crashes[request], s)
-				assert.Assert(t, s.Proven || s.Quarantined() == (crashes[request] >= Threshold))
+				assert.Assert(t, s.Completed || s.Quarantined() == (crashes[request] >= Threshold))
 			}
 		}
 	})
@@ -196,12 +196,12 @@
 func TestRecordsFitADatagramAndAllAreSent(t *testing.T) {
 	table := New()
 	for n := range maxRequests * maxCrashes {
-		table.Crashed(nth(n%maxRequests), at(n*50), at(n*50+9999))
+		table.RecordCrash(nth(n%maxRequests), at(n*50), at(n*50+9999))
 	}
 	seen := make(map[ID]bool)
 	const datagram = 1300
 	for range maxRequests {
-		records := table.Tell(at(maxRequests * maxCrashes * 50))
+		records := table.Records(at(maxRequests * maxCrashes * 50))
 		assert.Equal(t, len(records), maxRecords)
 		assert.Equal(t, len(records[0].Crashes), maxRecordCrashes)
 		text, err := json.Marshal(records)
@@ -218,12 +218,12 @@
 	for name, n := range map[string]int{"none": 0, "full": maxRequests} {
 		table := New()
 		for n := range n {
-			table.Crashed(nth(n), begin, begin)
+			table.RecordCrash(nth(n), begin, begin)
 		}
 		id := nth(rand.IntN(n + 1))
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				table.Standing(id, begin)
+				table.Status(id, begin)
 			}
 		})
 	}
@@ -234,37 +234,37 @@
 // in quarantine it could not complete and be cleared.
 func TestACommonRequestIsNotQuarantinedWithTheOneToBlame(t *testing.T) {
 	table := New()
-	table.EndedWell(nth(1), at(0))
+	table.RecordCompletion(nth(1), at(0))
 	for n := range 2 * Threshold {
-		table.Crashed(nth(2), at(1000*n), at(1000*n+50))
-		s := table.Crashed(nth(1), at(1000*n), at(1000*n+50))
+		table.RecordCrash(nth(2), at(1000*n), at(1000*n+50))
+		s := table.RecordCrash(nth(1), at(1000*n), at(1000*n+50))
 		assert.Assert(t, !s.Quarantined(), "after %d crashes", n+1)
 		assert.Assert(t, s.Suspected())
 	}
-	assert.Assert(t, table.Standing(nth(2), at(9000)).Quarantined())
+	assert.Assert(t, table.Status(nth(2), at(9000)).Quarantined())
 	other := New()
-	other.Merge(table.Tell(at(9000)), at(9000))
-	assert.Assert(t, other.Standing(nth(1), at(9000)).Quarantined(), "a gateway in which it has not completed")
-	table.EndedWell(nth(1), at(9500))
-	other.Merge(table.Tell(at(9600)), at(9600))
-	assert.Assert(t, !other.Standing(nth(1), at(9600)).Suspected(), "cleared by a completion elsewhere")
+	other.Merge(table.Records(at(9000)), at(9000))
+	assert.Assert(t, other.Status(nth(1), at(9000)).Quarantined(), "a gateway in which it has not completed")
+	table.RecordCompletion(nth(1), at(9500))
+	other.Merge(table.Records(at(9600)), at(9600))
+	assert.Assert(t, !other.Status(nth(1), at(9600)).Suspected(), "cleared by a completion elsewhere")
 }
 
 // A request that completed before is still quarantined, after more crashes. The set of
 // completed requests is bounded.
 func TestACompletedRequestIsQuarantinedAfterMoreCrashes(t *testing.T) {
 	table := New()
-	table.EndedWell(nth(1), at(0))
+	table.RecordCompletion(nth(1), at(0))
 	crashes := 0
-	for !table.Standing(nth(1), at(1000*crashes)).Quarantined() {
+	for !table.Status(nth(1), at(1000*crashes)).Quarantined() {
 		assert.Assert(t, crashes < completedThreshold)
-		table.Crashed(nth(1), at(1000*crashes), at(1000*crashes+50))
+		table.RecordCrash(nth(1), at(1000*crashes), at(1000*crashes+50))
 		crashes++
 	}
 	assert.Equal(t, crashes, completedThreshold)
-	table.EndedWell(nth(2), at(0))
+	table.RecordCompletion(nth(2), at(0))
 	for n := range maxCompleted {
-		table.EndedWell(nth(3+n), at(0))
+		table.RecordCompletion(nth(3+n), at(0))
 	}
 	assert.Assert(t, len(table.completed.ids) <= maxCompleted)
 	assert.Assert(t, !table.completed.has(nth(2)), "the oldest is evicted")
@@ -276,7 +276,7 @@
 	n := 0
 	for b.Loop() {
 		n++
-		table.EndedWell(nth(n), begin)
+		table.RecordCompletion(nth(n), begin)
 	}
 }
 
@@ -285,16 +285,16 @@
 func TestSuspectsAreSentForReportTime(t *testing.T) {
 	table := New()
 	for n := range Threshold {
-		table.Crashed(nth(0), at(1000*n), at(1000*n+50))
+		table.RecordCrash(nth(0), at(1000*n), at(1000*n+50))
 	}
-	table.Crashed(nth(1), at(2000), at(2050))
-	table.Crashed(nth(2), at(2000), at(2050))
-	table.EndedWell(nth(2), at(2100))
-	assert.Equal(t, len(table.Tell(at(2050).Add(reportTime))), 3)
-	later := table.Tell(at(2101).Add(reportTime))
+	table.RecordCrash(nth(1), at(2000), at(2050))
+	table.RecordCrash(nth(2), at(2000), at(2050))
+	table.RecordCompletion(nth(2), at(2100))
+	assert.Equal(t, len(table.Records(at(2050).Add(reportTime))), 3)
+	later := table.Records(at(2101).Add(reportTime))
 	assert.Equal(t, len(later), 1)
 	assert.Equal(t, later[0].ID, nth(0))
-	assert.Assert(t, table.Standing(nth(1), at(2101).Add(reportTime)).Suspected(), "still suspected in this process")
+	assert.Assert(t, table.Status(nth(1), at(2101).Add(reportTime)).Suspected(), "still suspected in this process")
 }
 
 // BenchmarkFullTable measures the memory of a full table and set of completed requests.
@@ -303,10 +303,10 @@
 	for b.Loop() {
 		table := New()
 		for n := range maxCompleted {
-			table.EndedWell(nth(n), begin)
+			table.RecordCompletion(nth(n), begin)
 		}
 		for n := range maxRequests * maxCrashes {
-			table.Crashed(nth(n%maxRequests), at(n*50), at(n*50+9999))
+			table.RecordCrash(nth(n%maxRequests), at(n*50), at(n*50+9999))
 		}
 	}
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -42,7 +42,7 @@
 // Records returns the most urgent records: requests in quarantine first, then by
 // time of the last change. Subsequent calls return the rest in rotation. Expired
 // entries are evicted.
-func (t *Table) Tell(now time.Time) []Record {
+func (t *Table) Records(now time.Time) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.entries) == 0 {
@@ -145,7 +145,7 @@
 	added := false
 	for _, c := range r.Crashes {
 		at := now.Add(-time.Duration(c.AgeMS) * time.Millisecond)
-		if c.AgeMS >= 0 && c.RanMS >= 0 && now.Sub(at) <= Life {
+		if c.AgeMS >= 0 && c.RanMS >= 0 && now.Sub(at) <= CrashTTL {
 			sent := at.Add(-time.Duration(c.RanMS) * time.Millisecond)
 			added = e.add(crash{key: c.Key, sent: sent, at: at}) || added
 		}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -86,7 +86,7 @@
 
 // RequestRefresh causes the box list to be read again soon. It is called when a
 // box that should be in the list is not.
-func (d *Directory) Stale() {
+func (d *Directory) RequestRefresh() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stale = true
@@ -211,7 +211,7 @@
 func (d *Directory) Gateway() (membership.Box, bool) { return d.chooseGateway(time.Now()) }
 
 // ListedPeers returns the listed boxes among ids, without the process's own.
-func (d *Directory) Others(ids []string) []membership.Box {
+func (d *Directory) ListedPeers(ids []string) []membership.Box {
 	boxes, _ := d.Boxes()
 	return slices.DeleteFunc(boxes, func(b membership.Box) bool {
 		return b.ID == d.Self || !slices.Contains(ids, b.ID)
--- a/relay/scale_test.go
+++ b/relay/scale_test.go
@@ -207,7 +207,7 @@
 		boxes = append(boxes, membership.Box{ID: id, Role: membership.Gateway})
 		g := &fakeGateway{replica: state.NewReplica()}
 		c.gatewayByID[id] = g
-		c.follow(ctx, g.replica, state.Only{Source: log}, nil)
+		c.follow(ctx, g.replica, state.SingleSource{Source: log}, nil)
 	}
 	for i := range sidecars {
 		choice := &directoryChoice{d: &Directory{Self: fmt.Sprintf("box-%d", i)}, sources: c.gatewayByID, log: log}
