--- a/retrybudget/retrybudget.go
+++ b/retrybudget/retrybudget.go
@@ -47,7 +47,7 @@
 }
 
 // SetGateways sets the number of gateways by which the slack is divided.
-func (b *Budget) Share(gateways int) { b.params.Gateways = gateways }
+func (b *Budget) SetGateways(gateways int) { b.params.Gateways = gateways }
 
 // share returns this gateway's share of the slack, which is the capacity of the
 // bucket.
@@ -66,7 +66,7 @@
 }
 
 // AddRequest counts the first attempt of a request.
-func (b *Budget) Request(now time.Time) {
+func (b *Budget) AddRequest(now time.Time) {
 	b.refill(now)
 	b.tokens += ratioMargin * b.params.Ratio
 }
--- a/retrybudget/retrybudget_test.go
+++ b/retrybudget/retrybudget_test.go
@@ -29,7 +29,7 @@
 					gateways[i] = New(p, now)
 				}
 				for range rapid.IntRange(0, 20).Draw(t, "requests") {
-					gateways[i].Request(now)
+					gateways[i].AddRequest(now)
 					s.requests++
 				}
 				for range rapid.IntRange(0, 40).Draw(t, "wanted") {
--- a/route/limit.go
+++ b/route/limit.go
@@ -16,7 +16,7 @@
 
 // Acquire counts a request of the workspace, or returns false if the workspace
 // already has max in progress. A max of 0 is no bound.
-func (l *Limits) Enter(workspace string, max int) bool {
+func (l *Limits) Acquire(workspace string, max int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if max > 0 && l.inProgress[workspace] >= max {
@@ -30,7 +30,7 @@
 }
 
 // Release ends a request that Acquire counted.
-func (l *Limits) Leave(workspace string) {
+func (l *Limits) Release(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inProgress[workspace]--
--- a/route/route.go
+++ b/route/route.go
@@ -93,7 +93,7 @@
 }
 
 // Criteria are the requirements of a request on its endpoint.
-type Want struct {
+type Criteria struct {
 	// Service is the name of a plain service; empty for model engines, which must
 	// serve Version.
 	Version weights.Ref
@@ -103,12 +103,12 @@
 	// Prefix is the start of the prompt, or empty for no preference.
 	Prefix string
 	// Exclude holds the boxes that have been tried already.
-	Not []string
+	Exclude []string
 }
 
 // Choose returns an endpoint for a request and counts the request there until Done.
 // It returns false if no endpoint matches.
-func (t *Table) Choose(c Want, now time.Time) (Endpoint, bool) {
+func (t *Table) Choose(c Criteria, now time.Time) (Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	candidates := t.eligible(c, now)
@@ -134,7 +134,7 @@
 }
 
 // Available returns the number of endpoints that match c.
-func (t *Table) Available(c Want, now time.Time) int {
+func (t *Table) Available(c Criteria, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.eligible(c, now))
@@ -142,7 +142,7 @@
 
 // eligible returns the endpoints that match c and are not closed, ordered by box.
 // Ejected ones are only returned if there are no others. The caller holds t.mu.
-func (t *Table) eligible(c Want, now time.Time) []*endpoint {
+func (t *Table) eligible(c Criteria, now time.Time) []*endpoint {
 	var candidates, lastResort []*endpoint
 	for _, e := range t.byBox {
 		switch {
@@ -161,8 +161,8 @@
 }
 
 // matches reports whether the endpoint is usable and meets c.
-func (e *endpoint) matches(c Want) bool {
-	if !e.Usable || e.Service != c.Service || slices.Contains(c.Not, e.Box) {
+func (e *endpoint) matches(c Criteria) bool {
+	if !e.Usable || e.Service != c.Service || slices.Contains(c.Exclude, e.Box) {
 		return false
 	}
 	return c.Service != "" || slices.Contains(e.Serving, c.Version)
@@ -170,7 +170,7 @@
 
 // pick returns the endpoint that the prefix maps to, unless that is overloaded, or
 // else the less loaded of two random candidates.
-func pick(candidates []*endpoint, c Want) *endpoint {
+func pick(candidates []*endpoint, c Criteria) *endpoint {
 	if c.Prefix != "" {
 		if e := preferred(candidates, c.Prefix); e.inFlight <= meanInFlight(candidates)+affinitySlack && !e.full() {
 			return e
@@ -237,7 +237,7 @@
 }
 
 // MarkDraining marks an endpoint as taking no new requests, until the next Update.
-func (t *Table) Draining(box string) {
+func (t *Table) MarkDraining(box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e, ok := t.byBox[box]; ok {
@@ -247,7 +247,7 @@
 
 // CloseUntil excludes an endpoint until a time, as signalled by the endpoint. It
 // never shortens an earlier exclusion.
-func (t *Table) Close(box string, until time.Time) {
+func (t *Table) CloseUntil(box string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e, ok := t.byBox[box]; ok && until.After(e.closedUntil) {
@@ -256,7 +256,7 @@
 }
 
 // SetServing sets the versions that an endpoint serves, until the next Update.
-func (t *Table) Serving(box string, refs []weights.Ref) {
+func (t *Table) SetServing(box string, refs []weights.Ref) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e, ok := t.byBox[box]; ok {
@@ -294,14 +294,14 @@
 )
 
 // AddRequest adds the share of one request to the budget.
-func (b *Budget) Request() {
+func (b *Budget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(b.spent-BudgetShare, 0)
 }
 
 // TakeRetry takes one retry from the budget, or returns false if none is left.
-func (b *Budget) Retry() bool {
+func (b *Budget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent+1 > BudgetBurst {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -32,12 +32,12 @@
 
 func TestChooseMatchesOnly(t *testing.T) {
 	tb := table(3, v1)
-	_, ok := tb.Choose(Want{Version: v2}, epoch)
+	_, ok := tb.Choose(Criteria{Version: v2}, epoch)
 	assert.Assert(t, !ok, "an endpoint of another version was chosen")
-	tb.Draining("b0")
+	tb.MarkDraining("b0")
 	seen := map[string]bool{}
 	for range 100 {
-		e, ok := tb.Choose(Want{Version: v1, Not: []string{"b1"}}, epoch)
+		e, ok := tb.Choose(Criteria{Version: v1, Exclude: []string{"b1"}}, epoch)
 		assert.Assert(t, ok)
 		seen[e.Box] = true
 	}
@@ -51,18 +51,18 @@
 		tb.Done("b0", false, epoch)
 	}
 	for range 50 {
-		e, _ := tb.Choose(Want{Version: v1}, epoch)
+		e, _ := tb.Choose(Criteria{Version: v1}, epoch)
 		assert.Equal(t, e.Box, "b1")
 		tb.Done(e.Box, true, epoch)
 	}
 	seen := map[string]bool{}
 	for range 100 {
-		e, _ := tb.Choose(Want{Version: v1}, epoch.Add(2*ejectMin))
+		e, _ := tb.Choose(Criteria{Version: v1}, epoch.Add(2*ejectMin))
 		seen[e.Box] = true
 		tb.Done(e.Box, true, epoch)
 	}
 	assert.Equal(t, len(seen), 2, "an endpoint must be used again after its ejection")
-	e, ok := tb.Choose(Want{Version: v1, Not: []string{"b1"}}, epoch)
+	e, ok := tb.Choose(Criteria{Version: v1, Exclude: []string{"b1"}}, epoch)
 	assert.Assert(t, ok && e.Box == "b0", "an ejected endpoint must be used if there is no other")
 }
 
@@ -71,7 +71,7 @@
 	tb := table(8, v1)
 	count := map[string]int{}
 	for range 80 {
-		e, _ := tb.Choose(Want{Version: v1, Prefix: "the same start"}, epoch)
+		e, _ := tb.Choose(Criteria{Version: v1, Prefix: "the same start"}, epoch)
 		count[e.Box]++
 	}
 	most := slices.Max([]int{count["b0"], count["b1"], count["b2"], count["b3"], count["b4"], count["b5"], count["b6"], count["b7"]})
@@ -83,9 +83,9 @@
 	var b Budget
 	retries := 0
 	for range 1000 {
-		b.Request()
+		b.AddRequest()
 		for range 3 {
-			if b.Retry() {
+			if b.TakeRetry() {
 				retries++
 			}
 		}
@@ -96,12 +96,12 @@
 
 func TestLimits(t *testing.T) {
 	var l Limits
-	assert.Assert(t, l.Enter("a", 2))
-	assert.Assert(t, l.Enter("a", 2))
-	assert.Assert(t, !l.Enter("a", 2))
-	assert.Assert(t, l.Enter("b", 2), "another workspace must not be limited")
-	l.Leave("a")
-	assert.Assert(t, l.Enter("a", 2))
+	assert.Assert(t, l.Acquire("a", 2))
+	assert.Assert(t, l.Acquire("a", 2))
+	assert.Assert(t, !l.Acquire("a", 2))
+	assert.Assert(t, l.Acquire("b", 2), "another workspace must not be limited")
+	l.Release("a")
+	assert.Assert(t, l.Acquire("a", 2))
 }
 
 // Each endpoint of a large group must be used by several gateways, and each gateway
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -103,10 +103,10 @@
 	// Stride is how many steps an engine runs between two checks of its queue.
 	Stride int
 	// PrefillRate is the speed of reading prompts, in tokens a second.
-	ReadRate float64
+	PrefillRate float64
 	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of a prompt and of
 	// its answer.
-	UsualPrompt, UsualAnswer int
+	MeanPromptTokens, MeanAnswerTokens int
 }
 
 // Service is a group of endpoints, or the origin server of weights.
--- a/routing/weights.go
+++ b/routing/weights.go
@@ -10,7 +10,7 @@
 
 // WeightsConfig describes how the weights of a service's model are obtained. It is
 // the only part of a configuration that sidecars need.
-type Weights struct {
+type WeightsConfig struct {
 	// Version is the version of the configuration.
 	Version int64  `json:"config"`
 	Model   string `json:"model"`
@@ -28,12 +28,12 @@
 
 // Weights returns the WeightsConfig of a service, or false if its configuration has no
 // weights.
-func (c *Configuration) Weights(service string) (Weights, bool) {
+func (c *Configuration) Weights(service string) (WeightsConfig, bool) {
 	s := c.Services[service]
 	if s == nil || s.Engine == nil || s.Engine.Chunks == 0 {
-		return Weights{}, false
+		return WeightsConfig{}, false
 	}
-	out := Weights{
+	out := WeightsConfig{
 		Version:    c.Version,
 		Model:      s.Engine.Model,
 		Layers:     s.Engine.Layers,
@@ -51,7 +51,7 @@
 // Checksum returns a checksum of all fields but Version, which shows a gateway whether
 // a sidecar has the same values. It is never 0. It covers the names and the order of the
 // fields, which therefore must not change while releases are mixed.
-func (w Weights) Sum() uint32 {
+func (w WeightsConfig) Checksum() uint32 {
 	w.Version = 0
 	return uint32(xxhash.Sum64String(fmt.Sprintf("%+v", w))) | 1
 }
--- a/sidecar/claims.go
+++ b/sidecar/claims.go
@@ -32,13 +32,13 @@
 }
 
 // claimKey grants the key to the attempt, or returns why the attempt must not run.
-func (d *Daemon) claimKey(claim peer.Claim, now time.Time) peer.Claimed {
+func (d *Daemon) claimKey(claim peer.Claim, now time.Time) peer.ClaimResult {
 	key := scopedKey(claim.Workspace, claim.Key)
 	if e, ok := d.keys.Lookup(key, now); ok && e.Status != dedup.Refused && e.Attempt != claim.Request {
 		return claimedFromEntry(e)
 	}
 	if d.Requests.Draining() || d.replaced() {
-		return peer.Claimed{Reason: peer.ReasonDraining, Outcome: outcome.Unknown, Message: "the key's home is leaving", RetryMS: busyRetryAfter.Milliseconds()}
+		return peer.ClaimResult{Reason: peer.ReasonDraining, Outcome: outcome.Unknown, Message: "the key's home is leaving", RetryMS: busyRetryAfter.Milliseconds()}
 	}
 	if denied := d.admitKey(claim.Key, now); denied != nil {
 		return *denied
@@ -47,18 +47,18 @@
 	if e.Status != dedup.New {
 		return claimedFromEntry(e)
 	}
-	return peer.Claimed{Granted: true}
+	return peer.ClaimResult{Granted: true}
 }
 
 // admitKey applies dedup.Admit to a key that the table does not hold. It returns nil
 // if the key may run. The outcome of a denial is Unknown, since an earlier attempt
 // may have run elsewhere.
-func (d *Daemon) admitKey(key string, now time.Time) *peer.Claimed {
+func (d *Daemon) admitKey(key string, now time.Time) *peer.ClaimResult {
 	verdict := dedup.Run
 	self := dedup.Self{Box: d.settings.Node.Box, Incarnation: d.Incarnation, Service: d.settings.Service}
 	contact := d.lastContact(now)
 	d.Replica.View(func(s *state.State) { verdict = dedup.Admit(key, self, s, contact, now) })
-	denied := &peer.Claimed{Reason: peer.ReasonUnknown, Outcome: outcome.Unknown}
+	denied := &peer.ClaimResult{Reason: peer.ReasonUnknown, Outcome: outcome.Unknown}
 	switch verdict {
 	case dedup.Run:
 		return nil
@@ -108,8 +108,8 @@
 
 // claimedFromEntry returns the response to a claim that Table.Begin or Lookup did not
 // grant.
-func claimedFromEntry(e dedup.Entry) peer.Claimed {
-	claimed := peer.Claimed{Reason: peer.ReasonSeen, Answer: e.Response}
+func claimedFromEntry(e dedup.Entry) peer.ClaimResult {
+	claimed := peer.ClaimResult{Reason: peer.ReasonSeen, Answer: e.Response}
 	switch {
 	case e.Status == dedup.Done && e.Failed:
 		claimed.Outcome, claimed.Message = outcome.Failed, "the request ran before and failed"
--- a/sidecar/copies.go
+++ b/sidecar/copies.go
@@ -67,26 +67,26 @@
 
 // report returns the copies, the versions that the engine has loaded and the engine's
 // memory in bytes, for peer.Status.
-func (c *copies) report() (held []peer.Copy, loaded []peer.Loaded, memoryBytes int64) {
+func (c *copies) report() (held []peer.CopyStatus, loaded []peer.LoadedVersion, memoryBytes int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, j := range c.jobs {
 		r := j.report()
 		held = append(held, r)
 		if size := j.loadedBytes(); size > 0 {
-			loaded = append(loaded, peer.Loaded{Ref: j.ref, Bytes: size})
+			loaded = append(loaded, peer.LoadedVersion{Ref: j.ref, Bytes: size})
 		}
 	}
-	slices.SortFunc(held, func(a, b peer.Copy) int { return cmp.Compare(a.String(), b.String()) })
-	slices.SortFunc(loaded, func(a, b peer.Loaded) int { return cmp.Compare(a.String(), b.String()) })
+	slices.SortFunc(held, func(a, b peer.CopyStatus) int { return cmp.Compare(a.String(), b.String()) })
+	slices.SortFunc(loaded, func(a, b peer.LoadedVersion) int { return cmp.Compare(a.String(), b.String()) })
 	return held, loaded, c.memoryBytes
 }
 
 // report returns the job's copy for peer.Status.
-func (j *job) report() peer.Copy {
+func (j *job) report() peer.CopyStatus {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r := peer.Copy{
+	r := peer.CopyStatus{
 		Ref:         j.ref,
 		State:       weights.Absent,
 		OriginBytes: j.originBytes.Load(),
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -41,7 +41,7 @@
 	params := transfer.Params{
 		Chunks:        len(manifest.Chunks),
 		OriginRegions: plan.OriginRegions(),
-		ChunkTurn:     defaultChunkTime,
+		ChunkInterval: defaultChunkTime,
 		ExtraOrigin:   transfer.ExtraOrigin(len(manifest.Chunks), len(plan.Steps), plan.ExtraCopies),
 	}
 	for _, s := range plan.Steps {
@@ -49,13 +49,13 @@
 	}
 	links := d.settings.Links
 	if links.Origin > 0 {
-		params.ChunkTurn = time.Duration(float64(manifest.ChunkBytes) / links.Origin * float64(time.Second))
+		params.ChunkInterval = time.Duration(float64(manifest.ChunkBytes) / links.Origin * float64(time.Second))
 	}
-	minDuration := time.Duration(len(manifest.Chunks)) * params.ChunkTurn
+	minDuration := time.Duration(len(manifest.Chunks)) * params.ChunkInterval
 	if links.Box > 0 {
 		minDuration = max(minDuration, time.Duration(float64(manifest.Bytes)/links.Box*float64(time.Second)))
 	}
-	params.TakeOver = transfer.TakeOver(minDuration)
+	params.TakeOverDelay = transfer.TakeOverDelay(minDuration)
 	box := d.settings.Node.Box
 	swarm := transfer.NewSwarm(params, transfer.NewOrder(params), box, c.Held(), time.Now())
 	return swarm, transfer.NewPicker(len(manifest.Chunks), xxhash.Sum64String(box))
@@ -72,7 +72,7 @@
 			return nil
 		}
 		p := j.swarm.Next(time.Now())
-		has := j.swarm.Wants()
+		has := j.swarm.HeldOrInFlight()
 		j.mu.Unlock()
 		if p.Kind != transfer.None {
 			go func() {
@@ -104,7 +104,7 @@
 	case err == nil:
 		j.swarm.Arrived(p, availability, now.Sub(start), now)
 	case errors.Is(err, errNoUsefulChunk):
-		j.swarm.Nothing(p, availability, now)
+		j.swarm.NothingUseful(p, availability, now)
 	case errors.Is(err, errDuplicateChunk):
 		j.swarm.Drop(p)
 	case errors.Is(err, errSenderBusy):
@@ -112,7 +112,7 @@
 	case errors.Is(err, errStalled):
 		j.swarm.Stalled(p, now)
 	default:
-		j.swarm.Bad(p, now)
+		j.swarm.InvalidChunk(p, now)
 	}
 	if err != nil && ctx.Err() == nil {
 		d.Log.V(1).Info("transfer: pull ended without a chunk", "version", j.ref.String(), "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
@@ -122,21 +122,21 @@
 // transferChunk sends the pull and streams the chunk of the response into staging. It
 // sets p.Chunk to the chunk that a peer chose. The availability is the zero value if
 // the sender did not respond or refused.
-func (d *Daemon) transferChunk(ctx context.Context, j *job, p *transfer.Pull, has *bitset.BitSet) (transfer.Knowledge, error) {
+func (d *Daemon) transferChunk(ctx context.Context, j *job, p *transfer.Pull, has *bitset.BitSet) (transfer.Availability, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	j.mu.Lock()
-	limit := j.swarm.StallLimit()
+	limit := j.swarm.StallTimeout()
 	j.mu.Unlock()
 	stallWatchdog := newWatchdog(limit, func() { cancel(errStalled) })
 	defer stallWatchdog.stop()
 
 	resp, err := d.sendPull(ctx, j, *p, has)
 	if err != nil {
-		return transfer.Knowledge{}, stallErrorOr(ctx, err)
+		return transfer.Availability{}, stallErrorOr(ctx, err)
 	}
 	defer resp.Body.Close()
-	availability := peer.KnowledgeOf(resp.Header, len(j.copy.Manifest().Chunks))
+	availability := peer.ParseAvailability(resp.Header, len(j.copy.Manifest().Chunks))
 	chunk := p.Chunk
 	if p.Kind == transfer.FromPeer {
 		if resp.StatusCode == http.StatusNoContent {
@@ -199,7 +199,7 @@
 	}
 	address, ok := d.peerAddress(p.Peer)
 	if !ok {
-		d.Directory.Stale()
+		d.Directory.RequestRefresh()
 		return nil, nil, errors.WithType(errors.Errorf("box %s is not in the box list", p.Peer), errSenderBusy)
 	}
 	body, err := json.Marshal(peer.PullRequest{Box: d.settings.Node.Box, Priority: j.currentPlan().Priority, Chunk: p.Chunk, Has: peer.EncodeBits(has)})
@@ -252,7 +252,7 @@
 	switch p.Kind {
 	case transfer.FromOrigin:
 		return "origin"
-	case transfer.FromFar:
+	case transfer.FromRemoteRegion:
 		return "other_region"
 	default:
 		return "peer"
@@ -265,7 +265,7 @@
 	switch p.Kind {
 	case transfer.FromOrigin:
 		j.originBytes.Add(n)
-	case transfer.FromFar:
+	case transfer.FromRemoteRegion:
 		j.crossRegionBytes.Add(n)
 		j.peerBytes.Add(n)
 	default:
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -99,7 +99,7 @@
 func (d *Daemon) replaced() bool {
 	removed := false
 	d.Replica.View(func(s *state.State) {
-		for _, c := range s.Changes {
+		for _, c := range s.HomeChanges {
 			for _, h := range c.Removed {
 				if h.Box == d.settings.Node.Box && h.Incarnation == d.Incarnation {
 					removed = true
--- a/sidecar/pulls.go
+++ b/sidecar/pulls.go
@@ -45,7 +45,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	peer.SetKnowledge(w.Header(), availability)
+	peer.SetAvailability(w.Header(), availability)
 	if chunk < 0 {
 		w.WriteHeader(http.StatusNoContent)
 		return
@@ -55,10 +55,10 @@
 
 // pickChunk returns the chunk to send for a pull, or -1, and the availability for the
 // response. The error means that the request's bitmap is invalid.
-func (j *job) pickChunk(req peer.PullRequest) (int, transfer.Knowledge, error) {
+func (j *job) pickChunk(req peer.PullRequest) (int, transfer.Availability, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	availability := j.swarm.Knows()
+	availability := j.swarm.Availability()
 	has, err := peer.DecodeBits(req.Has, len(j.copy.Manifest().Chunks))
 	if err != nil {
 		return -1, availability, err
--- a/sidecar/signals.go
+++ b/sidecar/signals.go
@@ -38,8 +38,8 @@
 // reset discards the signals of the previous incarnation of the endpoint. The caller
 // holds mu, or no other goroutine has access yet.
 func (s *endpointState) reset() {
-	s.state = backpressure.NewTable().Of("endpoint", 0)
-	s.state.Alone(clock.Now()) // no permit allocator: this sidecar is the only sender
+	s.state = backpressure.NewTable().State("endpoint", 0)
+	s.state.SetNoAllocator(clock.Now()) // no permit allocator: this sidecar is the only sender
 }
 
 // draining reports whether the endpoint drains and no probe is due yet.
@@ -59,7 +59,7 @@
 		}
 		s.drainedAt = now
 	}
-	if allowedAt := s.state.From(now); allowedAt.After(now) {
+	if allowedAt := s.state.AvailableAt(now); allowedAt.After(now) {
 		refused := newRefusal(http.StatusTooManyRequests, peer.ReasonClosed, "the endpoint takes no more requests now")
 		refused.retryAfter = allowedAt.Sub(now)
 		return refused
--- a/sidecar/steps.go
+++ b/sidecar/steps.go
@@ -92,7 +92,7 @@
 	if m, raw := try(d.Platform, d.Platform.URL(d.settings.Platform.WeightStore, "/store/"+ref.Model+"/"+ref.Version+"/manifest")); m != nil {
 		return m, raw, nil
 	}
-	for _, b := range d.Directory.Others(p.Boxes()) {
+	for _, b := range d.Directory.ListedPeers(p.Boxes()) {
 		if m, raw := try(d.Peers, d.Peers.URL(b.Address, peer.ManifestPath(ref))); m != nil {
 			return m, raw, nil
 		}
--- a/state/era_test.go
+++ b/state/era_test.go
@@ -38,7 +38,7 @@
 			}
 			client := &eventlog.Client{Call: call.New("test", call.Options{}), Address: strings.TrimPrefix(server.URL, "http://")}
 			newFollower := func() *Follower {
-				return &Follower{Replica: NewReplica(), Sources: Only{client}, Log: client, Logger: logr.Discard()}
+				return &Follower{Replica: NewReplica(), Sources: SingleSource{client}, Log: client, Logger: logr.Discard()}
 			}
 			f := newFollower()
 			assert.NilError(t, f.readOnce(context.Background(), client))
--- a/state/follower.go
+++ b/state/follower.go
@@ -30,13 +30,13 @@
 }
 
 // SingleSource is a Sources that always returns the same Source.
-type Only struct{ Source Source }
+type SingleSource struct{ Source Source }
 
 // Next implements Sources.
-func (o Only) Next() Source { return o.Source }
+func (o SingleSource) Next() Source { return o.Source }
 
 // Failed implements Sources.
-func (o Only) Failed(Source) {}
+func (o SingleSource) Failed(Source) {}
 
 const (
 	// longPollWait is how long a read waits for a record before the log responds
--- a/state/record.go
+++ b/state/record.go
@@ -86,7 +86,7 @@
 
 // HomeChange is one change to the set of homes among which a service's idempotency
 // keys are distributed.
-type Change struct {
+type HomeChange struct {
 	// Service is empty for model engines.
 	Service string `json:"service"`
 	// At is the time of the record that made the change, in Unix milliseconds,
--- a/state/state.go
+++ b/state/state.go
@@ -48,7 +48,7 @@
 	// Homes holds the homes by box.
 	Homes map[string]Home `json:"homes"`
 	// HomeChanges lists the changes of homes within changeRetention, oldest first.
-	Changes []Change `json:"changes"`
+	HomeChanges []HomeChange `json:"changes"`
 	// RecentIDs lists the ids of the last applied records, oldest first, at most
 	// maxRecentIDs.
 	RecentIDs []string `json:"ids"`
@@ -357,10 +357,10 @@
 // changeHomes adds and removes homes and records the change of each service. It is
 // idempotent, since several gateways may write the same change.
 func (s *State) changeHomes(r eventlog.Record, b HomesChanged) {
-	changes := make(map[string]*Change)
-	changeOf := func(service string) *Change {
+	changes := make(map[string]*HomeChange)
+	changeOf := func(service string) *HomeChange {
 		if changes[service] == nil {
-			changes[service] = &Change{Service: service, At: r.At, Offset: r.Offset, First: s.noRecentHomes(service)}
+			changes[service] = &HomeChange{Service: service, At: r.At, Offset: r.Offset, First: s.noRecentHomes(service)}
 		}
 		return changes[service]
 	}
@@ -385,7 +385,7 @@
 		c.Added = append(c.Added, h)
 	}
 	for _, service := range slices.Sorted(maps.Keys(changes)) {
-		s.Changes = append(s.Changes, *changes[service])
+		s.HomeChanges = append(s.HomeChanges, *changes[service])
 	}
 	s.pruneChanges(r.At)
 }
@@ -393,13 +393,13 @@
 // noRecentHomes reports whether the service has no home and has had none within
 // changeRetention, so that no home can hold records of its keys.
 func (s *State) noRecentHomes(service string) bool {
-	return len(s.HomesOf(service)) == 0 && !slices.ContainsFunc(s.Changes, func(c Change) bool { return c.Service == service })
+	return len(s.HomesOf(service)) == 0 && !slices.ContainsFunc(s.HomeChanges, func(c HomeChange) bool { return c.Service == service })
 }
 
 // pruneChanges removes changes older than changeRetention at now, which is the time of
 // a record in Unix milliseconds: the local clock would make replicas differ.
 func (s *State) pruneChanges(now int64) {
-	s.Changes = slices.DeleteFunc(slices.Clone(s.Changes), func(c Change) bool {
+	s.HomeChanges = slices.DeleteFunc(slices.Clone(s.HomeChanges), func(c HomeChange) bool {
 		return now-c.At > changeRetention.Milliseconds()
 	})
 }
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -92,7 +92,7 @@
 	// SetEndpoints replaces the list.
 	SetEndpoints(records []fleet.Record)
 	// ConfirmList records that the list is complete as of a time.
-	Listed(now time.Time)
+	ConfirmList(now time.Time)
 }
 
 var _ Target = (*ingress.Server)(nil)
@@ -121,7 +121,7 @@
 // Poll makes one long poll for the list at the reader gateways, for as long as the
 // age of the list allows. It returns false if this gateway must read the store
 // itself.
-func (f *Follower) Follow(ctx context.Context) bool {
+func (f *Follower) Poll(ctx context.Context) bool {
 	if f.state == "" {
 		f.confirmed = clock.Now() // there is no list yet that could be stale
 	}
@@ -141,7 +141,7 @@
 // that does not answer or its list is stale or of an earlier era.
 func (f *Follower) fetch(ctx context.Context, ip string, wait time.Duration) bool {
 	var got listResponse
-	if !f.readers.fetch(ctx, ip, pathList, url.Values{"had": {f.state}}, wait, f.budget.Relay(), &got) {
+	if !f.readers.fetch(ctx, ip, pathList, url.Values{"had": {f.state}}, wait, f.budget.RelayTimeout(), &got) {
 		return false
 	}
 	age := time.Duration(got.AgeMS) * time.Millisecond
@@ -159,7 +159,7 @@
 		f.target.SetEndpoints(got.Records)
 	}
 	f.confirmed = clock.Now().Add(-age)
-	f.target.Listed(f.confirmed)
+	f.target.ConfirmList(f.confirmed)
 	if f.source != ip {
 		f.log.Info("endpoint list received from gateway", "gateway", ip, "age_ms", got.AgeMS)
 	}
--- a/storerelay/list.go
+++ b/storerelay/list.go
@@ -66,7 +66,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		writeJSON(w, Of(list.Records, r.URL.Query().Get("service")))
+		writeJSON(w, EndpointsOf(list.Records, r.URL.Query().Get("service")))
 	})
 	mux.HandleFunc("GET "+pathList, func(w http.ResponseWriter, r *http.Request) { serveList(w, r, source) })
 	mux.HandleFunc("GET "+pathRecords, func(w http.ResponseWriter, r *http.Request) { serveRecords(w, r, operator) })
@@ -74,7 +74,7 @@
 }
 
 // EndpointsOf returns the endpoints of a service.
-func Of(records []fleet.Record, service string) []Endpoint {
+func EndpointsOf(records []fleet.Record, service string) []Endpoint {
 	out := []Endpoint{}
 	for _, r := range records {
 		if r.Service == service {
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -36,7 +36,7 @@
 	server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 	if records != nil {
 		server.SetEndpoints(records)
-		server.Listed(time.Now())
+		server.ConfirmList(time.Now())
 	}
 	s := httptest.NewServer(Handler(server, &fakeRecordSource{}))
 	t.Cleanup(s.Close)
@@ -99,7 +99,7 @@
 	return era == l.era
 }
 
-func (l *fakeTarget) Listed(now time.Time) {
+func (l *fakeTarget) ConfirmList(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.confirmed = now
@@ -123,9 +123,9 @@
 	leader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
-	assert.Assert(t, !f.Follow(context.Background()), "no reader is known")
-	readers.Heard([]string{"leader"}, time.Now())
-	assert.Assert(t, f.Follow(context.Background()))
+	assert.Assert(t, !f.Poll(context.Background()), "no reader is known")
+	readers.Add([]string{"leader"}, time.Now())
+	assert.Assert(t, f.Poll(context.Background()))
 	assert.DeepEqual(t, list.last(), map[string]bool{"a": false, "b": true, "c": false})
 	changed := make(chan time.Time, 1)
 	go func() {
@@ -135,12 +135,12 @@
 		leader.PutEndpoint(draining)
 		changed <- time.Now()
 	}()
-	assert.Assert(t, f.Follow(context.Background()))
+	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(<-changed) < prompt)
 	assert.Equal(t, list.last()["a"], true)
-	leader.Listed(time.Now())
+	leader.ConfirmList(time.Now())
 	began := time.Now()
-	assert.Assert(t, f.Follow(context.Background()))
+	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(began) >= prompt, "it waits for a change")
 	assert.Equal(t, len(list.lists), 2)
 }
@@ -151,20 +151,20 @@
 	leader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
-	readers.Heard([]string{"leader"}, time.Now())
-	leader.Listed(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
-	assert.Assert(t, f.Follow(context.Background()))
+	readers.Add([]string{"leader"}, time.Now())
+	leader.ConfirmList(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
+	assert.Assert(t, f.Poll(context.Background()))
 	began := time.Now()
-	for f.Follow(context.Background()) { // a response may arrive within the last millisecond
+	for f.Poll(context.Background()) { // a response may arrive within the last millisecond
 		assert.Assert(t, time.Since(began) < prompt)
 	}
 	assert.Assert(t, time.Since(began) < prompt, "it returns when the list is stale")
-	assert.Assert(t, !f.Follow(context.Background()), "it is backed off from")
+	assert.Assert(t, !f.Poll(context.Background()), "it is backed off from")
 
 	_, empty := startGateway(t, nil)
 	readers, f = newTestFollower(empty, &list)
-	readers.Heard([]string{"leader"}, time.Now())
-	assert.Assert(t, !f.Follow(context.Background()), "it has no list")
+	readers.Add([]string{"leader"}, time.Now())
+	assert.Assert(t, !f.Poll(context.Background()), "it has no list")
 }
 
 // A gateway among the region's first reads the store itself; reports of sidecars
@@ -175,9 +175,9 @@
 	reading := 0
 	for _, own := range all {
 		r := NewReaders(own, nil, logr.Discard())
-		r.Heard([]string{all[2], all[4]}, now)
-		r.Heard([]string{all[0], all[1]}, now)
-		r.Heard([]string{all[3]}, now)
+		r.Add([]string{all[2], all[4]}, now)
+		r.Add([]string{all[0], all[1]}, now)
+		r.Add([]string{all[3]}, now)
 		if r.candidates(now) == nil {
 			reading++
 		}
@@ -195,12 +195,12 @@
 	at := address
 	readers := NewReaders("self", func(string) string { return at }, logr.Discard())
 	f := NewFollower(readers, &list, budget, logr.Discard())
-	readers.Heard([]string{"one", "two"}, time.Now())
-	leader.Listed(time.Now())
+	readers.Add([]string{"one", "two"}, time.Now())
+	leader.ConfirmList(time.Now())
 	confirmed := time.Now()
-	assert.Assert(t, f.Follow(context.Background()))
+	assert.Assert(t, f.Poll(context.Background()))
 	at = unresponsive
-	assert.Assert(t, !f.Follow(context.Background()))
+	assert.Assert(t, !f.Poll(context.Background()))
 	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter()+100*time.Millisecond, "gave up after %s", time.Since(confirmed))
 }
 
@@ -219,13 +219,13 @@
 		return address
 	}, logr.Discard())
 	f := NewFollower(readers, &list, budget, logr.Discard())
-	readers.Heard([]string{"one", "two"}, time.Now())
-	leader.Listed(time.Now())
+	readers.Add([]string{"one", "two"}, time.Now())
+	leader.ConfirmList(time.Now())
 	confirmed := time.Now()
-	assert.Assert(t, f.Follow(context.Background()))
+	assert.Assert(t, f.Poll(context.Background()))
 	down = true
-	time.AfterFunc(time.Second, func() { leader.Listed(time.Now()) })
-	assert.Assert(t, f.Follow(context.Background()))
+	time.AfterFunc(time.Second, func() { leader.ConfirmList(time.Now()) })
+	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter(), "%s", time.Since(confirmed))
 }
 
@@ -251,13 +251,13 @@
 func TestListAgeIncludesSuspension(t *testing.T) {
 	server, address := startGateway(t, records)
 	readers := NewReaders("127.0.0.9", func(string) string { return address }, logr.Discard())
-	readers.Heard([]string{"127.0.0.1"}, clock.Now())
+	readers.Add([]string{"127.0.0.1"}, clock.Now())
 	follower := NewFollower(readers, server, budget, logr.Discard())
-	assert.Assert(t, follower.Follow(context.Background()))
+	assert.Assert(t, follower.Poll(context.Background()))
 	clock.SuspendForTest(t, budget.Bound())
-	readers.Heard([]string{"127.0.0.1"}, clock.Now())
-	assert.Assert(t, !follower.Follow(context.Background()), "it reads the store itself")
-	server.Listed(clock.Now())
+	readers.Add([]string{"127.0.0.1"}, clock.Now())
+	assert.Assert(t, !follower.Poll(context.Background()), "it reads the store itself")
+	server.ConfirmList(clock.Now())
 	assert.Assert(t, clock.Since(follower.confirmed) >= budget.Bound())
 }
 
@@ -266,11 +266,11 @@
 	leader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
-	readers.Heard([]string{"leader"}, time.Now())
+	readers.Add([]string{"leader"}, time.Now())
 	list.SetEra(2)
-	assert.Assert(t, !f.Follow(context.Background()))
+	assert.Assert(t, !f.Poll(context.Background()))
 	leader.SetEra(2)
 	readers, f = newTestFollower(address, &list)
-	readers.Heard([]string{"leader"}, time.Now())
-	assert.Assert(t, f.Follow(context.Background()))
+	readers.Add([]string{"leader"}, time.Now())
+	assert.Assert(t, f.Poll(context.Background()))
 }
--- a/storerelay/readers.go
+++ b/storerelay/readers.go
@@ -52,7 +52,7 @@
 // Add records the gateways that a sidecar reports as the region's readers. A sidecar
 // reports the first of the gateways that subscribe to it, so reports differ; the
 // first of all reported gateways are used.
-func (r *Readers) Heard(ips []string, now time.Time) {
+func (r *Readers) Add(ips []string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, ip := range ips {
@@ -102,7 +102,7 @@
 		if left <= 0 {
 			return false
 		}
-		others := 2 * time.Duration(len(ips)-1-n) * budget.Relay() // the wait and the response
+		others := 2 * time.Duration(len(ips)-1-n) * budget.RelayTimeout() // the wait and the response
 		if fetch(ip, max(left-others, min(left, minWait))) {
 			return true
 		}
--- a/storerelay/records.go
+++ b/storerelay/records.go
@@ -122,7 +122,7 @@
 // its records are stale or behind from.
 func (f *RecordFollower) fetch(ctx context.Context, ip string, from history.Position, wait time.Duration) (Records, bool) {
 	var got recordsResponse
-	if !f.readers.fetch(ctx, ip, pathRecords, positionQuery(from), wait, f.budget.Relay(), &got) {
+	if !f.readers.fetch(ctx, ip, pathRecords, positionQuery(from), wait, f.budget.RelayTimeout(), &got) {
 		return Records{}, false
 	}
 	age := time.Duration(got.AgeMS) * time.Millisecond
@@ -141,7 +141,7 @@
 
 // FetchRecords requests all operator's records that the gateway with an IP address
 // holds. It returns false if the request fails, which it logs.
-func (r *Readers) All(ctx context.Context, ip string) ([]Record, bool) {
+func (r *Readers) FetchRecords(ctx context.Context, ip string) ([]Record, bool) {
 	var got recordsResponse
 	ok := r.fetch(ctx, ip, pathRecords, positionQuery(history.Unread), 0, callTimeout, &got)
 	return got.Newest, ok
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -77,7 +77,7 @@
 	s := httptest.NewServer(Handler(nil, l))
 	t.Cleanup(s.Close)
 	readers := NewReaders("self", func(string) string { return strings.TrimPrefix(s.URL, "http://") }, logr.Discard())
-	readers.Heard([]string{"leader"}, time.Now())
+	readers.Add([]string{"leader"}, time.Now())
 	return NewRecordFollower(readers, budget, logr.Discard())
 }
 
@@ -129,7 +129,7 @@
 func TestUnresponsiveRecordGatewaysAreSkippedWithinBound(t *testing.T) {
 	unresponsive := unresponsiveGateway(t)
 	readers := NewReaders("self", func(string) string { return unresponsive }, logr.Discard())
-	readers.Heard([]string{"one", "two"}, time.Now())
+	readers.Add([]string{"one", "two"}, time.Now())
 	f := NewRecordFollower(readers, budget, logr.Discard())
 	const age = 400 * time.Millisecond
 	began := time.Now()
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -34,18 +34,18 @@
 	Pause time.Duration
 	// OnSnapshot receives the newest record of each key and their era; it replaces
 	// everything received before. OnRecord receives each later record.
-	All func(records []Record, era int64)
-	One func(Record)
+	OnSnapshot func(records []Record, era int64)
+	OnRecord   func(Record)
 	// Wake makes a hedged read at once for each value. It is set for the operator's
 	// topic and nil for others.
 	Wake <-chan struct{}
 	// FromRelay, if not nil, is called before each read with the next position. It
 	// returns true and the position to continue from if another process has
 	// delivered the records, so that the store need not be read.
-	Others func(ctx context.Context, next history.Position) (history.Position, bool)
+	FromRelay func(ctx context.Context, next history.Position) (history.Position, bool)
 	// OnConfirmed, if not nil, is called after each successful read with the time
 	// as of which the records are complete.
-	Done func(confirmed time.Time)
+	OnConfirmed func(confirmed time.Time)
 
 	// confirmed is the time as of which the records are complete.
 	confirmed time.Time
@@ -63,7 +63,7 @@
 // continues, they are read again every RecheckInterval for recheckDuration: the
 // records between the two would be missed otherwise.
 const (
-	CheckEvery      = 1200 * time.Millisecond
+	RecheckInterval = 1200 * time.Millisecond
 	recheckDuration = 8 * time.Second
 )
 
@@ -79,7 +79,7 @@
 	if n.Pages > 1 {
 		s.scheduleRechecks(now)
 	}
-	s.All(n.Records, n.Era)
+	s.OnSnapshot(n.Records, n.Era)
 	return n.NextPosition()
 }
 
@@ -95,7 +95,7 @@
 	} else {
 		s.appliedOffsets[r.Key] = r.Offset
 	}
-	s.One(r)
+	s.OnRecord(r)
 }
 
 // applyNew applies the records that are newer than the last applied of their key.
@@ -110,7 +110,7 @@
 
 // recheckDue reports whether the newest records should be read again now.
 func (s *Source) recheckDue(now time.Time) bool {
-	return now.Before(s.recheckUntil) && now.Sub(s.checkedAt) >= CheckEvery
+	return now.Before(s.recheckUntil) && now.Sub(s.checkedAt) >= RecheckInterval
 }
 
 // reconcile applies the newest records that have not been applied, and drops the
@@ -150,8 +150,8 @@
 	next := history.Unread
 	failures := 0
 	for ctx.Err() == nil {
-		if s.Others != nil {
-			from, relayed := s.Others(ctx, next)
+		if s.FromRelay != nil {
+			from, relayed := s.FromRelay(ctx, next)
 			if relayed {
 				next = from
 				continue
@@ -161,8 +161,8 @@
 		from, err := w.step(ctx, s, next)
 		switch {
 		case err == nil:
-			if s.Done != nil {
-				s.Done(s.confirmed)
+			if s.OnConfirmed != nil {
+				s.OnConfirmed(s.confirmed)
 			}
 			if failures > 0 {
 				w.log.Info("store available again", "topic", s.Topic, "failures", failures, "offset", from.Offset)
--- a/storewatch/follow_test.go
+++ b/storewatch/follow_test.go
@@ -32,8 +32,8 @@
 	const manyFailures = 9
 	budget := freshness.New(2 * time.Second)
 	for range 100 {
-		assert.Assert(t, storewatch.RetryDelay(manyFailures, false)+budget.Answer() < budget.Bound())
-		assert.Assert(t, platform.StoreStall+storewatch.RetryDelay(manyFailures, true)+budget.Answer() < budget.Bound())
+		assert.Assert(t, storewatch.RetryDelay(manyFailures, false)+budget.AnswerTime() < budget.Bound())
+		assert.Assert(t, platform.StoreStall+storewatch.RetryDelay(manyFailures, true)+budget.AnswerTime() < budget.Bound())
 	}
 	store := &fakeStore{}
 	w := storewatch.New(store, logr.Discard(), telemetry.NewMetrics())
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -121,7 +121,7 @@
 		},
 	}
 	if s.Budget != nil {
-		plan.After, plan.Interval = wait+s.Budget.Silence(), s.Budget.Interval()
+		plan.After, plan.Interval = wait+s.Budget.HedgeDelay(), s.Budget.Interval()
 	}
 	return hedge.Do(ctx, plan, func(ctx context.Context, n int, begun func()) (readResult, error) {
 		if n > 0 {
@@ -151,7 +151,7 @@
 	}
 	wait := s.Budget.Wait(now.Sub(s.confirmed))
 	if now.Before(s.recheckUntil) {
-		wait = min(wait, CheckEvery)
+		wait = min(wait, RecheckInterval)
 	}
 	return wait
 }
--- a/storewatch/relay.go
+++ b/storewatch/relay.go
@@ -11,7 +11,7 @@
 )
 
 // RelayedRecords are the operator's records that another process has read.
-type Relayed struct {
+type RelayedRecords struct {
 	Records []Record
 	// Next and Confirmed are Read and Confirmed of that process's Progress.
 	Next      history.Position
@@ -22,12 +22,12 @@
 // position on, or all if that is of another era. age is the age of the records
 // held here; it limits how long the other process waits for new ones. Relay
 // returns nil if the store must be read instead.
-type Relay func(ctx context.Context, from history.Position, age time.Duration) *Relayed
+type Relay func(ctx context.Context, from history.Position, age time.Duration) *RelayedRecords
 
 // ReadRelayed applies the operator's records obtained through relay, and returns
 // the position to read from next. It returns false if the store must be read
 // instead, as it always must while this process is behind another one.
-func (w *Watcher) Relayed(ctx context.Context, s *Source, relay Relay, next history.Position) (history.Position, bool) {
+func (w *Watcher) ReadRelayed(ctx context.Context, s *Source, relay Relay, next history.Position) (history.Position, bool) {
 	if w.Progress().Behind {
 		return next, false
 	}
@@ -37,7 +37,7 @@
 	}
 	s.confirmed = got.Confirmed
 	if !next.Known() || got.Next.Era != next.Era {
-		w.store.Learn(got.Next.Era)
+		w.store.ObserveEra(got.Next.Era)
 		s.reset(&Newest{Records: got.Records, Era: got.Next.Era, End: got.Next.Offset, Pages: 1}, clock.Now())
 	} else {
 		s.applyNew(got.Records)
--- a/storewatch/store.go
+++ b/storewatch/store.go
@@ -34,7 +34,7 @@
 	// Era returns the highest era seen. ObserveEra records an era reported by
 	// another process; it returns false if that is an earlier one.
 	Era() int64
-	Learn(era int64) bool
+	ObserveEra(era int64) bool
 	// OthersLate reports whether calls for other topics are late as well.
 	OthersLate(topic string, now time.Time) bool
 }
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -88,7 +88,7 @@
 	Behind bool
 	// Incomplete is set if another process holds newer versions: the store may have
 	// been restored from a copy without them.
-	Lacks bool
+	Incomplete bool
 }
 
 // Age returns the time since Confirmed, or zero if nothing has been read.
@@ -108,7 +108,7 @@
 
 // progressLocked implements Progress. Watcher.mu must be held.
 func (w *Watcher) progressLocked() Progress {
-	return Progress{Read: w.read, Confirmed: w.confirmed, Behind: w.read.Known() && w.read.Before(w.peerPosition), Lacks: w.incompleteLocked()}
+	return Progress{Read: w.read, Confirmed: w.confirmed, Behind: w.read.Known() && w.read.Before(w.peerPosition), Incomplete: w.incompleteLocked()}
 }
 
 // incompleteLocked returns Progress.Incomplete. Watcher.mu must be held.
@@ -119,7 +119,7 @@
 // VersionSum returns the sum of the versions of the operator's records held here.
 // Held versions never decrease, so a process with a higher sum than another one
 // holds a newer version of some record.
-func (w *Watcher) Knowledge() int64 {
+func (w *Watcher) VersionSum() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.versionSumLocked()
@@ -137,7 +137,7 @@
 // ObserveVersionSum records the highest version sum reported for other processes,
 // and reports whether it is above the one here. It returns false before the first
 // read.
-func (w *Watcher) OthersKnow(sum int64) bool {
+func (w *Watcher) ObserveVersionSum(sum int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.peerVersionSum, w.peerVersionSumAt = sum, clock.Now()
@@ -210,16 +210,16 @@
 // MinWakeInterval is the minimum time between two reads made because another
 // process has read further: the store may return less than it has returned to
 // others.
-const WakeEvery = 300 * time.Millisecond
+const MinWakeInterval = 300 * time.Millisecond
 
 // ObservePosition records that another process has read the operator's records up
 // to a position. If that is further than here, it makes another read beside the
 // one that waits, at most once every MinWakeInterval: the store's answer to the
 // waiting read may have been lost.
-func (w *Watcher) OthersRead(position history.Position, now time.Time) {
+func (w *Watcher) ObservePosition(position history.Position, now time.Time) {
 	w.mu.Lock()
 	w.peerPosition = history.Later(w.peerPosition, position)
-	due := w.progressLocked().Behind && now.Sub(w.wokenAt) >= WakeEvery
+	due := w.progressLocked().Behind && now.Sub(w.wokenAt) >= MinWakeInterval
 	if due {
 		w.wokenAt = now
 	}
@@ -243,7 +243,7 @@
 
 // Wakeups returns the channel for Source.Wake of the operator's topic: each value
 // requests a read at once.
-func (w *Watcher) Woken() <-chan struct{} { return w.wake }
+func (w *Watcher) Wakeups() <-chan struct{} { return w.wake }
 
 // wakeOperatorReader requests a read, unless one is requested already.
 func (w *Watcher) wakeOperatorReader() {
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -30,12 +30,12 @@
 
 // Arrived ends a pull whose chunk has been received and verified. a is the
 // sender's availability, and elapsed the duration of the transfer.
-func (s *Swarm) Arrived(p Pull, a Knowledge, elapsed time.Duration, now time.Time) {
+func (s *Swarm) Arrived(p Pull, a Availability, elapsed time.Duration, now time.Time) {
 	s.endPull(p)
 	s.held.Set(uint(p.Chunk))
 	s.exists.Set(uint(p.Chunk))
 	if s.takeOverPaused(now) {
-		s.catchUpAt = now.Sub(s.start) + time.Duration(s.missingInRegion())*s.params.ChunkTurn
+		s.catchUpAt = now.Sub(s.start) + time.Duration(s.missingInRegion())*s.params.ChunkInterval
 	}
 	s.lastArrival = now
 	s.localStall = false
@@ -59,7 +59,7 @@
 // StallTimeout returns how long a pull may receive no byte before it counts
 // as stalled. It is a multiple of the smoothed chunk time, so that a slow link
 // that makes progress is not treated as stalled.
-func (s *Swarm) StallLimit() time.Duration {
+func (s *Swarm) StallTimeout() time.Duration {
 	if s.chunkTime == 0 {
 		return stallTimeoutMax
 	}
@@ -73,9 +73,9 @@
 // NothingUseful ends a pull whose peer has no chunk that this box needs, or
 // not the one that was asked for; a is the peer's availability. The peer is
 // asked again after an exponential backoff.
-func (s *Swarm) Nothing(p Pull, a Knowledge, now time.Time) {
+func (s *Swarm) NothingUseful(p Pull, a Availability, now time.Time) {
 	s.endPull(p)
-	if p.Kind == FromFar {
+	if p.Kind == FromRemoteRegion {
 		s.lastSenderFailure = now
 	}
 	ps := s.byBox[p.Peer]
@@ -97,11 +97,11 @@
 }
 
 // InvalidChunk ends a pull whose answer was not the expected chunk.
-func (s *Swarm) Bad(p Pull, now time.Time) { s.penalize(p, penaltyMin, now) }
+func (s *Swarm) InvalidChunk(p Pull, now time.Time) { s.penalize(p, penaltyMin, now) }
 
 // ConnectionFailed ends a pull whose connection was refused or broken. It
 // applies a backoff to the sender, which may be the origin.
-func (s *Swarm) Broken(p Pull, now time.Time) {
+func (s *Swarm) ConnectionFailed(p Pull, now time.Time) {
 	s.backOffOrigin(p, now)
 	s.penalize(p, penaltyMin, now)
 }
@@ -138,7 +138,7 @@
 // penalized only if other chunks arrived meanwhile; otherwise this box's own
 // link is presumed to have stalled.
 func (s *Swarm) Stalled(p Pull, now time.Time) {
-	if now.Sub(s.lastArrival) < s.StallLimit() {
+	if now.Sub(s.lastArrival) < s.StallTimeout() {
 		s.penalize(p, stallPenalty, now)
 		return
 	}
@@ -160,7 +160,7 @@
 }
 
 // AddAvailability records the availability that a box has reported.
-func (s *Swarm) Known(box string, a Knowledge) {
+func (s *Swarm) AddAvailability(box string, a Availability) {
 	if ps := s.byBox[box]; ps != nil {
 		s.mergeAvailability(ps, a)
 	}
@@ -169,7 +169,7 @@
 // mergeAvailability adds a to what is known of ps and, for a peer of the own
 // region, of the region. Bitmaps that are missing or of the wrong length are
 // ignored.
-func (s *Swarm) mergeAvailability(ps *peerState, a Knowledge) {
+func (s *Swarm) mergeAvailability(ps *peerState, a Availability) {
 	if !s.validBitmap(a.Held) {
 		return
 	}
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -56,10 +56,10 @@
 	OriginRegions []string
 	// ChunkInterval is the time between the scheduled reads of successive
 	// chunks from the origin: a chunk's size over the origin's rate.
-	ChunkTurn time.Duration
+	ChunkInterval time.Duration
 	// TakeOverDelay is the additional delay of each further rank before it
 	// does the first fetch of a chunk in place of the rank before it.
-	TakeOver time.Duration
+	TakeOverDelay time.Duration
 	// ExtraOrigin is the number of chunks that each box may read from the
 	// origin in addition to the schedule, once the scheduled times of all
 	// chunks have passed and no peer can be asked. It trades origin bytes for
@@ -71,12 +71,12 @@
 	// IdleTimeout is the time without a new chunk after which a transfer
 	// counts as idle and a box recovers chunks whose holders have failed; 0
 	// stands for DefaultIdleTimeout.
-	Quiet time.Duration
+	IdleTimeout time.Duration
 	// PauseTakeOver suspends the take-over delays of ranks after the first
 	// while the transfer is idle, so that not all ranks read at once when a
 	// failed sender recovers. It is for transfers that take seconds; in one of
 	// minutes a remote region waits long for its first chunk without a fault.
-	Patient bool
+	PauseTakeOver bool
 }
 
 // ExtraOrigin returns the number of chunks that each of n boxes may read so
@@ -99,7 +99,7 @@
 	// UploadQueueLength is the number of pulls that may wait for an upload
 	// slot: one keeps the link busy, more would hold up boxes that could pull
 	// from other peers.
-	UploadWaiting = 1
+	UploadQueueLength = 1
 	// maxFirstFetches limits the first fetches, and other reads from the
 	// origin, that a box has in flight.
 	maxFirstFetches = 2
@@ -118,7 +118,7 @@
 	// lacks; Chunk is -1 until Offered.
 	FromPeer
 	// FromRemoteRegion asks Peer, in another region, for Chunk.
-	FromFar
+	FromRemoteRegion
 )
 
 // Pull is a request for a chunk that a Swarm has decided on.
@@ -227,8 +227,8 @@
 	if p.Downloads <= 0 {
 		p.Downloads = DefaultDownloads
 	}
-	if p.Quiet <= 0 {
-		p.Quiet = DefaultIdleTimeout
+	if p.IdleTimeout <= 0 {
+		p.IdleTimeout = DefaultIdleTimeout
 	}
 	s := &Swarm{
 		params:       p,
@@ -279,7 +279,7 @@
 
 // InheritTiming copies the start time and the timing state of an earlier swarm
 // of the same copy, so that the schedule and delays that have begun continue.
-func (s *Swarm) Continue(earlier *Swarm) {
+func (s *Swarm) InheritTiming(earlier *Swarm) {
 	s.start = earlier.start
 	s.lastArrival = earlier.lastArrival
 	s.catchUpAt = earlier.catchUpAt
@@ -296,9 +296,9 @@
 		if rank < 0 || s.held.Test(uint(c)) {
 			continue
 		}
-		due := time.Duration(c) * s.params.ChunkTurn
+		due := time.Duration(c) * s.params.ChunkInterval
 		if !s.readsOrigin() {
-			due += s.params.ChunkTurn
+			due += s.params.ChunkInterval
 		}
 		s.schedule = append(s.schedule, scheduledFetch{chunk: c, ahead: ranked[:rank], due: due})
 	}
@@ -316,7 +316,7 @@
 				f.rank++
 			}
 		}
-		f.at = f.due + time.Duration(f.rank)*s.params.TakeOver
+		f.at = f.due + time.Duration(f.rank)*s.params.TakeOverDelay
 	}
 	slices.SortFunc(s.schedule, func(a, b scheduledFetch) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.chunk, b.chunk))
@@ -327,7 +327,7 @@
 // MarkUnresponsive records that a box of the own region did not answer a query:
 // its first fetches are taken over without delay, and it is backed off like a
 // peer that stalls.
-func (s *Swarm) Silent(box string, now time.Time) {
+func (s *Swarm) MarkUnresponsive(box string, now time.Time) {
 	if s.unresponsive[box] {
 		return
 	}
@@ -344,11 +344,11 @@
 
 // HeldOrInFlight returns the bitmap that is sent with a pull: the chunks that
 // this box holds or has in flight and so does not need.
-func (s *Swarm) Wants() *bitset.BitSet { return s.held.Union(s.inFlight) }
+func (s *Swarm) HeldOrInFlight() *bitset.BitSet { return s.held.Union(s.inFlight) }
 
 // AvailableChunks returns the number of chunks that this box or a peer is known
 // to hold.
-func (s *Swarm) Reachable() int {
+func (s *Swarm) AvailableChunks() int {
 	all := s.held.Union(s.exists)
 	for _, ps := range s.byBox {
 		all.InPlaceUnion(ps.held)
@@ -361,7 +361,7 @@
 
 // Availability is sent with each answer of a pull. A nil bitmap stands for
 // unknown.
-type Knowledge struct {
+type Availability struct {
 	// Held are the chunks that the sender holds.
 	Held *bitset.BitSet
 	// Exists are the chunks that, as far as the sender knows, are held by some
@@ -371,8 +371,8 @@
 }
 
 // Availability returns the availability to send with an answer.
-func (s *Swarm) Knows() Knowledge {
-	return Knowledge{Held: s.held.Clone(), Exists: s.exists.Clone()}
+func (s *Swarm) Availability() Availability {
+	return Availability{Held: s.held.Clone(), Exists: s.exists.Clone()}
 }
 
 // Next returns the next pull to carry out. The caller must report its end by
@@ -401,11 +401,11 @@
 // readExtraShare returns a read of a random missing chunk from the origin,
 // within Params.ExtraOrigin, once the whole schedule has passed.
 func (s *Swarm) readExtraShare(since time.Duration) (Pull, bool) {
-	passed := since > time.Duration(s.params.Chunks)*s.params.ChunkTurn
+	passed := since > time.Duration(s.params.Chunks)*s.params.ChunkInterval
 	if !passed || s.extraReads >= s.params.ExtraOrigin || s.firstFetches >= maxFirstFetches {
 		return Pull{}, false
 	}
-	missing := s.Wants().Complement()
+	missing := s.HeldOrInFlight().Complement()
 	n := missing.Count()
 	if n == 0 {
 		return Pull{}, false
@@ -439,7 +439,7 @@
 		if f.at > since {
 			return Pull{}, false
 		}
-		if f.rank > 0 && (paused || s.catchUpAt+time.Duration(f.rank)*s.params.TakeOver > since) {
+		if f.rank > 0 && (paused || s.catchUpAt+time.Duration(f.rank)*s.params.TakeOverDelay > since) {
 			continue
 		}
 		c := uint(f.chunk)
@@ -474,12 +474,12 @@
 // all first fetches are overdue; reading all of them concurrently would complete
 // them all late, with no time left to distribute the chunks.
 func (s *Swarm) outsideReadWindow(f scheduledFetch, since time.Duration) bool {
-	if !s.params.Patient || !s.readsOrigin() || since-f.due < behindThreshold {
+	if !s.params.PauseTakeOver || !s.readsOrigin() || since-f.due < behindThreshold {
 		return false
 	}
 	window := windowSlack
-	if s.params.ChunkTurn > 0 {
-		window += int(propagationTime / s.params.ChunkTurn)
+	if s.params.ChunkInterval > 0 {
+		window += int(propagationTime / s.params.ChunkInterval)
 	}
 	missingBefore := 0
 	for c := range uint(f.chunk) {
@@ -493,7 +493,7 @@
 // takeOverPaused reports whether take-over by later ranks is suspended because
 // the transfer is idle: the sender is presumed down.
 func (s *Swarm) takeOverPaused(now time.Time) bool {
-	return s.params.Patient && now.Sub(s.lastArrival) > s.params.Quiet
+	return s.params.PauseTakeOver && now.Sub(s.lastArrival) > s.params.IdleTimeout
 }
 
 // missingInRegion returns the number of chunks that no box of the region is
@@ -504,7 +504,7 @@
 
 // NextFirstFetch is like Next but returns scheduled first fetches only, so that
 // a box that makes no other pulls still reads its chunks from the origin.
-func (s *Swarm) NextFirst(now time.Time) Pull {
+func (s *Swarm) NextFirstFetch(now time.Time) Pull {
 	if s.Done() || s.pulls >= s.pullLimit() {
 		return Pull{Wait: idleBackoffMin}
 	}
@@ -529,7 +529,7 @@
 	s.startPull(chunk)
 	s.firstFetches++
 	ps.pulling = true
-	return Pull{Kind: FromFar, Chunk: chunk, Peer: ps.Box}, true
+	return Pull{Kind: FromRemoteRegion, Chunk: chunk, Peer: ps.Box}, true
 }
 
 // remoteHolder returns the remote box to ask for chunk, or nil: of those that
@@ -609,27 +609,27 @@
 // region, those are left to the boxes that have them in their schedule first.
 func (s *Swarm) recoverLostChunk(now time.Time) (Pull, bool) {
 	idle := now.Sub(s.lastArrival)
-	if s.params.Patient && s.lastSenderFailure.After(s.lastArrival) {
+	if s.params.PauseTakeOver && s.lastSenderFailure.After(s.lastArrival) {
 		idle = now.Sub(s.lastSenderFailure)
 	}
 	if s.readsOrigin() && now.Before(s.originRetry) {
 		return Pull{}, false
 	}
-	if idle < s.params.Quiet || s.firstFetches >= maxFirstFetches {
+	if idle < s.params.IdleTimeout || s.firstFetches >= maxFirstFetches {
 		return Pull{}, false
 	}
 	since := now.Sub(s.start)
 	responsivePeers := s.responsivePeers()
-	senderDown := s.params.Patient && s.missingInRegion() > s.params.Chunks/senderDownShare
+	senderDown := s.params.PauseTakeOver && s.missingInRegion() > s.params.Chunks/senderDownShare
 	for c, ok := s.held.NextClear(0); ok && int(c) < s.params.Chunks; c, ok = s.held.NextClear(c + 1) {
-		if s.inFlight.Test(c) || time.Duration(c)*s.params.ChunkTurn > since {
+		if s.inFlight.Test(c) || time.Duration(c)*s.params.ChunkInterval > since {
 			continue
 		}
 		rank := rankAmong(int(c), s.self.Box, responsivePeers)
 		if senderDown && !s.exists.Test(c) {
 			rank += maxRanks // after all boxes that have it in their schedule
 		}
-		if idle >= s.params.Quiet+time.Duration(rank)*s.params.TakeOver {
+		if idle >= s.params.IdleTimeout+time.Duration(rank)*s.params.TakeOverDelay {
 			return s.startFirstFetch(int(c), since)
 		}
 	}
@@ -650,6 +650,6 @@
 
 // TakeOverDelay returns Params.TakeOverDelay for a transfer that takes at least
 // minTime.
-func TakeOver(minTime time.Duration) time.Duration {
+func TakeOverDelay(minTime time.Duration) time.Duration {
 	return max(minTime/20, 2*time.Second)
 }
--- a/transfer/swarm_test.go
+++ b/transfer/swarm_test.go
@@ -18,7 +18,7 @@
 // testParams returns the parameters of a plan over two regions of which A reads
 // from the origin; boxes b0, b2 and so on are in A, the others in B.
 func testParams(boxes, chunks int) Params {
-	p := Params{Chunks: chunks, OriginRegions: []string{"A"}, ChunkTurn: 10 * time.Millisecond, TakeOver: time.Second}
+	p := Params{Chunks: chunks, OriginRegions: []string{"A"}, ChunkInterval: 10 * time.Millisecond, TakeOverDelay: time.Second}
 	for i := range boxes {
 		region := "A"
 		if i%2 == 1 {
@@ -50,7 +50,7 @@
 				s.endPull(p)
 				s.held.Set(uint(p.Chunk))
 			default:
-				s.Nothing(p, Knowledge{}, epoch.Add(at))
+				s.NothingUseful(p, Availability{}, epoch.Add(at))
 			}
 		}
 	}
@@ -61,10 +61,10 @@
 // chunk is read from the origin by exactly one box, of the origin region.
 func TestChunkReadByOneBox(t *testing.T) {
 	p := testParams(8, 64)
-	p.TakeOver = 10 * time.Second
+	p.TakeOverDelay = 10 * time.Second
 	readers := map[int][]string{}
 	for _, peer := range p.Peers {
-		for _, c := range originReads(newTestSwarm(p, peer.Box), time.Duration(p.Chunks+1)*p.ChunkTurn) {
+		for _, c := range originReads(newTestSwarm(p, peer.Box), time.Duration(p.Chunks+1)*p.ChunkInterval) {
 			readers[c] = append(readers[c], peer.Box)
 			assert.Equal(t, peer.Region, "A", "read from the origin by a box outside the origin regions")
 		}
@@ -83,7 +83,7 @@
 		ranked := o.ranking["A"][c]
 		for rank, box := range ranked {
 			s := newTestSwarm(p, box)
-			at := time.Duration(c)*p.ChunkTurn + time.Duration(rank)*p.TakeOver
+			at := time.Duration(c)*p.ChunkInterval + time.Duration(rank)*p.TakeOverDelay
 			for _, fetch := range s.schedule {
 				if fetch.chunk == c {
 					assert.Equal(t, fetch.at, at)
@@ -104,7 +104,7 @@
 		}
 		s := newTestSwarm(p, peer.Box)
 		other := s.peers[0].Box
-		s.Known(other, Knowledge{Held: all, Exists: all})
+		s.AddAvailability(other, Availability{Held: all, Exists: all})
 		s.lastArrival = epoch.Add(time.Hour) // keeps the transfer from being idle
 		assert.Equal(t, len(originReads(s, 20*time.Second)), 0, "%s reads chunks that its region holds", peer.Box)
 	}
@@ -120,20 +120,20 @@
 			continue
 		}
 		s := newTestSwarm(p, peer.Box)
-		for at := time.Duration(0); at < time.Duration(p.Chunks+2)*p.ChunkTurn; at += 5 * time.Millisecond {
+		for at := time.Duration(0); at < time.Duration(p.Chunks+2)*p.ChunkInterval; at += 5 * time.Millisecond {
 			for {
 				pull := s.Next(epoch.Add(at))
 				if pull.Kind == None {
 					break
 				}
-				if pull.Kind == FromFar {
+				if pull.Kind == FromRemoteRegion {
 					fetches[pull.Chunk]++
 					assert.Equal(t, s.byBox[pull.Peer].Region, "A")
-					s.Arrived(pull, Knowledge{}, time.Millisecond, epoch.Add(at))
+					s.Arrived(pull, Availability{}, time.Millisecond, epoch.Add(at))
 					continue
 				}
 				assert.Assert(t, pull.Kind != FromOrigin)
-				s.Nothing(pull, Knowledge{}, epoch.Add(at))
+				s.NothingUseful(pull, Availability{}, epoch.Add(at))
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 	for ; len(intervals) < 4; now = now.Add(10 * time.Millisecond) {
 		for pull := s.Next(now); pull.Kind != None; pull = s.Next(now) {
 			if pull.Kind == FromOrigin {
-				s.Arrived(pull, Knowledge{}, time.Millisecond, now)
+				s.Arrived(pull, Availability{}, time.Millisecond, now)
 				continue
 			}
 			assert.Equal(t, pull.Peer, "b2")
@@ -161,7 +161,7 @@
 				intervals = append(intervals, now.Sub(last))
 			}
 			last = now
-			s.Bad(pull, now)
+			s.InvalidChunk(pull, now)
 		}
 		if s.Done() {
 			s.held.Clear(0) // keep a chunk missing
@@ -181,16 +181,16 @@
 	now := epoch
 	first := s.Next(now)
 	for first.Kind != FromPeer {
-		s.Arrived(first, Knowledge{}, 10*time.Millisecond, now)
+		s.Arrived(first, Availability{}, 10*time.Millisecond, now)
 		first = s.Next(now)
 	}
-	now = now.Add(s.StallLimit() + time.Second)
+	now = now.Add(s.StallTimeout() + time.Second)
 	s.Stalled(first, now)
 	assert.Equal(t, s.byBox[first.Peer].penalty, time.Duration(0), "peer penalized for a stall of the box's own link")
 	assert.Equal(t, s.pullLimit(), 1, "a box whose link stalls probes with one pull")
 
 	all := bitset.New(64).Complement()
-	s.Known("b2", Knowledge{Held: all, Exists: all}) // leaves nothing to read from the origin
+	s.AddAvailability("b2", Availability{Held: all, Exists: all}) // leaves nothing to read from the origin
 	now = now.Add(idleBackoffMax)
 	second := s.Next(now)
 	assert.Equal(t, second.Kind, FromPeer)
@@ -210,7 +210,7 @@
 		s := newTestSwarm(p, peer.Box)
 		scheduled := len(s.schedule)
 		s.lastArrival = epoch.Add(time.Hour)
-		reads := originReads(s, p.TakeOver/2+time.Duration(p.Chunks)*p.ChunkTurn)
+		reads := originReads(s, p.TakeOverDelay/2+time.Duration(p.Chunks)*p.ChunkInterval)
 		total += len(reads)
 		assert.Assert(t, len(reads) <= scheduled+p.ExtraOrigin)
 	}
@@ -234,7 +234,7 @@
 // down and, once it recovers, read few chunks more than once.
 func TestOriginRecoversFromOutage(t *testing.T) {
 	const chunks, boxes = 32, 6
-	params := Params{Chunks: chunks, OriginRegions: []string{"r"}, ChunkTurn: 10 * time.Millisecond, TakeOver: 200 * time.Millisecond, Quiet: 400 * time.Millisecond, Patient: true}
+	params := Params{Chunks: chunks, OriginRegions: []string{"r"}, ChunkInterval: 10 * time.Millisecond, TakeOverDelay: 200 * time.Millisecond, IdleTimeout: 400 * time.Millisecond, PauseTakeOver: true}
 	for b := range boxes {
 		params.Peers = append(params.Peers, Peer{Box: string(rune('a' + b)), Region: "r"})
 	}
@@ -257,17 +257,17 @@
 					continue
 				}
 				read++
-				s.Arrived(p, Knowledge{}, time.Millisecond, now)
+				s.Arrived(p, Availability{}, time.Millisecond, now)
 			case FromPeer:
 				sender := swarms[slices.IndexFunc(swarms, func(o *Swarm) bool { return o.self.Box == p.Peer })]
-				useful := sender.held.Difference(s.Wants())
+				useful := sender.held.Difference(s.HeldOrInFlight())
 				chunk, ok := useful.NextSet(0)
 				if !ok {
-					s.Nothing(p, sender.Knows(), now)
+					s.NothingUseful(p, sender.Availability(), now)
 					continue
 				}
 				assert.Assert(t, s.Offered(&p, int(chunk)))
-				s.Arrived(p, sender.Knows(), time.Millisecond, now)
+				s.Arrived(p, sender.Availability(), time.Millisecond, now)
 			}
 		}
 		now = now.Add(5 * time.Millisecond)
@@ -294,8 +294,8 @@
 // only chunks of rank 0, and of those only the ones inside the read window.
 func TestReadWindowAfterOutage(t *testing.T) {
 	p := testParams(8, 64)
-	p.Patient, p.Quiet = true, 400*time.Millisecond
-	window := windowSlack + int(propagationTime/p.ChunkTurn)
+	p.PauseTakeOver, p.IdleTimeout = true, 400*time.Millisecond
+	window := windowSlack + int(propagationTime/p.ChunkInterval)
 	recovered := epoch.Add(6 * time.Second)
 	for _, available := range []int{0, 10, 64 - window} {
 		s := newTestSwarm(p, "b0")
@@ -303,12 +303,12 @@
 			s.exists.Set(uint(c))
 		}
 		read := map[int]bool{}
-		for next := s.NextFirst(recovered); next.Kind != None; next = s.NextFirst(recovered) {
+		for next := s.NextFirstFetch(recovered); next.Kind != None; next = s.NextFirstFetch(recovered) {
 			assert.Equal(t, next.Kind, FromOrigin)
 			rank := slices.Index(NewOrder(p).ranking["A"][next.Chunk], "b0")
 			assert.Equal(t, rank, 0, "chunk %d is read by a later rank", next.Chunk)
 			read[next.Chunk] = true
-			s.Arrived(next, Knowledge{}, time.Millisecond, recovered)
+			s.Arrived(next, Availability{}, time.Millisecond, recovered)
 		}
 		due := 0 // missing chunks of rank 0
 		for _, fetch := range s.schedule {
@@ -334,7 +334,7 @@
 // takes over the first fetch of an unresponsive box without delay.
 func TestUnresponsiveBoxIsSkipped(t *testing.T) {
 	p := testParams(12, 48)
-	p.TakeOver = time.Second
+	p.TakeOverDelay = time.Second
 	o := NewOrder(p)
 	first := o.ranking["A"][0][0]
 	for rank, box := range o.ranking["A"][0] {
@@ -342,17 +342,17 @@
 			continue
 		}
 		s := newTestSwarm(p, box)
-		s.Silent(first, epoch)
-		s.Silent(first, epoch) // a repeated report has no effect
+		s.MarkUnresponsive(first, epoch)
+		s.MarkUnresponsive(first, epoch) // a repeated report has no effect
 		takesOver := false
-		now := epoch.Add(time.Duration(p.Chunks) * p.ChunkTurn)
+		now := epoch.Add(time.Duration(p.Chunks) * p.ChunkInterval)
 		for {
-			next := s.NextFirst(now)
+			next := s.NextFirstFetch(now)
 			if next.Kind == None {
 				break
 			}
 			takesOver = takesOver || next.Chunk == 0
-			s.Arrived(next, Knowledge{}, time.Millisecond, now)
+			s.Arrived(next, Availability{}, time.Millisecond, now)
 		}
 		assert.Equal(t, takesOver, rank == 1, "the box of rank %d", rank)
 	}
@@ -397,7 +397,7 @@
 		return n
 	}
 	assert.Equal(t, pulls((*Swarm).Unreachable), 2)
-	assert.Assert(t, pulls((*Swarm).Broken) >= 4)
+	assert.Assert(t, pulls((*Swarm).ConnectionFailed) >= 4)
 }
 
 // TestMissingChunksReadAboutOnceAfterOutage guards against redundant reads when
@@ -409,7 +409,7 @@
 		outage                 = 6 * time.Second
 		readTime               = 40 * time.Millisecond // of one chunk; the origin sends one at a time
 	)
-	p := Params{Chunks: chunks, OriginRegions: []string{"r"}, ChunkTurn: readTime, TakeOver: 900 * time.Millisecond, Quiet: 400 * time.Millisecond, Patient: true}
+	p := Params{Chunks: chunks, OriginRegions: []string{"r"}, ChunkInterval: readTime, TakeOverDelay: 900 * time.Millisecond, IdleTimeout: 400 * time.Millisecond, PauseTakeOver: true}
 	for b := range boxes {
 		p.Peers = append(p.Peers, Peer{Box: fmt.Sprint("b", b), Region: "r"})
 	}
@@ -435,7 +435,7 @@
 		if len(queue) > 0 && at >= nextSend {
 			first := queue[0]
 			queue = queue[1:]
-			first.by.Arrived(first.pull, Knowledge{}, readTime, now)
+			first.by.Arrived(first.pull, Availability{}, readTime, now)
 			nextSend = at + readTime
 		}
 		for _, s := range swarms {
@@ -443,20 +443,20 @@
 			switch next.Kind {
 			case FromOrigin:
 				if at < outage {
-					s.Broken(next, now)
+					s.ConnectionFailed(next, now)
 					continue
 				}
 				read++
 				queue = append(queue, originRead{s, next})
 			case FromPeer:
 				sender := swarms[slices.IndexFunc(swarms, func(o *Swarm) bool { return o.self.Box == next.Peer })]
-				chunk, ok := sender.held.Difference(s.Wants()).NextSet(0)
+				chunk, ok := sender.held.Difference(s.HeldOrInFlight()).NextSet(0)
 				if !ok {
-					s.Nothing(next, sender.Knows(), now)
+					s.NothingUseful(next, sender.Availability(), now)
 					continue
 				}
 				assert.Assert(t, s.Offered(&next, int(chunk)))
-				s.Arrived(next, sender.Knows(), time.Millisecond, now)
+				s.Arrived(next, sender.Availability(), time.Millisecond, now)
 			}
 		}
 	}
@@ -470,13 +470,13 @@
 // reads its overdue chunks at once, and only those of rank 0.
 func TestInheritTiming(t *testing.T) {
 	p := testParams(8, 64)
-	p.Patient, p.Quiet = true, 400*time.Millisecond
+	p.PauseTakeOver, p.IdleTimeout = true, 400*time.Millisecond
 	o := NewOrder(p)
 	const outage = 6 * time.Second
 	earlier := newTestSwarm(p, "b0")
 	now := epoch.Add(outage)
 	s := NewSwarm(p, o, "b0", earlier.held, now)
-	s.Continue(earlier)
+	s.InheritTiming(earlier)
 	for c, ranked := range o.ranking["A"] {
 		if ranked[0] != "b0" { // other boxes hold theirs, so that all chunks are inside the read window
 			s.exists.Set(uint(c))
@@ -489,7 +489,7 @@
 			break
 		}
 		read[next.Chunk] = true
-		s.Arrived(next, Knowledge{}, time.Millisecond, now)
+		s.Arrived(next, Availability{}, time.Millisecond, now)
 	}
 	for c, ranked := range o.ranking["A"] {
 		assert.Equal(t, read[c], ranked[0] == "b0", "chunk %d", c)
@@ -508,9 +508,9 @@
 		interval  = 40 * time.Millisecond // between chunks from peers
 	)
 	p := testParams(24, chunks)
-	p.Patient, p.Quiet = true, 400*time.Millisecond
+	p.PauseTakeOver, p.IdleTimeout = true, 400*time.Millisecond
 	o := NewOrder(p)
-	until := recovered + (chunks-initial)*p.ChunkTurn + p.TakeOver
+	until := recovered + (chunks-initial)*p.ChunkInterval + p.TakeOverDelay
 	for _, peer := range p.Peers {
 		if peer.Region != "B" {
 			continue
@@ -518,7 +518,7 @@
 		s := NewSwarm(p, o, peer.Box, bitset.New(chunks), epoch)
 		arrive := func(chunk int, now time.Time) {
 			s.startPull(chunk)
-			s.Arrived(Pull{Kind: FromPeer, Chunk: chunk}, Knowledge{}, time.Millisecond, now)
+			s.Arrived(Pull{Kind: FromPeer, Chunk: chunk}, Availability{}, time.Millisecond, now)
 		}
 		for c := range initial {
 			arrive(c, epoch.Add(time.Duration(c)*failed/initial))
@@ -533,12 +533,12 @@
 				next++
 			}
 			for pull := s.Next(now); pull.Kind != None; pull = s.Next(now) {
-				if pull.Kind == FromFar {
+				if pull.Kind == FromRemoteRegion {
 					rank := slices.Index(o.ranking["B"][pull.Chunk], peer.Box)
 					assert.Equal(t, rank, 0, "%s pulls chunk %d after %s", peer.Box, pull.Chunk, at)
 				}
-				if pull.Kind == FromFar && at >= recovered {
-					s.Arrived(pull, Knowledge{}, time.Millisecond, now)
+				if pull.Kind == FromRemoteRegion && at >= recovered {
+					s.Arrived(pull, Availability{}, time.Millisecond, now)
 					continue
 				}
 				s.Busy(pull, 0, now)
