--- a/admin/plans.go
+++ b/admin/plans.go
@@ -32,14 +32,14 @@
 	if err := in.Validate(); err != nil {
 		return nil, err
 	}
-	if err := s.workspacesExist(in); err != nil {
+	if err := s.checkWorkspacesExist(in); err != nil {
 		return nil, err
 	}
 	m, err := s.World.Manifest(r.Context(), in.Ref)
 	if err != nil {
 		return nil, err
 	}
-	plan, err := intent.Make(in, m, s.world(r))
+	plan, err := intent.Make(in, m, s.snapshot(r))
 	if err != nil {
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 
 // workspacesExist spares the weight store and the boxes an intent that
 // cannot be planned anyway.
-func (s *Server) workspacesExist(in intent.Intent) error {
+func (s *Server) checkWorkspacesExist(in intent.Intent) error {
 	var err error
 	s.Replica.View(func(st *state.State) {
 		for _, name := range in.Workspaces {
@@ -67,7 +67,7 @@
 // world is the state of everything that a plan is made from. The offset is
 // taken before the sweep, so that a record that comes meanwhile counts as
 // later.
-func (s *Server) world(r *http.Request) intent.World {
+func (s *Server) snapshot(r *http.Request) intent.World {
 	w := intent.World{
 		Now:        time.Now(),
 		Workspaces: make(map[string]workspace.Workspace),
@@ -99,7 +99,7 @@
 		}
 		c := intent.Candidate{Box: b.Box, MemoryBytes: b.Status.MemoryBytes}
 		for _, l := range b.Status.Loaded {
-			c.Loaded = append(c.Loaded, intent.LoadedVersion{Ref: l.Ref, Bytes: l.Bytes, Workspaces: routedTo(st, l.Ref)})
+			c.Loaded = append(c.Loaded, intent.LoadedVersion{Ref: l.Ref, Bytes: l.Bytes, Workspaces: workspacesRoutedTo(st, l.Ref)})
 		}
 		out = append(out, c)
 	}
@@ -107,7 +107,7 @@
 }
 
 // routedTo are the workspaces that are answered by a version now.
-func routedTo(st *state.State, ref weights.Ref) []string {
+func workspacesRoutedTo(st *state.State, ref weights.Ref) []string {
 	var out []string
 	for name := range st.Workspaces {
 		if slices.ContainsFunc(st.Route(name, ref.Model), func(p *intent.Plan) bool { return p.Intent.Ref == ref }) {
@@ -128,9 +128,9 @@
 	return out, nil
 }
 
-func (s *Server) plan(r *http.Request, _ string) (any, error) { return s.find(id(r)) }
+func (s *Server) plan(r *http.Request, _ string) (any, error) { return s.findPlan(pathID(r)) }
 
-func (s *Server) find(id string) (*intent.Plan, error) {
+func (s *Server) findPlan(id string) (*intent.Plan, error) {
 	var p *intent.Plan
 	s.Replica.View(func(st *state.State) { p = st.Plans[id] })
 	if p == nil {
@@ -142,27 +142,27 @@
 // confirm puts a plan in force, if the log's order lets it. A plan that
 // conflicts is answered with the reason and a fresh plan.
 func (s *Server) confirm(r *http.Request, operator string) (any, error) {
-	p, err := s.find(id(r))
+	p, err := s.findPlan(pathID(r))
 	if err != nil {
 		return nil, err
 	}
 	if p.Status != intent.Proposed {
-		return nil, Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, because(p))
+		return nil, Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
 	}
 	recordID, err := s.commit(r, operator, state.KindPlanConfirmed, state.PlanRef{Plan: p.ID})
 	if err != nil {
 		return nil, err
 	}
-	if p, err = s.find(p.ID); err != nil {
+	if p, err = s.findPlan(p.ID); err != nil {
 		return nil, err
 	}
 	if p.ConfirmID == recordID {
 		return p, nil
 	}
-	return nil, s.lost(r, operator, p)
+	return nil, s.confirmError(r, operator, p)
 }
 
-func because(p *intent.Plan) string {
+func reasonSuffix(p *intent.Plan) string {
 	if p.Reason == "" {
 		return ""
 	}
@@ -170,7 +170,7 @@
 }
 
 // lost says why a confirmation did not take effect.
-func (s *Server) lost(r *http.Request, operator string, p *intent.Plan) error {
+func (s *Server) confirmError(r *http.Request, operator string, p *intent.Plan) error {
 	switch p.Status {
 	case intent.Expired:
 		return Problem(CodeExpired, "plan %s was not confirmed: %s", p.ID, p.Reason)
@@ -182,25 +182,25 @@
 		}
 		return e
 	default:
-		return Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, because(p))
+		return Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
 	}
 }
 
 func (s *Server) reject(r *http.Request, operator string) (any, error) {
-	return s.end(r, operator, intent.Proposed, intent.Rejected)
+	return s.endPlan(r, operator, intent.Proposed, intent.Rejected)
 }
 
 func (s *Server) cancel(r *http.Request, operator string) (any, error) {
-	return s.end(r, operator, intent.Confirmed, intent.Cancelled)
+	return s.endPlan(r, operator, intent.Confirmed, intent.Cancelled)
 }
 
-func (s *Server) end(r *http.Request, operator string, from, to intent.Status) (any, error) {
-	p, err := s.find(id(r))
+func (s *Server) endPlan(r *http.Request, operator string, from, to intent.Status) (any, error) {
+	p, err := s.findPlan(pathID(r))
 	if err != nil {
 		return nil, err
 	}
 	if p.Status != from {
-		return nil, Problem(CodeNotProposed, "plan %s is %s, not %s%s", p.ID, p.Status, from, because(p))
+		return nil, Problem(CodeNotProposed, "plan %s is %s, not %s%s", p.ID, p.Status, from, reasonSuffix(p))
 	}
 	kind := state.KindPlanRejected
 	if to == intent.Cancelled {
@@ -209,7 +209,7 @@
 	if _, err := s.commit(r, operator, kind, state.PlanRef{Plan: p.ID}); err != nil {
 		return nil, err
 	}
-	return s.find(p.ID)
+	return s.findPlan(p.ID)
 }
 
 // Progress is the answer to GET /plans/{id}/progress.
@@ -232,9 +232,9 @@
 }
 
 // Done reports whether every box that answers serves the plan's version.
-func (p *Progress) Done() bool { return p.Serving > 0 && p.Serving == p.reached() }
+func (p *Progress) Done() bool { return p.Serving > 0 && p.Serving == p.reachedBoxes() }
 
-func (p *Progress) reached() int {
+func (p *Progress) reachedBoxes() int {
 	n := 0
 	for _, b := range p.Boxes {
 		if b.Reached {
@@ -245,7 +245,7 @@
 }
 
 func (s *Server) progress(r *http.Request, _ string) (any, error) {
-	p, err := s.find(id(r))
+	p, err := s.findPlan(pathID(r))
 	if err != nil {
 		return nil, err
 	}
@@ -255,12 +255,12 @@
 	}
 	out := &Progress{Plan: p}
 	for _, step := range p.Steps {
-		out.add(step, byID[step.Box])
+		out.addBox(step, byID[step.Box])
 	}
 	return out, nil
 }
 
-func (p *Progress) add(step intent.Step, b BoxStatus) {
+func (p *Progress) addBox(step intent.Step, b BoxStatus) {
 	bp := BoxProgress{Step: step, Reached: b.Reached, Copy: peer.Copy{State: weights.Absent}}
 	for _, c := range b.Status.Copies {
 		if c.Ref == p.Plan.Intent.Ref {
--- a/admin/plans_test.go
+++ b/admin/plans_test.go
@@ -14,7 +14,7 @@
 
 // TestCandidatesKnowTheirEngine leaves out boxes whose memory would be taken
 // for unbounded only because nobody has asked the engine yet.
-func TestCandidatesKnowTheirEngine(t *testing.T) {
+func TestCandidatesRequireKnownEngine(t *testing.T) {
 	box := func(id string, s membership.ListState) membership.Box {
 		return membership.Box{ID: id, Role: membership.Endpoint, State: s}
 	}
--- a/admin/problem.go
+++ b/admin/problem.go
@@ -55,7 +55,7 @@
 	Error *Error `json:"error"`
 }
 
-var statuses = map[Code]int{
+var httpStatusOf = map[Code]int{
 	CodeInvalid:      http.StatusBadRequest,
 	CodeUnauthorized: http.StatusUnauthorized,
 	CodeForbidden:    http.StatusForbidden,
@@ -72,7 +72,7 @@
 }
 
 // problemOf turns an error of the decision packages into an Error.
-func problemOf(err error) *Error {
+func errorOf(err error) *Error {
 	var e *Error
 	switch {
 	case errors.As(err, &e):
--- a/admin/server.go
+++ b/admin/server.go
@@ -34,7 +34,7 @@
 const commitTimeout = 10 * time.Second
 
 // bootstrap is the name of the operator whose key stands in the settings.
-const bootstrap = "bootstrap"
+const bootstrapOperator = "bootstrap"
 
 // World is what the API needs to know beyond the log.
 type World interface {
@@ -69,7 +69,7 @@
 }
 
 // call is a handler that knows the operator and returns what to answer.
-type call func(r *http.Request, operator string) (any, error)
+type operatorHandler func(r *http.Request, operator string) (any, error)
 
 // Routes returns the API's routes.
 func (s *Server) Routes() []httpserve.Route {
@@ -93,25 +93,25 @@
 	}
 }
 
-func (s *Server) route(method, path string, c call) httpserve.Route {
+func (s *Server) route(method, path string, c operatorHandler) httpserve.Route {
 	return httpserve.Route{Method: method, Path: Prefix + path, Handler: func(w http.ResponseWriter, r *http.Request) {
 		operator, problem := s.authenticate(r)
 		if problem != nil {
 			s.Logger.Info("refused", "code", string(problem.Code), "from", r.RemoteAddr, "path", r.URL.Path)
-			writeProblem(w, problem)
+			writeError(w, problem)
 			return
 		}
 		body, err := c(r, operator)
 		if err != nil {
-			writeProblem(w, problemOf(err))
+			writeError(w, errorOf(err))
 			return
 		}
 		httpserve.WriteJSON(w, http.StatusOK, body)
 	}}
 }
 
-func writeProblem(w http.ResponseWriter, e *Error) {
-	httpserve.WriteJSON(w, statuses[e.Code], errorBody{Error: e})
+func writeError(w http.ResponseWriter, e *Error) {
+	httpserve.WriteJSON(w, httpStatusOf[e.Code], errorBody{Error: e})
 }
 
 // authenticate finds the operator whose key the request carries.
@@ -121,7 +121,7 @@
 		return "", Problem(CodeUnauthorized, "no operator key: send it as \"Authorization: Bearer KEY\"")
 	}
 	if first := s.Bootstrap(); first != "" && workspace.HashKey(first).Matches(key) {
-		return bootstrap, nil
+		return bootstrapOperator, nil
 	}
 	name := ""
 	s.Replica.View(func(st *state.State) {
@@ -162,10 +162,10 @@
 }
 
 // silentAfter is when the API calls the log silent.
-const silentAfter = 10 * time.Second
+const logUnresponsiveAfter = 10 * time.Second
 
 func (s *Server) status(*http.Request, string) (any, error) {
-	out := Status{Gateway: s.World.Self(), LogSilent: time.Since(s.Replica.Contact()) > silentAfter}
+	out := Status{Gateway: s.World.Self(), LogSilent: time.Since(s.Replica.Contact()) > logUnresponsiveAfter}
 	s.Replica.View(func(st *state.State) {
 		out.Digest = string(st.Digest())
 		out.Workspaces, out.Plans, out.Homes = len(st.Workspaces), len(st.Plans), len(st.Homes)
@@ -177,5 +177,5 @@
 	return s.World.Sweep(r.Context()), nil
 }
 
-func name(r *http.Request) string { return pathvar.Vars(r)["name"] }
-func id(r *http.Request) string   { return pathvar.Vars(r)["id"] }
+func pathName(r *http.Request) string { return pathvar.Vars(r)["name"] }
+func pathID(r *http.Request) string   { return pathvar.Vars(r)["id"] }
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -29,7 +29,7 @@
 }
 
 // minKey is the least length of a key, in characters.
-const minKey = 16
+const minKeyLength = 16
 
 func (s *Server) workspaces(*http.Request, string) (any, error) {
 	var out []workspace.Workspace
@@ -46,7 +46,7 @@
 	if err := httpserve.ReadJSON(r, &c); err != nil {
 		return nil, err
 	}
-	w := workspace.Workspace{Name: name(r)}
+	w := workspace.Workspace{Name: pathName(r)}
 	s.Replica.View(func(st *state.State) {
 		if old, ok := st.Workspaces[w.Name]; ok {
 			w = old
@@ -55,7 +55,7 @@
 	if err := c.apply(&w); err != nil {
 		return nil, err
 	}
-	if err := s.keyFree(w); err != nil {
+	if err := s.checkKeyUnused(w); err != nil {
 		return nil, err
 	}
 	if _, err := s.commit(r, operator, state.KindWorkspaceSet, state.WorkspaceSet{Workspace: w}); err != nil {
@@ -67,8 +67,8 @@
 
 func (c *WorkspaceChange) apply(w *workspace.Workspace) error {
 	if c.Key != nil {
-		if len(*c.Key) < minKey {
-			return Problem(CodeInvalid, "key of %d characters (want %d or more)", len(*c.Key), minKey)
+		if len(*c.Key) < minKeyLength {
+			return Problem(CodeInvalid, "key of %d characters (want %d or more)", len(*c.Key), minKeyLength)
 		}
 		w.KeyHash = workspace.HashKey(*c.Key)
 	}
@@ -85,7 +85,7 @@
 }
 
 // keyFree refuses a key that another workspace has.
-func (s *Server) keyFree(w workspace.Workspace) error {
+func (s *Server) checkKeyUnused(w workspace.Workspace) error {
 	owner := ""
 	s.Replica.View(func(st *state.State) {
 		for _, o := range st.Workspaces {
@@ -102,12 +102,12 @@
 
 func (s *Server) removeWorkspace(r *http.Request, operator string) (any, error) {
 	found := false
-	s.Replica.View(func(st *state.State) { _, found = st.Workspaces[name(r)] })
+	s.Replica.View(func(st *state.State) { _, found = st.Workspaces[pathName(r)] })
 	if !found {
-		return nil, Problem(CodeNotFound, "workspace %q does not exist", name(r))
+		return nil, Problem(CodeNotFound, "workspace %q does not exist", pathName(r))
 	}
-	_, err := s.commit(r, operator, state.KindWorkspaceRemove, state.Name{Name: name(r)})
-	return state.Name{Name: name(r)}, err
+	_, err := s.commit(r, operator, state.KindWorkspaceRemove, state.Name{Name: pathName(r)})
+	return state.Name{Name: pathName(r)}, err
 }
 
 func (s *Server) operators(*http.Request, string) (any, error) {
@@ -121,20 +121,20 @@
 	if err := httpserve.ReadJSON(r, &c); err != nil {
 		return nil, err
 	}
-	if len(c.Key) < minKey {
-		return nil, Problem(CodeInvalid, "key of %d characters (want %d or more)", len(c.Key), minKey)
+	if len(c.Key) < minKeyLength {
+		return nil, Problem(CodeInvalid, "key of %d characters (want %d or more)", len(c.Key), minKeyLength)
 	}
-	o := workspace.Operator{Name: name(r), KeyHash: workspace.HashKey(c.Key)}
+	o := workspace.Operator{Name: pathName(r), KeyHash: workspace.HashKey(c.Key)}
 	_, err := s.commit(r, operator, state.KindOperatorSet, state.OperatorSet{Operator: o})
 	return state.Name{Name: o.Name}, err
 }
 
 func (s *Server) removeOperator(r *http.Request, operator string) (any, error) {
 	found := false
-	s.Replica.View(func(st *state.State) { _, found = st.Operators[name(r)] })
+	s.Replica.View(func(st *state.State) { _, found = st.Operators[pathName(r)] })
 	if !found {
-		return nil, Problem(CodeNotFound, "operator %q does not exist", name(r))
+		return nil, Problem(CodeNotFound, "operator %q does not exist", pathName(r))
 	}
-	_, err := s.commit(r, operator, state.KindOperatorRemove, state.Name{Name: name(r)})
-	return state.Name{Name: name(r)}, err
+	_, err := s.commit(r, operator, state.KindOperatorRemove, state.Name{Name: pathName(r)})
+	return state.Name{Name: pathName(r)}, err
 }
