--- a/admin/client.go
+++ b/admin/client.go
@@ -15,7 +15,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// Client calls the administration API. Errors of the API come back as
+// Client is a client of the administration API. Errors of the API are returned as
 // *Error.
 type Client struct {
 	Call    *mcall.Client
@@ -29,6 +29,8 @@
 	return &Client{Call: mcall.New("admin", o), Address: address}
 }
 
+// do calls the API with the JSON of in and decodes the response into out; either
+// may be nil. Errors are of type *Error.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	err := c.Call.JSON(ctx, method, c.Call.URL(c.Address, Prefix+path), in, out)
 	var se *mcall.StatusError
@@ -45,25 +47,25 @@
 	return Problem(CodeUnavailable, "the gateway answers %v", se)
 }
 
-// Status describes the gateway.
+// Status returns the status of the gateway.
 func (c *Client) Status(ctx context.Context) (out Status, err error) {
 	err = c.do(ctx, http.MethodGet, "/status", nil, &out)
 	return out, err
 }
 
-// Boxes lists the boxes and what their processes say.
+// Boxes lists the boxes with the status of their processes.
 func (c *Client) Boxes(ctx context.Context) (out []BoxStatus, err error) {
 	err = c.do(ctx, http.MethodGet, "/boxes", nil, &out)
 	return out, err
 }
 
-// Workspaces lists the workspaces, without keys.
+// Workspaces lists the workspaces by name, without keys.
 func (c *Client) Workspaces(ctx context.Context) (out []workspace.Workspace, err error) {
 	err = c.do(ctx, http.MethodGet, "/workspaces", nil, &out)
 	return out, err
 }
 
-// SetWorkspace adds or changes a workspace.
+// SetWorkspace adds or changes a workspace and returns it without its key.
 func (c *Client) SetWorkspace(ctx context.Context, name string, w WorkspaceChange) (out workspace.Workspace, err error) {
 	err = c.do(ctx, http.MethodPut, "/workspaces/"+url.PathEscape(name), w, &out)
 	return out, err
@@ -79,7 +81,7 @@
 	return c.do(ctx, http.MethodPut, "/operators/"+url.PathEscape(name), OperatorChange{Key: key}, nil)
 }
 
-// CreateIntent asks for a plan.
+// CreateIntent proposes a plan for an intent.
 func (c *Client) CreateIntent(ctx context.Context, in intent.Intent) (out *intent.Plan, err error) {
 	err = c.do(ctx, http.MethodPost, "/intents", in, &out)
 	return out, err
@@ -97,25 +99,26 @@
 	return out, err
 }
 
-// Progress tells how far a plan has come.
+// Progress returns the progress of a plan.
 func (c *Client) Progress(ctx context.Context, id string) (out *Progress, err error) {
 	err = c.do(ctx, http.MethodGet, "/plans/"+url.PathEscape(id)+"/progress", nil, &out)
 	return out, err
 }
 
-// Confirm puts a plan in force. A conflict's Error carries a fresh plan.
+// Confirm confirms a proposed plan. After a conflict the returned *Error may
+// carry a new plan for the same intent.
 func (c *Client) Confirm(ctx context.Context, id string) (out *intent.Plan, err error) {
 	err = c.do(ctx, http.MethodPost, "/plans/"+url.PathEscape(id)+"/confirm", nil, &out)
 	return out, err
 }
 
-// Reject ends a proposed plan.
+// Reject rejects a proposed plan.
 func (c *Client) Reject(ctx context.Context, id string) (out *intent.Plan, err error) {
 	err = c.do(ctx, http.MethodPost, "/plans/"+url.PathEscape(id)+"/reject", nil, &out)
 	return out, err
 }
 
-// Cancel takes a confirmed plan back; the plan before it is in force again.
+// Cancel cancels a confirmed plan; the previous plan takes effect again.
 func (c *Client) Cancel(ctx context.Context, id string) (out *intent.Plan, err error) {
 	err = c.do(ctx, http.MethodPost, "/plans/"+url.PathEscape(id)+"/cancel", nil, &out)
 	return out, err
--- a/admin/plans.go
+++ b/admin/plans.go
@@ -18,7 +18,8 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// createIntent answers an intent with a plan. Nothing moves.
+// createIntent proposes a plan for the intent in the request. No weights are
+// transferred before the plan is confirmed.
 func (s *Server) createIntent(r *http.Request, operator string) (any, error) {
 	var in intent.Intent
 	if err := httpserve.ReadJSON(r, &in); err != nil {
@@ -28,6 +29,7 @@
 	return s.propose(r, operator, in)
 }
 
+// propose makes a plan for an intent and records it as proposed.
 func (s *Server) propose(r *http.Request, operator string, in intent.Intent) (*intent.Plan, error) {
 	if err := in.Validate(); err != nil {
 		return nil, err
@@ -49,8 +51,8 @@
 	return plan, nil
 }
 
-// workspacesExist spares the weight store and the boxes an intent that
-// cannot be planned anyway.
+// checkWorkspacesExist rejects an intent with an unknown workspace before the
+// weight store and the boxes are called for it.
 func (s *Server) checkWorkspacesExist(in intent.Intent) error {
 	var err error
 	s.Replica.View(func(st *state.State) {
@@ -64,9 +66,8 @@
 	return err
 }
 
-// world is the state of everything that a plan is made from. The offset is
-// taken before the sweep, so that a record that comes meanwhile counts as
-// later.
+// snapshot returns the input of the planner. Its offset is taken before the boxes
+// are probed, so that a record appended meanwhile counts as later than the plan.
 func (s *Server) snapshot(r *http.Request) intent.World {
 	w := intent.World{
 		Now:        time.Now(),
@@ -86,8 +87,8 @@
 	return w
 }
 
-// Candidates are the boxes that answered, do not drain and know their
-// engine, as a planner sees them.
+// Candidates returns the boxes that responded, are not draining and report the
+// state of their engine, if they have one, as input of the planner.
 func Candidates(st *state.State, boxes []BoxStatus) []intent.Candidate {
 	var out []intent.Candidate
 	for _, b := range boxes {
@@ -95,7 +96,7 @@
 			continue
 		}
 		if b.Box.Service == "" && !b.Status.EngineKnown {
-			continue // its memory and what it serves are not known yet
+			continue // its memory and loaded versions are not known yet
 		}
 		c := intent.Candidate{Box: b.Box, MemoryBytes: b.Status.MemoryBytes}
 		for _, l := range b.Status.Loaded {
@@ -106,7 +107,8 @@
 	return out
 }
 
-// routedTo are the workspaces that are answered by a version now.
+// workspacesRoutedTo returns the sorted names of the workspaces whose requests are
+// routed to a version.
 func workspacesRoutedTo(st *state.State, ref weights.Ref) []string {
 	var out []string
 	for name := range st.Workspaces {
@@ -130,6 +132,7 @@
 
 func (s *Server) plan(r *http.Request, _ string) (any, error) { return s.findPlan(pathID(r)) }
 
+// findPlan returns the plan with an ID, or a CodeNotFound error.
 func (s *Server) findPlan(id string) (*intent.Plan, error) {
 	var p *intent.Plan
 	s.Replica.View(func(st *state.State) { p = st.Plans[id] })
@@ -139,8 +142,9 @@
 	return p, nil
 }
 
-// confirm puts a plan in force, if the log's order lets it. A plan that
-// conflicts is answered with the reason and a fresh plan.
+// confirm confirms a plan. Whether the confirmation takes effect is decided by the
+// order of the event log; a conflict is reported with its reason and a new plan
+// for the same intent.
 func (s *Server) confirm(r *http.Request, operator string) (any, error) {
 	p, err := s.findPlan(pathID(r))
 	if err != nil {
@@ -162,6 +166,8 @@
 	return nil, s.confirmError(r, operator, p)
 }
 
+// reasonSuffix returns the reason for a plan's status as the end of an error
+// message.
 func reasonSuffix(p *intent.Plan) string {
 	if p.Reason == "" {
 		return ""
@@ -169,7 +175,7 @@
 	return ": " + p.Reason
 }
 
-// lost says why a confirmation did not take effect.
+// confirmError returns the reason why a confirmation did not take effect.
 func (s *Server) confirmError(r *http.Request, operator string, p *intent.Plan) error {
 	switch p.Status {
 	case intent.Expired:
@@ -194,6 +200,8 @@
 	return s.endPlan(r, operator, intent.Confirmed, intent.Cancelled)
 }
 
+// endPlan changes a plan's status from one to the other, which is Rejected or
+// Cancelled.
 func (s *Server) endPlan(r *http.Request, operator string, from, to intent.Status) (any, error) {
 	p, err := s.findPlan(pathID(r))
 	if err != nil {
@@ -212,28 +220,33 @@
 	return s.findPlan(p.ID)
 }
 
-// Progress is the answer to GET /plans/{id}/progress.
+// Progress is the response to GET /plans/{id}/progress.
 type Progress struct {
 	Plan  *intent.Plan  `json:"plan"`
 	Boxes []BoxProgress `json:"boxes"`
-	// OriginBytes and PeerBytes are sums over the boxes that answer.
+	// OriginBytes, PeerBytes, CrossBytes and BadChunks are sums over the boxes
+	// that respond.
 	OriginBytes int64 `json:"origin_bytes"`
 	PeerBytes   int64 `json:"peer_bytes"`
 	CrossBytes  int64 `json:"cross_bytes"`
 	BadChunks   int64 `json:"bad_chunks"`
-	Serving     int   `json:"serving"`
+	// Serving is the number of boxes that serve the plan's version.
+	Serving int `json:"serving"`
 }
 
-// BoxProgress is one box's copy.
+// BoxProgress is the progress of one box's copy of the version.
 type BoxProgress struct {
-	Step    intent.Step `json:"step"`
-	Reached bool        `json:"reached"`
-	Copy    peer.Copy   `json:"copy"`
+	Step intent.Step `json:"step"`
+	// Reached reports whether the box's process responded.
+	Reached bool      `json:"reached"`
+	Copy    peer.Copy `json:"copy"`
 }
 
-// Done reports whether every box that answers serves the plan's version.
+// Done reports whether every box that responds serves the plan's version, and at
+// least one does.
 func (p *Progress) Done() bool { return p.Serving > 0 && p.Serving == p.reachedBoxes() }
 
+// reachedBoxes returns the number of boxes that responded.
 func (p *Progress) reachedBoxes() int {
 	n := 0
 	for _, b := range p.Boxes {
@@ -260,6 +273,7 @@
 	return out, nil
 }
 
+// addBox adds the progress of a step's box and updates the sums.
 func (p *Progress) addBox(step intent.Step, b BoxStatus) {
 	bp := BoxProgress{Step: step, Reached: b.Reached, Copy: peer.Copy{State: weights.Absent}}
 	for _, c := range b.Status.Copies {
--- a/admin/problem.go
+++ b/admin/problem.go
@@ -13,11 +13,11 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Code names what kind of error an answer reports. Scripts go by it, and
-// the command line's exit codes follow from it.
+// Code is the kind of an error. It is part of the API, for scripts, and determines
+// the exit codes of the command line.
 type Code string
 
-// The codes.
+// Codes of errors.
 const (
 	CodeInvalid      Code = "invalid"
 	CodeUnauthorized Code = "unauthorized"
@@ -38,23 +38,24 @@
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Plan is a fresh plan, where a conflict led to one.
+	// Plan is a new plan for the same intent, which may come with a conflict.
 	Plan *intent.Plan `json:"plan,omitempty"`
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string { return e.Message }
 
-// Problem returns an Error.
+// Errorf returns an Error with a formatted message.
 func Problem(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// errorBody is the JSON of an error answer.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error *Error `json:"error"`
 }
 
+// httpStatusOf is the HTTP status of a response with a code.
 var httpStatusOf = map[Code]int{
 	CodeInvalid:      http.StatusBadRequest,
 	CodeUnauthorized: http.StatusUnauthorized,
@@ -71,7 +72,7 @@
 	CodeUnsettled:    http.StatusGatewayTimeout,
 }
 
-// problemOf turns an error of the decision packages into an Error.
+// errorOf converts an error of the other packages to an Error with a code.
 func errorOf(err error) *Error {
 	var e *Error
 	switch {
--- a/admin/server.go
+++ b/admin/server.go
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package admin is the administration API of a gateway, under /admin/v1,
-// and its client. docs/API.md shows each call.
+// and its client. docs/API.md describes each call.
 //
-// Every change is a record in the log: a call answers once its record has
-// come back through the log, so what it reports is in force by the log's
-// order. While the log is out nothing is accepted, and the answer says so.
+// Every change is a record in the event log. A call returns once the gateway's
+// replica has read its record back from the log, so that the response shows the
+// state as decided by the log's order. While the log is unavailable, changes are
+// rejected with an error.
 package admin
 
 import (
@@ -27,48 +28,50 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// Prefix is the path that all calls start with.
+// Prefix is the path prefix of all calls.
 const Prefix = "/admin/v1"
 
-// commitTimeout bounds how long a change may take to be accepted.
+// commitTimeout is the timeout for a change to be appended and read back.
 const commitTimeout = 10 * time.Second
 
-// bootstrap is the name of the operator whose key stands in the settings.
+// bootstrapOperator is the name of the operator whose key is in the settings.
 const bootstrapOperator = "bootstrap"
 
-// World is what the API needs to know beyond the log.
+// Cluster provides what the API reads from outside the event log.
 type World interface {
-	// Sweep asks every endpoint's sidecar how it is.
+	// ProbeEndpoints requests the status of every listed endpoint's sidecar.
 	Sweep(ctx context.Context) []BoxStatus
 	// Manifest reads a version's manifest from the weight store.
 	Manifest(ctx context.Context, ref weights.Ref) (*weights.Manifest, error)
-	// Links are the rates that forecasts reckon with.
+	// Links returns the link rates for forecasts.
 	Links() intent.Links
-	// Self describes the gateway.
+	// Self returns the status of the gateway itself.
 	Self() peer.Status
 }
 
-// BoxStatus is a listed box and what its process says.
+// BoxStatus is a listed box and the status of its process.
 type BoxStatus struct {
 	Box membership.Box `json:"box"`
-	// Reached says that the process answered; Status is empty otherwise.
+	// Reached reports whether the process responded; otherwise Status is empty.
 	Reached bool        `json:"reached"`
 	Status  peer.Status `json:"status"`
 }
 
-// Server answers the API. All fields are needed.
+// Server serves the API. All fields are required.
 type Server struct {
 	Replica *state.Replica
 	Journal *eventlog.Client
 	World   World
-	// Bootstrap returns the key of the first operator, or "".
+	// Bootstrap returns the key of the bootstrap operator, or "" if there is none.
 	Bootstrap func() string
 	Logger    logr.Logger
 	Weighing  intent.Weighing
-	PlanTTL   time.Duration
+	// PlanTTL is how long a proposed plan can be confirmed.
+	PlanTTL time.Duration
 }
 
-// call is a handler that knows the operator and returns what to answer.
+// operatorHandler handles a request of an authenticated operator and returns the
+// body of the response.
 type operatorHandler func(r *http.Request, operator string) (any, error)
 
 // Routes returns the API's routes.
@@ -93,15 +96,16 @@
 	}
 }
 
-func (s *Server) route(method, path string, c operatorHandler) httpserve.Route {
+// route returns a route whose requests are authenticated before handle is called.
+func (s *Server) route(method, path string, handle operatorHandler) httpserve.Route {
 	return httpserve.Route{Method: method, Path: Prefix + path, Handler: func(w http.ResponseWriter, r *http.Request) {
-		operator, problem := s.authenticate(r)
-		if problem != nil {
-			s.Logger.Info("refused", "code", string(problem.Code), "from", r.RemoteAddr, "path", r.URL.Path)
-			writeError(w, problem)
+		operator, denied := s.authenticate(r)
+		if denied != nil {
+			s.Logger.Info("operator not authenticated", "code", string(denied.Code), "from", r.RemoteAddr, "path", r.URL.Path)
+			writeError(w, denied)
 			return
 		}
-		body, err := c(r, operator)
+		body, err := handle(r, operator)
 		if err != nil {
 			writeError(w, errorOf(err))
 			return
@@ -114,13 +118,14 @@
 	httpserve.WriteJSON(w, httpStatusOf[e.Code], errorBody{Error: e})
 }
 
-// authenticate finds the operator whose key the request carries.
+// authenticate returns the name of the operator whose key the request carries, or
+// an error with CodeUnauthorized or CodeForbidden.
 func (s *Server) authenticate(r *http.Request) (string, *Error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return "", Problem(CodeUnauthorized, "no operator key: send it as \"Authorization: Bearer KEY\"")
 	}
-	if first := s.Bootstrap(); first != "" && workspace.HashKey(first).Matches(key) {
+	if bootstrapKey := s.Bootstrap(); bootstrapKey != "" && workspace.HashKey(bootstrapKey).Matches(key) {
 		return bootstrapOperator, nil
 	}
 	name := ""
@@ -137,8 +142,8 @@
 	return name, nil
 }
 
-// commit writes a record and waits until it has come back. It returns the
-// record's id.
+// commit appends a record to the event log and waits until the replica has applied
+// it. It returns the record's ID.
 func (s *Server) commit(r *http.Request, operator string, kind eventlog.Kind, body any) (string, error) {
 	rec, err := eventlog.NewRecord(kind, operator, time.Now(), body)
 	if err != nil {
@@ -149,19 +154,22 @@
 	return rec.ID, eventlog.Commit(ctx, s.Journal, s.Replica, rec)
 }
 
-// Status is the answer to GET /status.
+// Status is the response to GET /status.
 type Status struct {
-	Gateway    peer.Status `json:"gateway"`
-	Digest     string      `json:"digest"`
-	Workspaces int         `json:"workspaces"`
-	Plans      int         `json:"plans"`
-	Homes      int         `json:"homes"`
-	// LogSilent says that the log has not been heard for a while: changes
-	// are not accepted, requests go on with the last state.
+	Gateway peer.Status `json:"gateway"`
+	// Digest is the digest of the replicated state.
+	Digest string `json:"digest"`
+	// Workspaces, Plans and Homes are numbers of entries in the state.
+	Workspaces int `json:"workspaces"`
+	Plans      int `json:"plans"`
+	Homes      int `json:"homes"`
+	// LogUnresponsive reports that the event log has not responded for a while:
+	// changes are rejected, requests are served with the last state.
 	LogSilent bool `json:"log_silent"`
 }
 
-// silentAfter is when the API calls the log silent.
+// logUnresponsiveAfter is the time without contact to the event log after which
+// it is reported as unresponsive.
 const logUnresponsiveAfter = 10 * time.Second
 
 func (s *Server) status(*http.Request, string) (any, error) {
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -13,22 +13,25 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// WorkspaceChange is the body of PUT /workspaces/{name}. A field that is
-// left out keeps its value; a new workspace needs a key and a priority.
+// WorkspaceChange is the body of PUT /workspaces/{name}. Omitted fields keep their
+// values; a new workspace requires a key and a priority.
 type WorkspaceChange struct {
-	// Key is the plain key; it is hashed before it goes to the log.
+	// Key is the key in plain text; only its hash is written to the event log.
 	Key         *string `json:"key,omitempty"`
 	Priority    *int    `json:"priority,omitempty"`
 	MaxInFlight *int    `json:"max_in_flight,omitempty"`
-	Floor       *int    `json:"floor,omitempty"`
+	// Floor is the least number of boxes that must keep serving the workspace
+	// during a rollout.
+	Floor *int `json:"floor,omitempty"`
 }
 
 // OperatorChange is the body of PUT /operators/{name}.
 type OperatorChange struct {
+	// Key is the key in plain text; only its hash is written to the event log.
 	Key string `json:"key"`
 }
 
-// minKey is the least length of a key, in characters.
+// minKeyLength is the least length of a key, in bytes.
 const minKeyLength = 16
 
 func (s *Server) workspaces(*http.Request, string) (any, error) {
@@ -65,6 +68,7 @@
 	return w, nil
 }
 
+// apply sets the fields of w that are not omitted, and validates w.
 func (c *WorkspaceChange) apply(w *workspace.Workspace) error {
 	if c.Key != nil {
 		if len(*c.Key) < minKeyLength {
@@ -84,7 +88,7 @@
 	return w.Validate()
 }
 
-// keyFree refuses a key that another workspace has.
+// checkKeyUnused returns an error if another workspace has the same key.
 func (s *Server) checkKeyUnused(w workspace.Workspace) error {
 	owner := ""
 	s.Replica.View(func(st *state.State) {
