--- a/admin/plans_test.go
+++ b/admin/plans_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintlift/mintlift/state"
 )
 
-// TestCandidatesKnowTheirEngine leaves out boxes whose memory would be taken
-// for unbounded only because nobody has asked the engine yet.
+// Boxes whose engine state is unknown must not be candidates: their memory would
+// count as unbounded. Neither may be unresponsive or draining boxes.
 func TestCandidatesRequireKnownEngine(t *testing.T) {
 	box := func(id string, s membership.ListState) membership.Box {
 		return membership.Box{ID: id, Role: membership.Endpoint, State: s}
@@ -21,9 +21,9 @@
 	got := Candidates(state.New(), []BoxStatus{
 		{Box: box("new", membership.Live), Reached: true},
 		{Box: box("known", membership.Live), Reached: true, Status: peer.Status{EngineKnown: true, MemoryBytes: 7}},
-		{Box: box("silent", membership.Live), Status: peer.Status{EngineKnown: true}},
-		{Box: box("drains", membership.Live), Reached: true, Status: peer.Status{EngineKnown: true, Draining: true}},
-		{Box: box("leaves", membership.Leaving), Reached: true, Status: peer.Status{EngineKnown: true}},
+		{Box: box("unresponsive", membership.Live), Status: peer.Status{EngineKnown: true}},
+		{Box: box("draining", membership.Live), Reached: true, Status: peer.Status{EngineKnown: true, Draining: true}},
+		{Box: box("leaving", membership.Leaving), Reached: true, Status: peer.Status{EngineKnown: true}},
 	})
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].ID, "known")
