--- a/admin/plans.go
+++ b/admin/plans.go
@@ -18,7 +18,8 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// createIntent answers an intent with a plan. Nothing moves.
+// createIntent proposes a plan for the intent in the request. No weights are
+// transferred before the plan is confirmed.
 func (s *Server) createIntent(r *http.Request, operator string) (any, error) {
 	var in intent.Intent
 	if err := httpserve.ReadJSON(r, &in); err != nil {
@@ -28,18 +29,19 @@
 	return s.propose(r, operator, in)
 }
 
+// propose makes a plan for an intent and records it as proposed.
 func (s *Server) propose(r *http.Request, operator string, in intent.Intent) (*intent.Plan, error) {
 	if err := in.Validate(); err != nil {
 		return nil, err
 	}
-	if err := s.workspacesExist(in); err != nil {
+	if err := s.checkWorkspacesExist(in); err != nil {
 		return nil, err
 	}
 	m, err := s.World.Manifest(r.Context(), in.Ref)
 	if err != nil {
 		return nil, err
 	}
-	plan, err := intent.NewPlan(in, m, s.world(r))
+	plan, err := intent.NewPlan(in, m, s.snapshot(r))
 	if err != nil {
 		return nil, err
 	}
@@ -49,9 +51,9 @@
 	return plan, nil
 }
 
-// workspacesExist spares the weight store and the boxes an intent that
-// cannot be planned anyway.
-func (s *Server) workspacesExist(in intent.Intent) error {
+// checkWorkspacesExist rejects an intent with an unknown workspace before the
+// weight store and the boxes are called for it.
+func (s *Server) checkWorkspacesExist(in intent.Intent) error {
 	var err error
 	s.Replica.View(func(st *state.State) {
 		for _, name := range in.Workspaces {
@@ -64,10 +66,9 @@
 	return err
 }
 
-// world is the state of everything that a plan is made from. The offset is
-// taken before the sweep, so that a record that comes meanwhile counts as
-// later.
-func (s *Server) world(r *http.Request) intent.Snapshot {
+// snapshot returns the input of the planner. Its offset is taken before the boxes
+// are probed, so that a record appended meanwhile counts as later than the plan.
+func (s *Server) snapshot(r *http.Request) intent.Snapshot {
 	w := intent.Snapshot{
 		Now:        time.Now(),
 		Workspaces: make(map[string]workspace.Workspace),
@@ -86,8 +87,8 @@
 	return w
 }
 
-// Candidates are the boxes that answered, do not drain and know their
-// engine, as a planner sees them.
+// Candidates returns the boxes that responded, are not draining and report the
+// state of their engine, if they have one, as input of the planner.
 func Candidates(st *state.State, boxes []BoxStatus) []intent.Candidate {
 	var out []intent.Candidate
 	for _, b := range boxes {
@@ -95,19 +96,20 @@
 			continue
 		}
 		if b.Box.Service == "" && !b.Status.EngineKnown {
-			continue // its memory and what it serves are not known yet
+			continue // its memory and loaded versions are not known yet
 		}
 		c := intent.Candidate{Box: b.Box, MemoryBytes: b.Status.MemoryBytes}
 		for _, l := range b.Status.Loaded {
-			c.Loaded = append(c.Loaded, intent.LoadedVersion{Ref: l.Ref, Bytes: l.Bytes, Workspaces: routedTo(st, l.Ref)})
+			c.Loaded = append(c.Loaded, intent.LoadedVersion{Ref: l.Ref, Bytes: l.Bytes, Workspaces: workspacesRoutedTo(st, l.Ref)})
 		}
 		out = append(out, c)
 	}
 	return out
 }
 
-// routedTo are the workspaces that are answered by a version now.
-func routedTo(st *state.State, ref weights.Ref) []string {
+// workspacesRoutedTo returns the sorted names of the workspaces whose requests are
+// routed to a version.
+func workspacesRoutedTo(st *state.State, ref weights.Ref) []string {
 	var out []string
 	for name := range st.Workspaces {
 		if slices.ContainsFunc(st.Route(name, ref.Model), func(p *intent.Plan) bool { return p.Intent.Ref == ref }) {
@@ -128,9 +130,10 @@
 	return out, nil
 }
 
-func (s *Server) plan(r *http.Request, _ string) (any, error) { return s.find(id(r)) }
+func (s *Server) plan(r *http.Request, _ string) (any, error) { return s.findPlan(pathID(r)) }
 
-func (s *Server) find(id string) (*intent.Plan, error) {
+// findPlan returns the plan with an ID, or a CodeNotFound error.
+func (s *Server) findPlan(id string) (*intent.Plan, error) {
 	var p *intent.Plan
 	s.Replica.View(func(st *state.State) { p = st.Plans[id] })
 	if p == nil {
@@ -139,38 +142,41 @@
 	return p, nil
 }
 
-// confirm puts a plan in force, if the log's order lets it. A plan that
-// conflicts is answered with the reason and a fresh plan.
+// confirm confirms a plan. Whether the confirmation takes effect is decided by the
+// order of the event log; a conflict is reported with its reason and a new plan
+// for the same intent.
 func (s *Server) confirm(r *http.Request, operator string) (any, error) {
-	p, err := s.find(id(r))
+	p, err := s.findPlan(pathID(r))
 	if err != nil {
 		return nil, err
 	}
 	if p.Status != intent.Proposed {
-		return nil, Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, because(p))
+		return nil, Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
 	}
 	recordID, err := s.commit(r, operator, state.KindPlanConfirmed, state.PlanRef{Plan: p.ID})
 	if err != nil {
 		return nil, err
 	}
-	if p, err = s.find(p.ID); err != nil {
+	if p, err = s.findPlan(p.ID); err != nil {
 		return nil, err
 	}
 	if p.ConfirmID == recordID {
 		return p, nil
 	}
-	return nil, s.lost(r, operator, p)
+	return nil, s.confirmError(r, operator, p)
 }
 
-func because(p *intent.Plan) string {
+// reasonSuffix returns the reason for a plan's status as the end of an error
+// message.
+func reasonSuffix(p *intent.Plan) string {
 	if p.Reason == "" {
 		return ""
 	}
 	return ": " + p.Reason
 }
 
-// lost says why a confirmation did not take effect.
-func (s *Server) lost(r *http.Request, operator string, p *intent.Plan) error {
+// confirmError returns the reason why a confirmation did not take effect.
+func (s *Server) confirmError(r *http.Request, operator string, p *intent.Plan) error {
 	switch p.Status {
 	case intent.Expired:
 		return Problem(CodeExpired, "plan %s was not confirmed: %s", p.ID, p.Reason)
@@ -182,25 +188,27 @@
 		}
 		return e
 	default:
-		return Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, because(p))
+		return Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
 	}
 }
 
 func (s *Server) reject(r *http.Request, operator string) (any, error) {
-	return s.end(r, operator, intent.Proposed, intent.Rejected)
+	return s.endPlan(r, operator, intent.Proposed, intent.Rejected)
 }
 
 func (s *Server) cancel(r *http.Request, operator string) (any, error) {
-	return s.end(r, operator, intent.Confirmed, intent.Cancelled)
+	return s.endPlan(r, operator, intent.Confirmed, intent.Cancelled)
 }
 
-func (s *Server) end(r *http.Request, operator string, from, to intent.Status) (any, error) {
-	p, err := s.find(id(r))
+// endPlan changes a plan's status from one to the other, which is Rejected or
+// Cancelled.
+func (s *Server) endPlan(r *http.Request, operator string, from, to intent.Status) (any, error) {
+	p, err := s.findPlan(pathID(r))
 	if err != nil {
 		return nil, err
 	}
 	if p.Status != from {
-		return nil, Problem(CodeNotProposed, "plan %s is %s, not %s%s", p.ID, p.Status, from, because(p))
+		return nil, Problem(CodeNotProposed, "plan %s is %s, not %s%s", p.ID, p.Status, from, reasonSuffix(p))
 	}
 	kind := state.KindPlanRejected
 	if to == intent.Cancelled {
@@ -209,32 +217,37 @@
 	if _, err := s.commit(r, operator, kind, state.PlanRef{Plan: p.ID}); err != nil {
 		return nil, err
 	}
-	return s.find(p.ID)
+	return s.findPlan(p.ID)
 }
 
-// Progress is the answer to GET /plans/{id}/progress.
+// Progress is the response to GET /plans/{id}/progress.
 type Progress struct {
 	Plan  *intent.Plan  `json:"plan"`
 	Boxes []BoxProgress `json:"boxes"`
-	// OriginBytes and PeerBytes are sums over the boxes that answer.
+	// OriginBytes, PeerBytes, CrossBytes and BadChunks are sums over the boxes
+	// that respond.
 	OriginBytes int64 `json:"origin_bytes"`
 	PeerBytes   int64 `json:"peer_bytes"`
 	CrossBytes  int64 `json:"cross_bytes"`
 	BadChunks   int64 `json:"bad_chunks"`
-	Serving     int   `json:"serving"`
+	// Serving is the number of boxes that serve the plan's version.
+	Serving int `json:"serving"`
 }
 
-// BoxProgress is one box's copy.
+// BoxProgress is the progress of one box's copy of the version.
 type BoxProgress struct {
-	Step    intent.Step     `json:"step"`
+	Step intent.Step `json:"step"`
+	// Reached reports whether the box's process responded.
 	Reached bool            `json:"reached"`
 	Copy    peer.CopyStatus `json:"copy"`
 }
 
-// Done reports whether every box that answers serves the plan's version.
-func (p *Progress) Done() bool { return p.Serving > 0 && p.Serving == p.reached() }
+// Done reports whether every box that responds serves the plan's version, and at
+// least one does.
+func (p *Progress) Done() bool { return p.Serving > 0 && p.Serving == p.reachedBoxes() }
 
-func (p *Progress) reached() int {
+// reachedBoxes returns the number of boxes that responded.
+func (p *Progress) reachedBoxes() int {
 	n := 0
 	for _, b := range p.Boxes {
 		if b.Reached {
@@ -245,7 +258,7 @@
 }
 
 func (s *Server) progress(r *http.Request, _ string) (any, error) {
-	p, err := s.find(id(r))
+	p, err := s.findPlan(pathID(r))
 	if err != nil {
 		return nil, err
 	}
@@ -255,12 +268,13 @@
 	}
 	out := &Progress{Plan: p}
 	for _, step := range p.Steps {
-		out.add(step, byID[step.Box])
+		out.addBox(step, byID[step.Box])
 	}
 	return out, nil
 }
 
-func (p *Progress) add(step intent.Step, b BoxStatus) {
+// addBox adds the progress of a step's box and updates the sums.
+func (p *Progress) addBox(step intent.Step, b BoxStatus) {
 	bp := BoxProgress{Step: step, Reached: b.Reached, Copy: peer.CopyStatus{State: weights.Absent}}
 	for _, c := range b.Status.Copies {
 		if c.Ref == p.Plan.Intent.Ref {
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -13,23 +13,26 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// WorkspaceChange is the body of PUT /workspaces/{name}. A field that is
-// left out keeps its value; a new workspace needs a key and a priority.
+// WorkspaceChange is the body of PUT /workspaces/{name}. Omitted fields keep their
+// values; a new workspace requires a key and a priority.
 type WorkspaceChange struct {
-	// Key is the plain key; it is hashed before it goes to the log.
+	// Key is the key in plain text; only its hash is written to the event log.
 	Key         *string `json:"key,omitempty"`
 	Priority    *int    `json:"priority,omitempty"`
 	MaxInFlight *int    `json:"max_in_flight,omitempty"`
-	Floor       *int    `json:"floor,omitempty"`
+	// Floor is the least number of boxes that must keep serving the workspace
+	// during a rollout.
+	Floor *int `json:"floor,omitempty"`
 }
 
 // OperatorChange is the body of PUT /operators/{name}.
 type OperatorChange struct {
+	// Key is the key in plain text; only its hash is written to the event log.
 	Key string `json:"key"`
 }
 
-// minKey is the least length of a key, in characters.
-const minKey = 16
+// minKeyLength is the least length of a key, in bytes.
+const minKeyLength = 16
 
 func (s *Server) workspaces(*http.Request, string) (any, error) {
 	var out []workspace.Workspace
@@ -46,7 +49,7 @@
 	if err := httpserve.ReadJSON(r, &c); err != nil {
 		return nil, err
 	}
-	w := workspace.Workspace{Name: name(r)}
+	w := workspace.Workspace{Name: pathName(r)}
 	s.Replica.View(func(st *state.State) {
 		if old, ok := st.Workspaces[w.Name]; ok {
 			w = old
@@ -55,7 +58,7 @@
 	if err := c.apply(&w); err != nil {
 		return nil, err
 	}
-	if err := s.keyFree(w); err != nil {
+	if err := s.checkKeyUnused(w); err != nil {
 		return nil, err
 	}
 	if _, err := s.commit(r, operator, state.KindWorkspaceSet, state.WorkspaceSet{Workspace: w}); err != nil {
@@ -65,10 +68,11 @@
 	return w, nil
 }
 
+// apply sets the fields of w that are not omitted, and validates w.
 func (c *WorkspaceChange) apply(w *workspace.Workspace) error {
 	if c.Key != nil {
-		if len(*c.Key) < minKey {
-			return Problem(CodeInvalid, "key of %d characters (want %d or more)", len(*c.Key), minKey)
+		if len(*c.Key) < minKeyLength {
+			return Problem(CodeInvalid, "key of %d characters (want %d or more)", len(*c.Key), minKeyLength)
 		}
 		w.KeyHash = workspace.HashKey(*c.Key)
 	}
@@ -84,8 +88,8 @@
 	return w.Validate()
 }
 
-// keyFree refuses a key that another workspace has.
-func (s *Server) keyFree(w workspace.Workspace) error {
+// checkKeyUnused returns an error if another workspace has the same key.
+func (s *Server) checkKeyUnused(w workspace.Workspace) error {
 	owner := ""
 	s.Replica.View(func(st *state.State) {
 		for _, o := range st.Workspaces {
@@ -102,12 +106,12 @@
 
 func (s *Server) removeWorkspace(r *http.Request, operator string) (any, error) {
 	found := false
-	s.Replica.View(func(st *state.State) { _, found = st.Workspaces[name(r)] })
+	s.Replica.View(func(st *state.State) { _, found = st.Workspaces[pathName(r)] })
 	if !found {
-		return nil, Problem(CodeNotFound, "workspace %q does not exist", name(r))
+		return nil, Problem(CodeNotFound, "workspace %q does not exist", pathName(r))
 	}
-	_, err := s.commit(r, operator, state.KindWorkspaceRemove, state.Name{Name: name(r)})
-	return state.Name{Name: name(r)}, err
+	_, err := s.commit(r, operator, state.KindWorkspaceRemove, state.Name{Name: pathName(r)})
+	return state.Name{Name: pathName(r)}, err
 }
 
 func (s *Server) operators(*http.Request, string) (any, error) {
@@ -121,20 +125,20 @@
 	if err := httpserve.ReadJSON(r, &c); err != nil {
 		return nil, err
 	}
-	if len(c.Key) < minKey {
-		return nil, Problem(CodeInvalid, "key of %d characters (want %d or more)", len(c.Key), minKey)
+	if len(c.Key) < minKeyLength {
+		return nil, Problem(CodeInvalid, "key of %d characters (want %d or more)", len(c.Key), minKeyLength)
 	}
-	o := workspace.Operator{Name: name(r), KeyHash: workspace.HashKey(c.Key)}
+	o := workspace.Operator{Name: pathName(r), KeyHash: workspace.HashKey(c.Key)}
 	_, err := s.commit(r, operator, state.KindOperatorSet, state.OperatorSet{Operator: o})
 	return state.Name{Name: o.Name}, err
 }
 
 func (s *Server) removeOperator(r *http.Request, operator string) (any, error) {
 	found := false
-	s.Replica.View(func(st *state.State) { _, found = st.Operators[name(r)] })
+	s.Replica.View(func(st *state.State) { _, found = st.Operators[pathName(r)] })
 	if !found {
-		return nil, Problem(CodeNotFound, "operator %q does not exist", name(r))
+		return nil, Problem(CodeNotFound, "operator %q does not exist", pathName(r))
 	}
-	_, err := s.commit(r, operator, state.KindOperatorRemove, state.Name{Name: name(r)})
-	return state.Name{Name: name(r)}, err
+	_, err := s.commit(r, operator, state.KindOperatorRemove, state.Name{Name: pathName(r)})
+	return state.Name{Name: pathName(r)}, err
 }
