--- a/admin/client.go
+++ b/admin/client.go
@@ -36,7 +36,7 @@
 	var se *mcall.StatusError
 	if !errors.As(err, &se) {
 		if err != nil {
-			return Problem(CodeUnavailable, "the gateway does not answer: %v", err)
+			return Errorf(CodeUnavailable, "the gateway does not answer: %v", err)
 		}
 		return nil
 	}
@@ -44,7 +44,7 @@
 	if json.Unmarshal([]byte(se.Body), &body) == nil && body.Error != nil {
 		return body.Error
 	}
-	return Problem(CodeUnavailable, "the gateway answers %v", se)
+	return Errorf(CodeUnavailable, "the gateway answers %v", se)
 }
 
 // Status returns the status of the gateway.
--- a/admin/plans.go
+++ b/admin/plans.go
@@ -37,7 +37,7 @@
 	if err := s.checkWorkspacesExist(in); err != nil {
 		return nil, err
 	}
-	m, err := s.World.Manifest(r.Context(), in.Ref)
+	m, err := s.Cluster.Manifest(r.Context(), in.Ref)
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 	s.Replica.View(func(st *state.State) {
 		for _, name := range in.Workspaces {
 			if _, ok := st.Workspaces[name]; !ok {
-				err = Problem(CodeNotFound, "workspace %q does not exist", name)
+				err = Errorf(CodeNotFound, "workspace %q does not exist", name)
 				return
 			}
 		}
@@ -72,7 +72,7 @@
 	w := intent.Snapshot{
 		Now:        time.Now(),
 		Workspaces: make(map[string]workspace.Workspace),
-		Links:      s.World.Links(),
+		Links:      s.Cluster.Links(),
 		Weighing:   s.Weighing,
 		TTL:        s.PlanTTL,
 	}
@@ -82,7 +82,7 @@
 			w.Workspaces[name] = ws
 		}
 	})
-	boxes := s.World.Sweep(r.Context())
+	boxes := s.Cluster.ProbeEndpoints(r.Context())
 	s.Replica.View(func(st *state.State) { w.Boxes = Candidates(st, boxes) })
 	return w
 }
@@ -137,7 +137,7 @@
 	var p *intent.Plan
 	s.Replica.View(func(st *state.State) { p = st.Plans[id] })
 	if p == nil {
-		return nil, Problem(CodeNotFound, "plan %q does not exist", id)
+		return nil, Errorf(CodeNotFound, "plan %q does not exist", id)
 	}
 	return p, nil
 }
@@ -151,7 +151,7 @@
 		return nil, err
 	}
 	if p.Status != intent.Proposed {
-		return nil, Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
+		return nil, Errorf(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
 	}
 	recordID, err := s.commit(r, operator, state.KindPlanConfirmed, state.PlanRef{Plan: p.ID})
 	if err != nil {
@@ -179,16 +179,16 @@
 func (s *Server) confirmError(r *http.Request, operator string, p *intent.Plan) error {
 	switch p.Status {
 	case intent.Expired:
-		return Problem(CodeExpired, "plan %s was not confirmed: %s", p.ID, p.Reason)
+		return Errorf(CodeExpired, "plan %s was not confirmed: %s", p.ID, p.Reason)
 	case intent.Conflicted:
-		e := Problem(CodeConflict, "plan %s was not confirmed: %s", p.ID, p.Reason)
+		e := Errorf(CodeConflict, "plan %s was not confirmed: %s", p.ID, p.Reason)
 		if fresh, err := s.propose(r, operator, p.Intent); err == nil {
 			e.Plan = fresh
 			e.Message += "; a fresh plan is " + fresh.ID
 		}
 		return e
 	default:
-		return Problem(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
+		return Errorf(CodeNotProposed, "plan %s is %s already%s", p.ID, p.Status, reasonSuffix(p))
 	}
 }
 
@@ -208,7 +208,7 @@
 		return nil, err
 	}
 	if p.Status != from {
-		return nil, Problem(CodeNotProposed, "plan %s is %s, not %s%s", p.ID, p.Status, from, reasonSuffix(p))
+		return nil, Errorf(CodeNotProposed, "plan %s is %s, not %s%s", p.ID, p.Status, from, reasonSuffix(p))
 	}
 	kind := state.KindPlanRejected
 	if to == intent.Cancelled {
@@ -263,7 +263,7 @@
 		return nil, err
 	}
 	byID := make(map[string]BoxStatus)
-	for _, b := range s.World.Sweep(r.Context()) {
+	for _, b := range s.Cluster.ProbeEndpoints(r.Context()) {
 		byID[b.Box.ID] = b
 	}
 	out := &Progress{Plan: p}
--- a/admin/problem.go
+++ b/admin/problem.go
@@ -19,19 +19,19 @@
 
 // Codes of errors.
 const (
-	CodeInvalid      Code = "invalid"
-	CodeUnauthorized Code = "unauthorized"
-	CodeForbidden    Code = "forbidden"
-	CodeNotFound     Code = "not_found"
-	CodeConflict     Code = "conflict"
-	CodeNotProposed  Code = "not_proposed"
-	CodeExpired      Code = "expired"
-	CodeBadManifest  Code = "bad_manifest"
-	CodeNoBoxes      Code = "no_boxes"
-	CodeFloor        Code = "floor"
-	CodeMemory       Code = "memory"
-	CodeUnavailable  Code = "unavailable"
-	CodeUnsettled    Code = "unsettled"
+	CodeInvalid        Code = "invalid"
+	CodeUnauthorized   Code = "unauthorized"
+	CodeForbidden      Code = "forbidden"
+	CodeNotFound       Code = "not_found"
+	CodeConflict       Code = "conflict"
+	CodeNotProposed    Code = "not_proposed"
+	CodeExpired        Code = "expired"
+	CodeBadManifest    Code = "bad_manifest"
+	CodeNoBoxes        Code = "no_boxes"
+	CodeFloor          Code = "floor"
+	CodeMemory         Code = "memory"
+	CodeUnavailable    Code = "unavailable"
+	CodeOutcomeUnknown Code = "unsettled"
 )
 
 // Error is an error of the administration API.
@@ -46,7 +46,7 @@
 func (e *Error) Error() string { return e.Message }
 
 // Errorf returns an Error with a formatted message.
-func Problem(code Code, format string, args ...any) *Error {
+func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
@@ -57,19 +57,19 @@
 
 // httpStatusOf is the HTTP status of a response with a code.
 var httpStatusOf = map[Code]int{
-	CodeInvalid:      http.StatusBadRequest,
-	CodeUnauthorized: http.StatusUnauthorized,
-	CodeForbidden:    http.StatusForbidden,
-	CodeNotFound:     http.StatusNotFound,
-	CodeConflict:     http.StatusConflict,
-	CodeNotProposed:  http.StatusConflict,
-	CodeExpired:      http.StatusConflict,
-	CodeBadManifest:  http.StatusUnprocessableEntity,
-	CodeNoBoxes:      http.StatusUnprocessableEntity,
-	CodeFloor:        http.StatusUnprocessableEntity,
-	CodeMemory:       http.StatusUnprocessableEntity,
-	CodeUnavailable:  http.StatusServiceUnavailable,
-	CodeUnsettled:    http.StatusGatewayTimeout,
+	CodeInvalid:        http.StatusBadRequest,
+	CodeUnauthorized:   http.StatusUnauthorized,
+	CodeForbidden:      http.StatusForbidden,
+	CodeNotFound:       http.StatusNotFound,
+	CodeConflict:       http.StatusConflict,
+	CodeNotProposed:    http.StatusConflict,
+	CodeExpired:        http.StatusConflict,
+	CodeBadManifest:    http.StatusUnprocessableEntity,
+	CodeNoBoxes:        http.StatusUnprocessableEntity,
+	CodeFloor:          http.StatusUnprocessableEntity,
+	CodeMemory:         http.StatusUnprocessableEntity,
+	CodeUnavailable:    http.StatusServiceUnavailable,
+	CodeOutcomeUnknown: http.StatusGatewayTimeout,
 }
 
 // errorOf converts an error of the other packages to an Error with a code.
@@ -79,22 +79,22 @@
 	case errors.As(err, &e):
 		return e
 	case errors.Is(err, intent.ErrUnknownWorkspace):
-		return Problem(CodeNotFound, "%v", err)
+		return Errorf(CodeNotFound, "%v", err)
 	case errors.Is(err, intent.ErrNoBoxes):
-		return Problem(CodeNoBoxes, "%v", err)
+		return Errorf(CodeNoBoxes, "%v", err)
 	case errors.Is(err, intent.ErrFloor):
-		return Problem(CodeFloor, "%v", err)
+		return Errorf(CodeFloor, "%v", err)
 	case errors.Is(err, intent.ErrNoMemory):
-		return Problem(CodeMemory, "%v", err)
+		return Errorf(CodeMemory, "%v", err)
 	case errors.Is(err, weights.ErrBadManifest):
-		return Problem(CodeBadManifest, "%v", err)
+		return Errorf(CodeBadManifest, "%v", err)
 	case errors.Is(err, eventlog.ErrOutcomeUnknown):
-		return Problem(CodeUnsettled, "it is not known whether the change was accepted: %v", err)
+		return Errorf(CodeOutcomeUnknown, "it is not known whether the change was accepted: %v", err)
 	case errors.Is(err, eventlog.ErrUnavailable):
-		return Problem(CodeUnavailable, "the change was not accepted, the log service does not answer: %v", err)
+		return Errorf(CodeUnavailable, "the change was not accepted, the log service does not answer: %v", err)
 	case errors.Is(err, errors.NotValid):
-		return Problem(CodeInvalid, "%v", err)
+		return Errorf(CodeInvalid, "%v", err)
 	default:
-		return Problem(CodeUnavailable, "%v", err)
+		return Errorf(CodeUnavailable, "%v", err)
 	}
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -38,9 +38,9 @@
 const bootstrapOperator = "bootstrap"
 
 // Cluster provides what the API reads from outside the event log.
-type World interface {
+type Cluster interface {
 	// ProbeEndpoints requests the status of every listed endpoint's sidecar.
-	Sweep(ctx context.Context) []BoxStatus
+	ProbeEndpoints(ctx context.Context) []BoxStatus
 	// Manifest reads a version's manifest from the weight store.
 	Manifest(ctx context.Context, ref weights.Ref) (*weights.Manifest, error)
 	// Links returns the link rates for forecasts.
@@ -61,7 +61,7 @@
 type Server struct {
 	Replica *state.Replica
 	Journal *eventlog.Client
-	World   World
+	Cluster Cluster
 	// Bootstrap returns the key of the bootstrap operator, or "" if there is none.
 	Bootstrap func() string
 	Logger    logr.Logger
@@ -123,7 +123,7 @@
 func (s *Server) authenticate(r *http.Request) (string, *Error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return "", Problem(CodeUnauthorized, "no operator key: send it as \"Authorization: Bearer KEY\"")
+		return "", Errorf(CodeUnauthorized, "no operator key: send it as \"Authorization: Bearer KEY\"")
 	}
 	if bootstrapKey := s.Bootstrap(); bootstrapKey != "" && workspace.HashKey(bootstrapKey).Matches(key) {
 		return bootstrapOperator, nil
@@ -137,7 +137,7 @@
 		}
 	})
 	if name == "" {
-		return "", Problem(CodeForbidden, "the key belongs to no operator")
+		return "", Errorf(CodeForbidden, "the key belongs to no operator")
 	}
 	return name, nil
 }
@@ -165,7 +165,7 @@
 	Homes      int `json:"homes"`
 	// LogUnresponsive reports that the event log has not responded for a while:
 	// changes are rejected, requests are served with the last state.
-	LogSilent bool `json:"log_silent"`
+	LogUnresponsive bool `json:"log_silent"`
 }
 
 // logUnresponsiveAfter is the time without contact to the event log after which
@@ -173,7 +173,7 @@
 const logUnresponsiveAfter = 10 * time.Second
 
 func (s *Server) status(*http.Request, string) (any, error) {
-	out := Status{Gateway: s.World.Self(), LogSilent: time.Since(s.Replica.Contact()) > logUnresponsiveAfter}
+	out := Status{Gateway: s.Cluster.Self(), LogUnresponsive: time.Since(s.Replica.Contact()) > logUnresponsiveAfter}
 	s.Replica.View(func(st *state.State) {
 		out.Digest = string(st.Digest())
 		out.Workspaces, out.Plans, out.Homes = len(st.Workspaces), len(st.Plans), len(st.Homes)
@@ -182,7 +182,7 @@
 }
 
 func (s *Server) boxes(r *http.Request, _ string) (any, error) {
-	return s.World.Sweep(r.Context()), nil
+	return s.Cluster.ProbeEndpoints(r.Context()), nil
 }
 
 func pathName(r *http.Request) string { return pathvar.Vars(r)["name"] }
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -72,7 +72,7 @@
 func (c *WorkspaceChange) apply(w *workspace.Workspace) error {
 	if c.Key != nil {
 		if len(*c.Key) < minKeyLength {
-			return Problem(CodeInvalid, "key of %d characters (want %d or more)", len(*c.Key), minKeyLength)
+			return Errorf(CodeInvalid, "key of %d characters (want %d or more)", len(*c.Key), minKeyLength)
 		}
 		w.KeyHash = workspace.HashKey(*c.Key)
 	}
@@ -99,7 +99,7 @@
 		}
 	})
 	if owner != "" {
-		return Problem(CodeConflict, "another workspace has this key")
+		return Errorf(CodeConflict, "another workspace has this key")
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	found := false
 	s.Replica.View(func(st *state.State) { _, found = st.Workspaces[pathName(r)] })
 	if !found {
-		return nil, Problem(CodeNotFound, "workspace %q does not exist", pathName(r))
+		return nil, Errorf(CodeNotFound, "workspace %q does not exist", pathName(r))
 	}
 	_, err := s.commit(r, operator, state.KindWorkspaceRemove, state.Name{Name: pathName(r)})
 	return state.Name{Name: pathName(r)}, err
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	if len(c.Key) < minKeyLength {
-		return nil, Problem(CodeInvalid, "key of %d characters (want %d or more)", len(c.Key), minKeyLength)
+		return nil, Errorf(CodeInvalid, "key of %d characters (want %d or more)", len(c.Key), minKeyLength)
 	}
 	o := workspace.Operator{Name: pathName(r), KeyHash: workspace.HashKey(c.Key)}
 	_, err := s.commit(r, operator, state.KindOperatorSet, state.OperatorSet{Operator: o})
@@ -137,7 +137,7 @@
 	found := false
 	s.Replica.View(func(st *state.State) { _, found = st.Operators[pathName(r)] })
 	if !found {
-		return nil, Problem(CodeNotFound, "operator %q does not exist", pathName(r))
+		return nil, Errorf(CodeNotFound, "operator %q does not exist", pathName(r))
 	}
 	_, err := s.commit(r, operator, state.KindOperatorRemove, state.Name{Name: pathName(r)})
 	return state.Name{Name: pathName(r)}, err
--- a/cmd/mintlift/hostile_test.go
+++ b/cmd/mintlift/hostile_test.go
@@ -94,7 +94,7 @@
 		}
 		view := &sidecarView{settings: settings}
 		view.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
-		view.Configured(c)
+		view.HandleConfiguration(c)
 		for _, a := range audiences(settings, server, known{}, time.Now()) {
 			view.told(a.Notice)
 		}
--- a/cmd/mintlift/main.go
+++ b/cmd/mintlift/main.go
@@ -39,19 +39,19 @@
 )
 
 var exitCodes = map[admin.Code]int{
-	admin.CodeInvalid:      exitInvalid,
-	admin.CodeUnauthorized: exitRefused,
-	admin.CodeForbidden:    exitRefused,
-	admin.CodeNotFound:     exitNotFound,
-	admin.CodeConflict:     exitConflict,
-	admin.CodeNotProposed:  exitConflict,
-	admin.CodeExpired:      exitConflict,
-	admin.CodeBadManifest:  exitInvalid,
-	admin.CodeNoBoxes:      exitInvalid,
-	admin.CodeFloor:        exitInvalid,
-	admin.CodeMemory:       exitInvalid,
-	admin.CodeUnavailable:  exitUnavailable,
-	admin.CodeUnsettled:    exitUnsettled,
+	admin.CodeInvalid:        exitInvalid,
+	admin.CodeUnauthorized:   exitRefused,
+	admin.CodeForbidden:      exitRefused,
+	admin.CodeNotFound:       exitNotFound,
+	admin.CodeConflict:       exitConflict,
+	admin.CodeNotProposed:    exitConflict,
+	admin.CodeExpired:        exitConflict,
+	admin.CodeBadManifest:    exitInvalid,
+	admin.CodeNoBoxes:        exitInvalid,
+	admin.CodeFloor:          exitInvalid,
+	admin.CodeMemory:         exitInvalid,
+	admin.CodeUnavailable:    exitUnavailable,
+	admin.CodeOutcomeUnknown: exitUnsettled,
 }
 
 // errInvariant marks a failed check.
--- a/cmd/mintlift/main_test.go
+++ b/cmd/mintlift/main_test.go
@@ -65,7 +65,7 @@
 
 func TestExitCodes(t *testing.T) {
 	for code, want := range exitCodes {
-		assert.Equal(t, exitCode(admin.Problem(code, "x")), want)
+		assert.Equal(t, exitCode(admin.Errorf(code, "x")), want)
 	}
 	code, _ := command("settings", "check", "no-such-file.json")
 	assert.Equal(t, code, exitUsage)
--- a/cmd/mintlift/operator.go
+++ b/cmd/mintlift/operator.go
@@ -113,7 +113,7 @@
 				row(w, "incarnation", s.Gateway.Incarnation)
 				row(w, "log offset", s.Gateway.Offset)
 				row(w, "log heard", fmt.Sprintf("%d ms ago", s.Gateway.ContactMS))
-				row(w, "log silent", s.LogSilent)
+				row(w, "log silent", s.LogUnresponsive)
 				row(w, "state digest", fmt.Sprintf("%.12s", s.Digest))
 				row(w, "workspaces", s.Workspaces)
 				row(w, "plans", s.Plans)
--- a/cmd/mintlift/plans.go
+++ b/cmd/mintlift/plans.go
@@ -131,7 +131,7 @@
 			return showPlan(c, p)
 		}
 	}
-	return admin.Problem(admin.CodeNotFound, "intent %q does not exist", id)
+	return admin.Errorf(admin.CodeNotFound, "intent %q does not exist", id)
 }
 
 func showPlan(c *cli.Command, p *intent.Plan) error {
@@ -239,11 +239,11 @@
 			return nil
 		}
 		if p.Plan.Status != intent.Confirmed {
-			return admin.Problem(admin.CodeNotProposed, "plan %s is %s: nothing to watch", id, p.Plan.Status)
+			return admin.Errorf(admin.CodeNotProposed, "plan %s is %s: nothing to watch", id, p.Plan.Status)
 		}
 		select {
 		case <-ctx.Done():
-			return admin.Problem(admin.CodeUnavailable, "plan %s is not done after %v", id, c.Duration("timeout"))
+			return admin.Errorf(admin.CodeUnavailable, "plan %s is not done after %v", id, c.Duration("timeout"))
 		case <-time.After(c.Duration("every")):
 		}
 	}
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -123,7 +123,7 @@
 // serveMetrics serves metrics, and the calls that more adds if it is not nil, until
 // all ends; a process without them works on.
 func (p *platformProcess) serveMetrics(all *running, more func(*http.ServeMux)) {
-	listener, err := all.listen(p.settings.Internal(p.settings.IP, portMetrics))
+	listener, err := all.listen(p.settings.InternalAddress(p.settings.IP, portMetrics))
 	if err != nil {
 		p.events.Error(err, "metrics not served")
 		return
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -30,10 +30,10 @@
 type gatewayView struct{ *ingress.Server }
 
 // Configured implements platform.Operator.
-func (v gatewayView) Configured(c *routing.Configuration) { v.Apply(c) }
+func (v gatewayView) HandleConfiguration(c *routing.Configuration) { v.Apply(c) }
 
 // Named implements platform.Operator.
-func (v gatewayView) Named(n platform.Naming, first bool) {
+func (v gatewayView) HandleNamedVersion(n platform.NamedVersion, first bool) {
 	v.NameVersion(n.Model, n.Version, first, clock.Now())
 }
 
@@ -110,7 +110,7 @@
 	server := ingress.New(ingress.Settings{
 		Place:           fleet.Place{Box: s.IP, Zone: s.Zone, Regions: s.Regions},
 		Headers:         platform.Headers(),
-		DecodeSignal:    platform.Signal,
+		DecodeSignal:    platform.DecodeSignal,
 		Budget:          budget,
 		VersionDeadline: s.VersionDeadline(),
 		Current:         func() bool { return current(p.watcher.Progress(), s.ConfigBudget(), clock.Now()) },
@@ -126,11 +126,11 @@
 	if err != nil {
 		return all, errors.Trace(err)
 	}
-	relays, err := all.listen(s.Internal(s.IP, portRelay))
+	relays, err := all.listen(s.InternalAddress(s.IP, portRelay))
 	if err != nil {
 		return all, errors.Trace(err)
 	}
-	subscriber, err := loadreport.NewSubscriber(s.Internal(s.IP, portSubscribe))
+	subscriber, err := loadreport.NewSubscriber(s.InternalAddress(s.IP, portSubscribe))
 	if err != nil {
 		return all, err
 	}
@@ -145,7 +145,7 @@
 	p.serveMetrics(all, func(mux *http.ServeMux) { handleClearSuspect(mux, server) })
 
 	view := gatewayView{server}
-	readers := storerelay.NewReaders(s.IP, func(ip string) string { return s.Internal(ip, portRelay) }, p.events)
+	readers := storerelay.NewReaders(s.IP, func(ip string) string { return s.InternalAddress(ip, portRelay) }, p.events)
 	all.onEnd(readers.Close)
 	all.onEnd(p.watcher.Close)
 	all.spawn(func() {
@@ -175,7 +175,7 @@
 		case <-server.PermitRequestsPending():
 		}
 		for _, a := range server.TakePermitRequests() {
-			subscriber.RequestPermits(a.PermitRequest, s.Internal(a.Address, portPublish))
+			subscriber.RequestPermits(a.PermitRequest, s.InternalAddress(a.Address, portPublish))
 		}
 	}
 }
@@ -262,7 +262,7 @@
 func publishers(s *platform.Settings, engines []string) []string {
 	out := make([]string, len(engines))
 	for i, address := range engines {
-		out[i] = s.Internal(address, portPublish)
+		out[i] = s.InternalAddress(address, portPublish)
 	}
 	return out
 }
--- a/cmd/mintlift/platform_relay.go
+++ b/cmd/mintlift/platform_relay.go
@@ -51,7 +51,7 @@
 // learner asks other gateways for operator's records that the store has lost.
 type learner struct {
 	watcher  *platform.Watcher
-	operator platform.Operator
+	operator platform.OperatorHandler
 	readers  *storerelay.Readers
 	log      logr.Logger
 
@@ -77,7 +77,7 @@
 		for n, r := range records {
 			known[n] = storewatch.Record(r)
 		}
-		l.watcher.Learn(l.operator, known)
+		l.watcher.ApplyRecords(l.operator, known)
 	}()
 }
 
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -31,7 +31,7 @@
 }
 
 // Configured implements platform.Operator.
-func (v *sidecarView) Configured(c *routing.Configuration) {
+func (v *sidecarView) HandleConfiguration(c *routing.Configuration) {
 	if weights, ok := c.Weights(v.settings.Service); ok {
 		v.apply(weights)
 	}
@@ -56,7 +56,7 @@
 }
 
 // Named implements platform.Operator.
-func (v *sidecarView) Named(n platform.Naming, first bool) {
+func (v *sidecarView) HandleNamedVersion(n platform.NamedVersion, first bool) {
 	named := time.Time{}
 	if !first {
 		named = clock.Now()
@@ -111,7 +111,7 @@
 func (v *sidecarView) peers(ctx context.Context, p *platformProcess, lists *storerelay.Client, publisher *loadreport.Publisher) ([]installer.Peer, error) {
 	gateways := publisher.Gateways(v.settings.Region, gatewaysAsked, clock.Now())
 	for at, ip := range gateways {
-		gateways[at] = v.settings.Internal(ip, portRelay)
+		gateways[at] = v.settings.InternalAddress(ip, portRelay)
 	}
 	list, err := lists.Service(ctx, gateways, v.settings.Service)
 	if err != nil {
@@ -128,7 +128,7 @@
 			continue
 		}
 		out = append(out, installer.Peer{
-			Box: box, Address: v.settings.Internal(e.Address, portSidecars), Zone: e.Zone, Region: v.settings.Regions[e.Zone], Draining: e.Draining,
+			Box: box, Address: v.settings.InternalAddress(e.Address, portSidecars), Zone: e.Zone, Region: v.settings.Regions[e.Zone], Draining: e.Draining,
 		})
 	}
 	return out, nil
@@ -155,7 +155,7 @@
 // watchOperatorSparingly reads what the operator wrote while no gateway tells
 // it: each configuration is large, a sidecar needs next to nothing of it, and
 // hundreds that read it at once fill the links between regions.
-func (p *platformProcess) watchOperatorSparingly(ctx context.Context, o platform.Operator, publisher *loadreport.Publisher) {
+func (p *platformProcess) watchOperatorSparingly(ctx context.Context, o platform.OperatorHandler, publisher *loadreport.Publisher) {
 	const look = 250 * time.Millisecond
 	reader := p.watcher.OperatorReader(o)
 	patience := unheardAfter + rand.N(unheardMore)
@@ -199,14 +199,14 @@
 	}()
 	s := p.settings
 	view := &sidecarView{settings: s}
-	engine := platform.NewEngine(s.App, func() int { return view.layers(s.Service) })
+	engine := platform.NewEngine(s.EngineAddress, func() int { return view.layers(s.Service) })
 	all.onEnd(engine.Close)
 	origin := platform.NewOrigin(func() string { return view.known().Origin })
-	listener, err := all.listen(s.Internal(s.IP, portSidecars))
+	listener, err := all.listen(s.InternalAddress(s.IP, portSidecars))
 	if err != nil {
 		return all, errors.Trace(err)
 	}
-	publisher, err := loadreport.NewPublisher(s.Internal(s.IP, portPublish))
+	publisher, err := loadreport.NewPublisher(s.InternalAddress(s.IP, portPublish))
 	if err != nil {
 		return all, err
 	}
@@ -235,7 +235,7 @@
 		if state, err := engine.State(ctx); err == nil {
 			i.UpdateEngineState(state)
 			publisher.Publish(fleet.Report{
-				Address: view.settings.App, Model: state.Model, Version: state.Version, Busy: state.Busy || i.Draining(), UpdateScheduled: i.UpdateScheduled(),
+				Address: view.settings.EngineAddress, Model: state.Model, Version: state.Version, Busy: state.Busy || i.Draining(), UpdateScheduled: i.UpdateScheduled(),
 				Unverified: i.Unverified(), Running: state.Running, Queued: state.Queued, Pace: state.Pace, StartedMS: state.StartedMS, WeightsChecksum: view.sum(),
 				Draining: state.Signal.Draining, Limited: state.Signal.Limit.Set, Limit: state.Signal.Limit.Rate,
 			}, i.UpdatePending(), clock.Now())
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -30,8 +30,8 @@
 // nobody takes what the operator wrote.
 type nobody struct{}
 
-func (nobody) Configured(*routing.Configuration) {}
-func (nobody) Named(platform.Naming, bool)       {}
+func (nobody) HandleConfiguration(*routing.Configuration)     {}
+func (nobody) HandleNamedVersion(platform.NamedVersion, bool) {}
 
 // deafGateway takes what sidecars send.
 type deafGateway struct{}
--- a/gateway/cluster_tasks.go
+++ b/gateway/cluster_tasks.go
@@ -138,7 +138,7 @@
 	if len(rolling) == 0 {
 		return
 	}
-	boxes := d.Sweep(ctx)
+	boxes := d.ProbeEndpoints(ctx)
 	for _, p := range rolling {
 		if d.wavesDone(p, boxes) && d.keepsFloors(p, boxes) {
 			d.commit(ctx, state.KindPlanAdvanced, state.PlanAdvanced{Plan: p.ID, Wave: p.Wave + 1})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -93,7 +93,7 @@
 	api := &admin.Server{
 		Replica:   d.Replica,
 		Journal:   d.Journal,
-		World:     d,
+		Cluster:   d,
 		Bootstrap: operatorKey.Key,
 		Logger:    telemetry.Part(d.Log, "admin"),
 		Weighing:  d.settings.Weighing,
--- a/gateway/manifest.go
+++ b/gateway/manifest.go
@@ -80,16 +80,16 @@
 	raw, err := d.fetchManifest(ctx, ref)
 	switch {
 	case call.Status(err) == http.StatusNotFound:
-		return nil, admin.Problem(admin.CodeNotFound, "version %s is not in the weight store", ref)
+		return nil, admin.Errorf(admin.CodeNotFound, "version %s is not in the weight store", ref)
 	case err != nil:
-		return nil, admin.Problem(admin.CodeUnavailable, "the weight store does not answer: %v", err)
+		return nil, admin.Errorf(admin.CodeUnavailable, "the weight store does not answer: %v", err)
 	}
 	m, err := weights.ParseManifest(raw, "")
 	if err == nil && m.Ref != ref {
-		return nil, admin.Problem(admin.CodeBadManifest, "the store's manifest for %s names %s", ref, m.Ref)
+		return nil, admin.Errorf(admin.CodeBadManifest, "the store's manifest for %s names %s", ref, m.Ref)
 	}
 	if err != nil {
-		return nil, admin.Problem(admin.CodeBadManifest, "%v", err)
+		return nil, admin.Errorf(admin.CodeBadManifest, "%v", err)
 	}
 	return m, nil
 }
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -231,7 +231,7 @@
 }
 
 // Sweep implements admin.World: it fetches the status of every listed endpoint.
-func (d *Daemon) Sweep(ctx context.Context) []admin.BoxStatus {
+func (d *Daemon) ProbeEndpoints(ctx context.Context) []admin.BoxStatus {
 	endpoints, _ := d.endpoints()
 	statuses := make([]admin.BoxStatus, len(endpoints))
 	var group errgroup.Group
--- a/storewatch/follow_test.go
+++ b/storewatch/follow_test.go
@@ -33,7 +33,7 @@
 	budget := freshness.New(2 * time.Second)
 	for range 100 {
 		assert.Assert(t, storewatch.RetryDelay(manyFailures, false)+budget.AnswerTime() < budget.Bound())
-		assert.Assert(t, platform.StoreStall+storewatch.RetryDelay(manyFailures, true)+budget.AnswerTime() < budget.Bound())
+		assert.Assert(t, platform.StoreStallTimeout+storewatch.RetryDelay(manyFailures, true)+budget.AnswerTime() < budget.Bound())
 	}
 	store := &fakeStore{}
 	w := storewatch.New(store, logr.Discard(), telemetry.NewMetrics())
