--- a/cmd/mintlift/backoff_test.go
+++ b/cmd/mintlift/backoff_test.go
@@ -17,7 +17,7 @@
 	// for backoff requests may still be on their way.
 	backoffGrace = 500 * time.Millisecond
 	// backoffSlack is how many requests may reach it until the backoff ends.
-	backoffSlack = 2
+	maxRequestsInBackoff = 2
 )
 
 // Seen: engines that turned a gateway away and asked for 3 s of backoff got 21 to 41
@@ -32,32 +32,32 @@
 // request more in its queue until the next report. Shown by the figures of the
 // engines (15 to 40 a second turned away, 4 to 6 served before), by a request that
 // met two of them within 3 ms, and by this test.
-func TestRestIsGivenToAnEndpointThatAsksForIt(t *testing.T) {
+func TestEndpointBackoffIsHonored(t *testing.T) {
 	t.Parallel()
-	d, talkers := startTalkers(t, 3, 3)
-	getsBackoff(t, d, talkers[0], enginePath, 3)
+	d, talkers := startSignalingEngines(t, 3, 3)
+	checkBackoff(t, d, talkers[0], enginePath, 3)
 }
 
 // The same at other times, and at an endpoint beside which no sidecar is.
-func TestRestsOfOtherLengthsAreGiven(t *testing.T) {
+func TestPlainEndpointBackoffIsHonored(t *testing.T) {
 	for _, seconds := range []float64{0.7, 1.5} {
 		t.Run(strconv.FormatFloat(seconds, 'f', -1, 64), func(t *testing.T) {
 			t.Parallel()
-			d, _ := startTalkers(t, 2, 1)
-			backingOff := startPlain(t, d)
-			startPlain(t, d)
-			getsBackoff(t, d, backingOff, plainPath, seconds)
+			d, _ := startSignalingEngines(t, 2, 1)
+			backingOff := startPlainEndpoint(t, d)
+			startPlainEndpoint(t, d)
+			checkBackoff(t, d, backingOff, plainPath, seconds)
 		})
 	}
 }
 
 // getsBackoff lets an endpoint turn all requests away and ask for seconds of backoff, and
 // checks that each gateway gives it that.
-func getsBackoff(t *testing.T, d *engines, backingOff *talker, path string, seconds float64) {
+func checkBackoff(t *testing.T, d *engineDeployment, backingOff *signalingEndpoint, path string, seconds float64) {
 	t.Helper()
 	backoff := time.Duration(seconds * float64(time.Second))
 	backingOff.signals.Backoff(backoff)
-	d.press(path, 2*backoff+2*time.Second, 25*time.Millisecond)
+	d.sendLoad(path, 2*backoff+2*time.Second, 25*time.Millisecond)
 	seen := slices.DeleteFunc(backingOff.arrivals(), func(a arrival) bool { return a.status == http.StatusOK })
 	assert.Assert(t, len(seen) > 0, "it has turned nothing away")
 	most := 0
@@ -71,7 +71,7 @@
 		most = max(most, count)
 	}
 	t.Logf("%d turned away, at most %d of one gateway in a backoff", len(seen), most)
-	assert.Assert(t, most <= backoffSlack, "%d requests in a backoff of %s, allowed %d", most, backoff, backoffSlack)
+	assert.Assert(t, most <= maxRequestsInBackoff, "%d requests in a backoff of %s, allowed %d", most, backoff, maxRequestsInBackoff)
 	// It is asked again when the backoff has ended.
 	assert.Assert(t, seen[len(seen)-1].at.Sub(seen[0].at) >= backoff, "it was not asked again")
 }
--- a/cmd/mintlift/crash_test.go
+++ b/cmd/mintlift/crash_test.go
@@ -24,11 +24,11 @@
 
 const (
 	// contact is how long after the third crash gateways must know of it.
-	contact = 3 * time.Second
+	propagationTimeout = 3 * time.Second
 	// retriesAfterContact is how many sends may follow after that.
-	retriesAfterContact = 3
+	maxCrashesAfterPropagation = 3
 	// crashesNoticed is after how many crashes a request must be known.
-	crashesNoticed = 3
+	crashThreshold = 3
 )
 
 // Seen: one request ended 45 engines in 20 s, and another series of it 44. Each
@@ -45,71 +45,71 @@
 //
 // Shown by the stories of four runs (each engine ended 36 to 111 ms after it
 // had begun that request), by two engines for each try, and by this test.
-func TestRequestThatCrashesItsEndpointsIsKeptFromThem(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	keptFromEndpoints(t, 3, 6)
+	checkQuarantine(t, 3, 6)
 }
 
 // The same at other sizes.
-func TestRequestThatCrashesItsEndpointsAtOtherSizes(t *testing.T) {
+func TestCrashingRequestIsQuarantinedAtOtherSizes(t *testing.T) {
 	for _, size := range []struct{ gateways, engines int }{{1, 3}, {9, 4}, {5, 15}} {
 		t.Run(fmt.Sprintf("%d gateways, %d engines", size.gateways, size.engines), func(t *testing.T) {
 			t.Parallel()
-			keptFromEndpoints(t, size.gateways, size.engines)
+			checkQuarantine(t, size.gateways, size.engines)
 		})
 	}
 }
 
 // keptFromEndpoints tries one request that crashes its endpoints at one gateway
 // after the other, and checks that few crash.
-func keptFromEndpoints(t *testing.T, gateways, count int) {
+func checkQuarantine(t *testing.T, gateways, count int) {
 	t.Helper()
 	d := startEngines(t, gateways, count)
-	end := time.Now().Add(contact + 2*time.Second)
+	end := time.Now().Add(propagationTimeout + 2*time.Second)
 	for try := 0; time.Now().Before(end); try++ {
-		go d.try(try, crashing)
+		go d.send(try, crashingBody)
 		time.Sleep(100 * time.Millisecond)
 	}
 	crashes := d.crashTimes()
-	assert.Assert(t, len(crashes) >= crashesNoticed, "%d engines have crashed", len(crashes))
+	assert.Assert(t, len(crashes) >= crashThreshold, "%d engines have crashed", len(crashes))
 	late := 0
 	for _, at := range crashes {
-		if at.Sub(crashes[crashesNoticed-1]) > contact {
+		if at.Sub(crashes[crashThreshold-1]) > propagationTimeout {
 			late++
 		}
 	}
 	t.Logf("%d engines have crashed, the last %s after the first", len(crashes), crashes[len(crashes)-1].Sub(crashes[0]))
-	assert.Assert(t, late <= retriesAfterContact, "%d engines have crashed, %d of them later than %s after the third", len(crashes), late, contact)
+	assert.Assert(t, late <= maxCrashesAfterPropagation, "%d engines have crashed, %d of them later than %s after the third", len(crashes), late, propagationTimeout)
 }
 
 // The same while the store answers nothing: gateways hear of each other's crashes
 // by the sidecars. Its caller is told nothing that promises that the request has
 // not run where it may have; others are served meanwhile and after.
-func TestGatewaysKnowOfCrashesWithoutTheStore(t *testing.T) {
+func TestCrashesAreSharedWithoutStore(t *testing.T) {
 	t.Parallel()
 	d := startEngines(t, 2, 6)
 	d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} })
 	for try := range 3 {
-		keptOut(t, d, try)
-		assert.Equal(t, d.try(try, "text"), http.StatusOK)
+		checkCrashingResponse(t, d, try)
+		assert.Equal(t, d.send(try, "text"), http.StatusOK)
 	}
 	for began := time.Now(); time.Since(began) < time.Second; time.Sleep(20 * time.Millisecond) {
 		for gateway := range d.gateways {
-			keptOut(t, d, gateway)
-			assert.Equal(t, d.try(gateway, "text"), http.StatusOK)
+			checkCrashingResponse(t, d, gateway)
+			assert.Equal(t, d.send(gateway, "text"), http.StatusOK)
 		}
 	}
 	// A second try at a gateway that has not heard of the first yet ends two
 	// engines more.
-	assert.Assert(t, len(d.crashTimes()) <= crashesNoticed+retriesAfterContact, "%d engines have crashed", len(d.crashTimes()))
+	assert.Assert(t, len(d.crashTimes()) <= crashThreshold+maxCrashesAfterPropagation, "%d engines have crashed", len(d.crashTimes()))
 }
 
 // keptOut checks the answer to a try of the request that crashes endpoints: 502
 // without an invitation if it may have run, else that it has not.
-func keptOut(t *testing.T, d *engines, gateway int) {
+func checkCrashingResponse(t *testing.T, d *engineDeployment, gateway int) {
 	t.Helper()
 	before := len(d.crashTimes())
-	status, head := d.answer(gateway, crashing)
+	status, head := d.sendForHeader(gateway, crashingBody)
 	if len(d.crashTimes()) > before {
 		assert.Equal(t, status, http.StatusBadGateway)
 	}
@@ -124,35 +124,35 @@
 }
 
 // crashing is the body of a request that ends each engine that runs it.
-const crashing = "crash"
+const crashingBody = "crash"
 
 // engines are gateways before engines with sidecars, which crash when they
 // are asked to.
-type engines struct {
+type engineDeployment struct {
 	store    *storetest.Store
 	gateways []string // IP:PORT of their callers' listeners
 
 	mu      sync.Mutex
 	crashes []time.Time
-	lives   int
+	incarnations   int
 }
 
 // networks counts the loopback nets in use.
-var networks atomic.Int32
+var loopbackNetworks atomic.Int32
 
 // startEngines starts gateways and engines on a loopback net of /24 of their
 // own, and waits until all gateways serve.
-func startEngines(t *testing.T, gateways, count int) *engines {
+func startEngines(t *testing.T, gateways, count int) *engineDeployment {
 	t.Helper()
-	return startEnginesOf(t, gateways, count, (*engines).startEngine)
+	return startEnginesWith(t, gateways, count, (*engineDeployment).startEngine)
 }
 
 // startEnginesOf is startEngines for engines that start starts, each at an IP
 // number, with the address of the store.
-func startEnginesOf(t *testing.T, gateways, count int, start func(d *engines, t *testing.T, ip, store string)) *engines {
+func startEnginesWith(t *testing.T, gateways, count int, start func(d *engineDeployment, t *testing.T, ip, store string)) *engineDeployment {
 	t.Helper()
-	network := fmt.Sprintf("127.78.%d", networks.Add(1))
-	d := &engines{store: storetest.New()}
+	network := fmt.Sprintf("127.78.%d", loopbackNetworks.Add(1))
+	d := &engineDeployment{store: storetest.New()}
 	server := httptest.NewServer(d.store)
 	t.Cleanup(func() {
 		d.store.End()
@@ -175,7 +175,7 @@
 		d.gateways = append(d.gateways, net.JoinHostPort(ip, "8005"))
 	}
 	for n := range gateways {
-		for began := time.Now(); d.try(n, "text") != http.StatusOK; time.Sleep(20 * time.Millisecond) {
+		for began := time.Now(); d.send(n, "text") != http.StatusOK; time.Sleep(20 * time.Millisecond) {
 			assert.Assert(t, time.Since(began) < 20*time.Second, "gateway %d does not serve", n)
 		}
 	}
@@ -184,38 +184,38 @@
 
 // startEngine starts an engine, whose process ends at each crash and is back
 // after restart, and its sidecar.
-func (d *engines) startEngine(t *testing.T, ip, store string) {
+func (d *engineDeployment) startEngine(t *testing.T, ip, store string) {
 	t.Helper()
 	address := net.JoinHostPort(ip, "8320")
-	e := &crashingEngine{engines: d, address: address}
+	e := &crashingEngine{deployment: d, address: address}
 	assert.NilError(t, e.start())
 	t.Cleanup(e.stop)
 	startSidecar(t, ip, store, address)
 }
 
 // startSidecar starts the sidecar of an engine at address, until the test ends.
-func startSidecar(t *testing.T, ip, store, address string) *running {
+func startSidecar(t *testing.T, ip, store, address string) *taskGroup {
 	t.Helper()
-	all, err := startPlatformSidecar(context.Background(), processAt(t, ip, store, fmt.Sprintf(`,"app":%q,"service":"e"`, address)))
+	all, err := startPlatformSidecar(context.Background(), newPlatformProcess(t, ip, store, fmt.Sprintf(`,"app":%q,"service":"e"`, address)))
 	assert.NilError(t, err)
-	t.Cleanup(func() { endNow(all) })
+	t.Cleanup(func() { closeNow(all) })
 	return all
 }
 
 // try sends one try of a request to the n-th gateway, counted round, and
 // returns the status of the answer, or 0.
-func (d *engines) try(n int, body string) int {
-	status, _ := d.answer(n, body)
+func (d *engineDeployment) send(n int, body string) int {
+	status, _ := d.sendForHeader(n, body)
 	return status
 }
 
 // answer is as try, with the head of the answer.
-func (d *engines) answer(n int, body string) (int, http.Header) {
-	return d.answerAt("/s/x", n, body)
+func (d *engineDeployment) sendForHeader(n int, body string) (int, http.Header) {
+	return d.sendToPath("/s/x", n, body)
 }
 
 // answerAt is as answer, for a request of a path.
-func (d *engines) answerAt(path string, n int, body string) (int, http.Header) {
+func (d *engineDeployment) sendToPath(path string, n int, body string) (int, http.Header) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.gateways[n%len(d.gateways)]+path, strings.NewReader(body))
 	if err != nil {
 		return 0, nil
@@ -234,23 +234,23 @@
 	return response.StatusCode, response.Header
 }
 
-func (d *engines) crashTimes() []time.Time {
+func (d *engineDeployment) crashTimes() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]time.Time(nil), d.crashes...)
 }
 
 // newLife returns an id for an engine that starts.
-func (d *engines) newLife() string {
+func (d *engineDeployment) newIncarnationID() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lives++
-	return fmt.Sprintf("i-%d", d.lives)
+	d.incarnations++
+	return fmt.Sprintf("i-%d", d.incarnations)
 }
 
 // crashingEngine is one engine, through all its lives.
 type crashingEngine struct {
-	engines *engines
+	deployment *engineDeployment
 	address string
 
 	mu      sync.Mutex
@@ -260,10 +260,10 @@
 }
 
 // restart is how long a crashed engine is away.
-const restart = 700 * time.Millisecond
+const restartDelay = 700 * time.Millisecond
 
 // crashAfter is how long an engine works on a request that crashes it.
-const crashAfter = 60 * time.Millisecond
+const crashDelay = 60 * time.Millisecond
 
 func (e *crashingEngine) start() error {
 	e.mu.Lock()
@@ -275,10 +275,10 @@
 	if err != nil {
 		return err
 	}
-	e.id = e.engines.newLife()
+	e.id = e.deployment.newIncarnationID()
 	e.server = &http.Server{Handler: e}
 	go func(s *http.Server) { _ = s.Serve(listener) }(e.server)
-	e.engines.store.Put(storetest.Endpoints, e.id, fmt.Sprintf(
+	e.deployment.store.Put(storetest.Endpoints, e.id, fmt.Sprintf(
 		`{"service":"e","address":%q,"zone":"z","version":"v1","slots":16,"state":"ready","cold_remaining_ms":0,"models":[{"name":"m","version":1,"adapters":[]}],"sequence":1}`, e.address))
 	return nil
 }
@@ -300,11 +300,11 @@
 	_ = e.server.Close()
 	id := e.id
 	e.id = ""
-	e.engines.mu.Lock()
-	e.engines.crashes = append(e.engines.crashes, time.Now())
-	e.engines.mu.Unlock()
-	time.AfterFunc(restart, func() {
-		e.engines.store.Put(storetest.Endpoints, id, "")
+	e.deployment.mu.Lock()
+	e.deployment.crashes = append(e.deployment.crashes, time.Now())
+	e.deployment.mu.Unlock()
+	time.AfterFunc(restartDelay, func() {
+		e.deployment.store.Put(storetest.Endpoints, id, "")
 		_ = e.start() // the address is this engine's own
 	})
 }
@@ -322,8 +322,8 @@
 	w.Header().Set(platform.Headers().RequestID, r.Header.Get(platform.Headers().RequestID))
 	w.Header().Set(platform.Headers().Seal, "seal")
 	w.Header().Set("Content-Type", "text/event-stream")
-	if string(body) == crashing {
-		time.Sleep(crashAfter)
+	if string(body) == crashingBody {
+		time.Sleep(crashDelay)
 		e.crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -331,17 +331,17 @@
 }
 
 // An operator's word at one gateway lets a request out at all.
-func TestOperatorsWordIsHeardEverywhere(t *testing.T) {
+func TestClearSuspectReachesAllGateways(t *testing.T) {
 	t.Parallel()
 	d := startEngines(t, 2, 6)
-	d.try(0, crashing)
-	d.try(0, crashing)
+	d.send(0, crashingBody)
+	d.send(0, crashingBody)
 	for n := range d.gateways {
-		for began := time.Now(); d.try(n, crashing) != http.StatusServiceUnavailable; time.Sleep(20 * time.Millisecond) {
-			assert.Assert(t, time.Since(began) < contact)
+		for began := time.Now(); d.send(n, crashingBody) != http.StatusServiceUnavailable; time.Sleep(20 * time.Millisecond) {
+			assert.Assert(t, time.Since(began) < propagationTimeout)
 		}
 	}
-	id := quarantine.Identify(quarantine.Request{Method: http.MethodPost, Host: "h.example", Target: "/s/x", Body: []byte(crashing)}).String()
+	id := quarantine.Identify(quarantine.Request{Method: http.MethodPost, Host: "h.example", Target: "/s/x", Body: []byte(crashingBody)}).String()
 	host, _, err := net.SplitHostPort(d.gateways[0])
 	assert.NilError(t, err)
 	metrics := net.JoinHostPort(host, "7703")
@@ -350,7 +350,7 @@
 	assert.NilError(t, clearSuspect(t.Context(), metrics, id))
 	before := len(d.crashTimes())
 	for began := time.Now(); len(d.crashTimes()) == before; time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < contact, "it is kept from endpoints at the other gateway")
-		d.try(1, crashing)
+		assert.Assert(t, time.Since(began) < propagationTimeout, "it is kept from endpoints at the other gateway")
+		d.send(1, crashingBody)
 	}
 }
--- a/cmd/mintlift/daemons.go
+++ b/cmd/mintlift/daemons.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(ctx, "gateway", s.Trace, s.DrainTimeout, func() (daemon, error) {
+			return runDaemon(ctx, "gateway", s.Trace, s.DrainTimeout, func() (daemon, error) {
 				return gateway.Start(s, telemetry.Part(telemetry.NewLogger(os.Stderr, s.Log), "gateway"))
 			})
 		},
@@ -57,7 +57,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(ctx, "sidecar", s.Trace, s.DrainTimeout, func() (daemon, error) {
+			return runDaemon(ctx, "sidecar", s.Trace, s.DrainTimeout, func() (daemon, error) {
 				return sidecar.Start(s, telemetry.Part(telemetry.NewLogger(os.Stderr, s.Log), "sidecar"))
 			})
 		},
@@ -67,7 +67,7 @@
 // serve runs a daemon until SIGTERM or SIGINT, then drains it. go-zero
 // forces an exit some seconds after a signal, whatever is in progress; its
 // bound is put past the daemon's own.
-func serve(ctx context.Context, name string, t telemetry.TraceSettings, bound time.Duration, start func() (daemon, error)) error {
+func runDaemon(ctx context.Context, name string, t telemetry.TraceSettings, bound time.Duration, start func() (daemon, error)) error {
 	const margin = 10 * time.Second
 	proc.SetTimeToForceQuit(bound + margin)
 	signals := make(chan os.Signal, 2)
--- a/cmd/mintlift/draining_test.go
+++ b/cmd/mintlift/draining_test.go
@@ -15,7 +15,7 @@
 
 // drainBound is how long after a gateway has passed on an answer of an endpoint that
 // drains it may send it requests.
-const drainBound = 2 * time.Second
+const drainTimeout = 2 * time.Second
 
 // Seen: requests reached an engine 2.3 to 2.6 s after an answer had told the
 // gateway that sent them that the engine drains; they were served.
@@ -27,20 +27,20 @@
 //
 // Cause: draining was taken from the list alone. Shown by the flow, which does not
 // change at the signal, by the store's silence meanwhile, and by this test.
-func TestLeavingIsHeardInAnswers(t *testing.T) {
+func TestDrainSignalInResponses(t *testing.T) {
 	t.Parallel()
-	d, talkers := startTalkers(t, 3, 3)
+	d, talkers := startSignalingEngines(t, 3, 3)
 	d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} })
-	getsNothingAfterLeaving(t, d, talkers[0], enginePath)
+	checkNoRequestsAfterDrain(t, d, talkers[0], enginePath)
 }
 
 // The same at an endpoint beside which no sidecar is, and while the list tells again
 // that it is ready.
-func TestLeavingOfAPlainEndpointIsHeardInAnswers(t *testing.T) {
+func TestDrainSignalOfPlainEndpoint(t *testing.T) {
 	t.Parallel()
-	d, _ := startTalkers(t, 3, 2)
-	draining := startPlain(t, d)
-	startPlain(t, d)
+	d, _ := startSignalingEngines(t, 3, 2)
+	draining := startPlainEndpoint(t, d)
+	startPlainEndpoint(t, d)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -49,20 +49,20 @@
 			case <-stop:
 				return
 			case <-time.After(300 * time.Millisecond):
-				draining.list("ready")
+				draining.writeEntry("ready")
 			}
 		}
 	}()
-	getsNothingAfterLeaving(t, d, draining, plainPath)
+	checkNoRequestsAfterDrain(t, d, draining, plainPath)
 }
 
 // getsNothingAfterLeaving lets an endpoint say that it drains, and checks that each
 // gateway stops sending in time.
-func getsNothingAfterLeaving(t *testing.T, d *engines, draining *talker, path string) {
+func checkNoRequestsAfterDrain(t *testing.T, d *engineDeployment, draining *signalingEndpoint, path string) {
 	t.Helper()
 	began := time.Now()
 	draining.signals.Drain()
-	d.press(path, drainBound+3*time.Second, 25*time.Millisecond)
+	d.sendLoad(path, drainTimeout+3*time.Second, 25*time.Millisecond)
 	told := make(map[string]time.Time)
 	late := 0
 	for _, a := range draining.arrivals() {
@@ -71,14 +71,14 @@
 		case a.at.Before(began):
 		case !known:
 			told[a.gateway] = a.at
-		case a.at.Sub(at) > drainBound:
+		case a.at.Sub(at) > drainTimeout:
 			late++
 		}
 	}
 	assert.Assert(t, len(told) > 0, "no gateway was told")
-	assert.Assert(t, late == 0, "%d requests later than %s after the gateway had been told", late, drainBound)
+	assert.Assert(t, late == 0, "%d requests later than %s after the gateway had been told", late, drainTimeout)
 	for n := range d.gateways {
-		status, _ := d.answerAt(path, n, fmt.Sprint("after-", n))
+		status, _ := d.sendToPath(path, n, fmt.Sprint("after-", n))
 		assert.Equal(t, status, http.StatusOK, "others serve")
 	}
 }
--- a/cmd/mintlift/idle_test.go
+++ b/cmd/mintlift/idle_test.go
@@ -19,7 +19,7 @@
 // measureEnv names the sizes to measure, as in "10,50,200". The measurement
 // takes minutes and depends on the machine, so CI does not run it; its
 // result stands in docs/capacity.json.
-const measureEnv = "MINTLIFT_MEASURE_IDLE"
+const measureIdleEnv = "MINTLIFT_MEASURE_IDLE"
 
 // idleRow is the cost of idle control at one size.
 type idleRow struct {
@@ -38,9 +38,9 @@
 }
 
 func TestMeasureIdle(t *testing.T) {
-	sizes := os.Getenv(measureEnv)
+	sizes := os.Getenv(measureIdleEnv)
 	if sizes == "" {
-		t.Skip("set " + measureEnv + "=10,50,200 to measure")
+		t.Skip("set " + measureIdleEnv + "=10,50,200 to measure")
 	}
 	const during = 30 * time.Second
 	var rows []idleRow
--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -41,29 +41,29 @@
 // change when the signal comes, at no gateway, and by this test.
 func TestLimitIsSharedByAllGateways(t *testing.T) {
 	t.Parallel()
-	d, talkers := startTalkers(t, 3, 3)
-	keepsLimit(t, d, talkers[0], enginePath, 2)
+	d, talkers := startSignalingEngines(t, 3, 3)
+	checkLimit(t, d, talkers[0], enginePath, 2)
 }
 
 // The same at other limits, one of which lets nothing through.
-func TestOtherLimitsAreShared(t *testing.T) {
+func TestLimitIsSharedAtOtherRates(t *testing.T) {
 	for _, rate := range []float64{0, 0.4, 20} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			t.Parallel()
-			d, talkers := startTalkers(t, 5, 2)
-			keepsLimit(t, d, talkers[0], enginePath, rate)
+			d, talkers := startSignalingEngines(t, 5, 2)
+			checkLimit(t, d, talkers[0], enginePath, rate)
 		})
 	}
 }
 
 // The same at an endpoint beside which no sidecar is: that of an engine deals its
 // limit out.
-func TestLimitOfAPlainEndpointIsShared(t *testing.T) {
+func TestLimitOfPlainEndpointIsShared(t *testing.T) {
 	t.Parallel()
-	d, _ := startTalkers(t, 3, 2)
-	limited := startPlain(t, d)
-	startPlain(t, d)
-	keepsLimit(t, d, limited, plainPath, 2)
+	d, _ := startSignalingEngines(t, 3, 2)
+	limited := startPlainEndpoint(t, d)
+	startPlainEndpoint(t, d)
+	checkLimit(t, d, limited, plainPath, 2)
 }
 
 // Paths of requests for engines, and for endpoints beside which no sidecar is.
@@ -74,14 +74,14 @@
 
 // keepsLimit lets an endpoint name a limit under more demand than that, and checks
 // that it is kept, and used.
-func keepsLimit(t *testing.T, d *engines, limited *talker, path string, rate float64) {
+func checkLimit(t *testing.T, d *engineDeployment, limited *signalingEndpoint, path string, rate float64) {
 	t.Helper()
 	named := time.Now()
 	limited.signals.Limit(rate)
-	asked := d.press(path, contact+2*limitWindow, 25*time.Millisecond)
-	most := mostIn(limited.arrivals(), named.Add(contact), limitWindow)
+	asked := d.sendLoad(path, propagationTimeout+2*limitWindow, 25*time.Millisecond)
+	most := maxInWindow(limited.arrivals(), named.Add(propagationTimeout), limitWindow)
 	allowed := int(limitFactor*rate*limitWindow.Seconds()) + limitSlack
-	demand := mostIn(asked.requests, named.Add(contact), limitWindow)
+	demand := maxInWindow(asked.requests, named.Add(propagationTimeout), limitWindow)
 	t.Logf("at most %d of %d in %s, allowed %d; %d served", most, demand, limitWindow, allowed, asked.served)
 	assert.Assert(t, most <= allowed, "%d in %s, allowed %d", most, limitWindow, allowed)
 	// It is not left alone either: the limit is what it takes of all that is asked, if
@@ -93,13 +93,13 @@
 // press sends a request to each gateway each time that every has passed, for so
 // long, and waits for the answers.
 // It returns what it sent, and how much of it was served.
-func (d *engines) press(path string, long, every time.Duration) (asked pressed) {
+func (d *engineDeployment) sendLoad(path string, long, every time.Duration) (asked loadResult) {
 	var answers sync.WaitGroup
 	var served atomic.Int64
 	for began, try := time.Now(), 0; time.Since(began) < long; try++ {
 		for n := range d.gateways {
 			answers.Go(func() {
-				if status, _ := d.answerAt(path, n, fmt.Sprint("text-", try)); status == http.StatusOK {
+				if status, _ := d.sendToPath(path, n, fmt.Sprint("text-", try)); status == http.StatusOK {
 					served.Add(1)
 				}
 			})
@@ -115,13 +115,13 @@
 }
 
 // pressed is what press sent, and how much of it was served.
-type pressed struct {
+type loadResult struct {
 	requests []arrival
 	served   int
 }
 
 // mostIn returns the most arrivals in any window that begins at from or later.
-func mostIn(arrivals []arrival, from time.Time, window time.Duration) int {
+func maxInWindow(arrivals []arrival, from time.Time, window time.Duration) int {
 	most := 0
 	for n, first := range arrivals {
 		if first.at.Before(from) {
@@ -148,8 +148,8 @@
 }
 
 // talker is an endpoint that says something of itself in its answers.
-type talker struct {
-	engines *engines
+type signalingEndpoint struct {
+	deployment *engineDeployment
 	id      string
 	service string
 	address string
@@ -161,53 +161,53 @@
 }
 
 // startTalkers starts gateways and engines that say nothing yet.
-func startTalkers(t *testing.T, gateways, count int) (*engines, []*talker) {
+func startSignalingEngines(t *testing.T, gateways, count int) (*engineDeployment, []*signalingEndpoint) {
 	t.Helper()
-	var talkers []*talker
-	d := startEnginesOf(t, gateways, count, func(d *engines, t *testing.T, ip, store string) {
-		talkers = append(talkers, startTalker(t, d, ip, store))
+	var talkers []*signalingEndpoint
+	d := startEnginesWith(t, gateways, count, func(d *engineDeployment, t *testing.T, ip, store string) {
+		talkers = append(talkers, startSignalingEngine(t, d, ip, store))
 	})
 	return d, talkers
 }
 
-func startTalker(t *testing.T, d *engines, ip, store string) *talker {
+func startSignalingEngine(t *testing.T, d *engineDeployment, ip, store string) *signalingEndpoint {
 	t.Helper()
-	e := listen(t, &talker{engines: d, service: "e", address: net.JoinHostPort(ip, "8320")})
+	e := serveEndpoint(t, &signalingEndpoint{deployment: d, service: "e", address: net.JoinHostPort(ip, "8320")})
 	startSidecar(t, ip, store, e.address)
 	return e
 }
 
 // startPlain starts an endpoint beside which no sidecar is.
-func startPlain(t *testing.T, d *engines) *talker {
+func startPlainEndpoint(t *testing.T, d *engineDeployment) *signalingEndpoint {
 	t.Helper()
-	return listen(t, &talker{engines: d, service: "p", address: "127.0.0.1:0"})
+	return serveEndpoint(t, &signalingEndpoint{deployment: d, service: "p", address: "127.0.0.1:0"})
 }
 
 // listen starts a talker that says nothing yet, and lists it.
-func listen(t *testing.T, e *talker) *talker {
+func serveEndpoint(t *testing.T, e *signalingEndpoint) *signalingEndpoint {
 	t.Helper()
-	e.id = e.engines.newLife()
+	e.id = e.deployment.newIncarnationID()
 	listener, err := net.Listen("tcp4", e.address)
 	assert.NilError(t, err)
 	e.address = listener.Addr().String()
 	server := &http.Server{Handler: e}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	e.list("ready")
+	e.writeEntry("ready")
 	return e
 }
 
 // list writes the endpoint's entry into the list.
-func (e *talker) list(state string) {
+func (e *signalingEndpoint) writeEntry(state string) {
 	models := ""
 	if e.service == "e" {
 		models = `,"models":[{"name":"m","version":1,"adapters":[]}]`
 	}
-	e.engines.store.Put(storetest.Endpoints, e.id, fmt.Sprintf(
+	e.deployment.store.Put(storetest.Endpoints, e.id, fmt.Sprintf(
 		`{"service":%q,"address":%q,"zone":"z","version":"v1","slots":16,"state":%q,"cold_remaining_ms":0%s,"sequence":1}`, e.service, e.address, state, models))
 }
 
-func (e *talker) arrivals() []arrival {
+func (e *signalingEndpoint) arrivals() []arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]arrival(nil), e.seen...)
@@ -215,7 +215,7 @@
 
 // ServeHTTP implements http.Handler. What the engine says stands in answers to
 // callers' requests alone, not in its report.
-func (e *talker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *signalingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/report" {
 		_, _ = io.WriteString(w, `{"stage":"unified","models":[{"name":"m","version":1,"adapters":[]}],"busy":false,"sequence":1,"queued":0,"running":0}`)
 		return
@@ -230,7 +230,7 @@
 		status = http.StatusServiceUnavailable
 	}
 	e.mu.Lock()
-	e.seen = append(e.seen, arrival{at: time.Now(), gateway: gatewayOf(id), status: status})
+	e.seen = append(e.seen, arrival{at: time.Now(), gateway: gatewayFromID(id), status: status})
 	e.mu.Unlock()
 	if status != http.StatusOK {
 		h.Set(platform.Headers().NotRun, "1")
@@ -243,7 +243,7 @@
 }
 
 // gatewayOf returns the gateway to which engines.try sent the request of an id.
-func gatewayOf(id string) string {
+func gatewayFromID(id string) string {
 	parts := strings.SplitN(id, "-", 3)
 	return parts[1]
 }
--- a/cmd/mintlift/main.go
+++ b/cmd/mintlift/main.go
@@ -34,7 +34,7 @@
 	exitNotFound    = 5 // what the command names does not exist
 	exitInvalid     = 6 // the request can never be carried out as it is
 	exitConflict    = 7 // a later change goes first, or the plan is past
-	exitUnsettled   = 8 // not known whether the change was accepted
+	exitOutcomeUnknown   = 8 // not known whether the change was accepted
 	exitInvariant   = 9 // a check of the demo or of a benchmark failed
 )
 
@@ -51,7 +51,7 @@
 	admin.CodeFloor:        exitInvalid,
 	admin.CodeMemory:       exitInvalid,
 	admin.CodeUnavailable:  exitUnavailable,
-	admin.CodeUnsettled:    exitUnsettled,
+	admin.CodeUnsettled:    exitOutcomeUnknown,
 }
 
 // errInvariant marks a failed check.
--- a/cmd/mintlift/main_test.go
+++ b/cmd/mintlift/main_test.go
@@ -18,7 +18,7 @@
 )
 
 // command runs a command line.
-func command(args ...string) (int, string) {
+func runCLI(args ...string) (int, string) {
 	var out bytes.Buffer
 	code := run(context.Background(), append([]string{"mintlift"}, args...), &out, &out)
 	return code, out.String()
@@ -34,7 +34,7 @@
 		file := filepath.Join(t.TempDir(), e.Name())
 		assert.NilError(t, os.WriteFile(file, b, 0o600))
 		role := strings.TrimSuffix(e.Name()[strings.LastIndex(e.Name(), "-")+1:], ".json")
-		code, out := command("settings", "check", "--role", role, file)
+		code, out := runCLI("settings", "check", "--role", role, file)
 		assert.Equal(t, code, exitOK, out)
 	}
 }
@@ -55,7 +55,7 @@
 	assert.NilError(t, err)
 	file := filepath.Join(t.TempDir(), "bad.json")
 	assert.NilError(t, os.WriteFile(file, b, 0o600))
-	code, out := command("settings", "check", file)
+	code, out := runCLI("settings", "check", file)
 	assert.Equal(t, code, exitUsage)
 	t.Log("\n" + out)
 	for _, path := range []string{"platform.log", "max_in_flight", "queue", "drain_timeout", "weighing", "links.orgin_bytes_per_second"} {
@@ -67,13 +67,13 @@
 	for code, want := range exitCodes {
 		assert.Equal(t, exitCode(admin.Problem(code, "x")), want)
 	}
-	code, _ := command("settings", "check", "no-such-file.json")
+	code, _ := runCLI("settings", "check", "no-such-file.json")
 	assert.Equal(t, code, exitUsage)
-	code, _ = command("plan", "show")
+	code, _ = runCLI("plan", "show")
 	assert.Equal(t, code, exitUsage)
-	code, _ = command("status", "--gateway", "127.0.0.1:1")
+	code, _ = runCLI("status", "--gateway", "127.0.0.1:1")
 	assert.Equal(t, code, exitUnavailable)
-	code, out := command("version")
+	code, out := runCLI("version")
 	assert.Equal(t, code, exitOK)
 	assert.Equal(t, strings.TrimSpace(out), version)
 }
--- a/cmd/mintlift/hostile_test.go
+++ b/cmd/mintlift/malformed_test.go
@@ -25,7 +25,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-const wholeConfig = `{"version":7,"routes":[
+const validConfig = `{"version":7,"routes":[
  {"name":"r1","host":"h.example","path_prefix":"/s/","kind":"streaming","timeout_ms":50,"target_latency_ms":40,"priority":1,"service":"e","max_attempts":2,"resumable":true,"target_gap_ms":30,"public":true},
  {"name":"r2","host":"h.example","path_prefix":"/p/","kind":"safe","timeout_ms":50,"target_latency_ms":40,"traffic_split":[{"service":"e","weight":90},{"service":"p","weight":10}],"public":true}],
  "services":[{"name":"e","max_connections":374,"engine":{"slots":16,"models":[{"name":"m"}],"step_ms":8.87,"stride":5,"read_per_s":19100.0,"layers":16,"chunks":64,"chunk_bytes":32768,"usual":{"prompt":977,"answer":94}}},
@@ -35,42 +35,42 @@
  "tenants":[{"name":"w","api_keys":["k1"],"priority":2}]}`
 
 // strange returns values that no operator should write.
-func strange() []any {
+func invalidValues() []any {
 	return []any{0.0, -1.0, 1e18, -1e18, 1e308, 0.5, "", "text", nil, true, []any{}, map[string]any{}, []any{nil}, []any{[]any{}}}
 }
 
 // spoil replaces one value somewhere within v.
-func spoil(t *rapid.T, v any) any {
+func mutate(t *rapid.T, v any) any {
 	switch v := v.(type) {
 	case map[string]any:
 		if rapid.IntRange(0, 9).Draw(t, "here") == 0 || len(v) == 0 {
 			break
 		}
 		key := rapid.SampledFrom(slices.Sorted(maps.Keys(v))).Draw(t, "key")
-		v[key] = spoil(t, v[key])
+		v[key] = mutate(t, v[key])
 		return v
 	case []any:
 		if rapid.IntRange(0, 9).Draw(t, "here") == 0 || len(v) == 0 {
 			break
 		}
 		at := rapid.IntRange(0, len(v)-1).Draw(t, "at")
-		v[at] = spoil(t, v[at])
+		v[at] = mutate(t, v[at])
 		return v
 	}
-	values := strange()
+	values := invalidValues()
 	return values[rapid.IntRange(0, len(values)-1).Draw(t, "value")]
 }
 
 // A configuration stands in the store: one that ended a process would end each
 // that reads it, again after each start. Whatever it says, gateways and sidecars
 // take it or pass it over, and go on.
-func TestNoConfigurationEndsAProcess(t *testing.T) {
+func TestMalformedConfigurationDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
 	rapid.Check(t, func(t *rapid.T) {
 		var config any
-		assert.NilError(t, json.Unmarshal([]byte(wholeConfig), &config))
+		assert.NilError(t, json.Unmarshal([]byte(validConfig), &config))
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
-			config = spoil(t, config)
+			config = mutate(t, config)
 		}
 		text, err := json.Marshal(config)
 		assert.NilError(t, err)
@@ -92,17 +92,17 @@
 			r.Header.Set(platform.Headers().Deadline, "30")
 			server.ServeHTTP(httptest.NewRecorder(), r)
 		}
-		view := &sidecarView{settings: settings}
+		view := &sidecarState{settings: settings}
 		view.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 		view.Configured(c)
-		for _, a := range audiences(settings, server, known{}, time.Now()) {
-			view.told(a.Notice)
+		for _, a := range subscriptionGroups(settings, server, operatorProgress{}, time.Now()) {
+			view.handleNotice(a.Notice)
 		}
 	})
 }
 
 // What comes in a datagram from anybody ends no process either.
-func TestNoNoticeEndsASidecar(t *testing.T) {
+func TestMalformedNoticeDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
 	whole := `{"model":"m","region":"r","named":[{"version":2,"age_ms":5,"overdue":true}],"read":4,"demand":3.5,
 		"weights":{"version":3,"model":"m","layers":4,"chunks":8,"chunk_bytes":64,"origin":"127.0.0.1:9","origin_zone":"z","origin_rate":1e6},
@@ -111,7 +111,7 @@
 		var notice any
 		assert.NilError(t, json.Unmarshal([]byte(whole), &notice))
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
-			notice = spoil(t, notice)
+			notice = mutate(t, notice)
 		}
 		text, err := json.Marshal(notice)
 		assert.NilError(t, err)
@@ -119,9 +119,9 @@
 		if json.Unmarshal(text, &n) != nil {
 			return
 		}
-		view := &sidecarView{settings: settings}
+		view := &sidecarState{settings: settings}
 		view.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
-		view.told(n)
+		view.handleNotice(n)
 		server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 		server.HeardSuspects(n.Suspects, time.Now())
 		_ = server.Suspects(time.Now())
--- a/cmd/mintlift/operator.go
+++ b/cmd/mintlift/operator.go
@@ -30,7 +30,7 @@
 	}, more...)
 }
 
-func client(c *cli.Command) (*admin.Client, error) {
+func newClient(c *cli.Command) (*admin.Client, error) {
 	key := ""
 	if file := c.String("key-file"); file != "" {
 		b, err := os.ReadFile(file)
@@ -55,9 +55,9 @@
 }
 
 // action makes a command's action out of one that has a client.
-func action(f func(ctx context.Context, c *cli.Command, api *admin.Client) error) cli.ActionFunc {
+func clientAction(f func(ctx context.Context, c *cli.Command, api *admin.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
-		api, err := client(c)
+		api, err := newClient(c)
 		if err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 }
 
 // arg returns the command's one argument.
-func arg(c *cli.Command, what string) (string, error) {
+func singleArg(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", errors.WithType(errors.Errorf("%s wants one argument, the %s", c.FullName(), what), errUsage)
 	}
@@ -74,7 +74,7 @@
 }
 
 // show prints JSON for scripts, or a table for people.
-func show(c *cli.Command, v any, table func(w io.Writer)) error {
+func printResult(c *cli.Command, v any, table func(w io.Writer)) error {
 	out := c.Root().Writer
 	if c.Bool("json") {
 		enc := json.NewEncoder(out)
@@ -87,7 +87,7 @@
 }
 
 // row prints one line of a table.
-func row(w io.Writer, cells ...any) {
+func printRow(w io.Writer, cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
 			fmt.Fprint(w, "\t")
@@ -103,22 +103,22 @@
 		Usage:       "show how a gateway is",
 		Description: "Example: mintlift status --gateway 10.0.0.7:8081 --key-file operator.key",
 		Flags:       clientFlags(),
-		Action: action(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
+		Action: clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
 			s, err := api.Status(ctx)
 			if err != nil {
 				return err
 			}
-			return show(c, s, func(w io.Writer) {
-				row(w, "box", s.Gateway.Box)
-				row(w, "incarnation", s.Gateway.Incarnation)
-				row(w, "log offset", s.Gateway.Offset)
-				row(w, "log heard", fmt.Sprintf("%d ms ago", s.Gateway.ContactMS))
-				row(w, "log silent", s.LogSilent)
-				row(w, "state digest", fmt.Sprintf("%.12s", s.Digest))
-				row(w, "workspaces", s.Workspaces)
-				row(w, "plans", s.Plans)
-				row(w, "in flight", s.Gateway.Load)
-				row(w, "draining", s.Gateway.Draining)
+			return printResult(c, s, func(w io.Writer) {
+				printRow(w, "box", s.Gateway.Box)
+				printRow(w, "incarnation", s.Gateway.Incarnation)
+				printRow(w, "log offset", s.Gateway.Offset)
+				printRow(w, "log heard", fmt.Sprintf("%d ms ago", s.Gateway.ContactMS))
+				printRow(w, "log silent", s.LogSilent)
+				printRow(w, "state digest", fmt.Sprintf("%.12s", s.Digest))
+				printRow(w, "workspaces", s.Workspaces)
+				printRow(w, "plans", s.Plans)
+				printRow(w, "in flight", s.Gateway.Load)
+				printRow(w, "draining", s.Gateway.Draining)
 			})
 		}),
 	}
@@ -130,22 +130,22 @@
 		Usage:       "list the boxes and what they serve",
 		Description: "Example: mintlift boxes --json",
 		Flags:       clientFlags(),
-		Action: action(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
+		Action: clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
 			boxes, err := api.Boxes(ctx)
 			if err != nil {
 				return err
 			}
-			return show(c, boxes, func(w io.Writer) {
-				row(w, "BOX", "ZONE", "LIST", "ANSWERS", "DRAINING", "OFFSET", "LOAD", "COPIES")
+			return printResult(c, boxes, func(w io.Writer) {
+				printRow(w, "BOX", "ZONE", "LIST", "ANSWERS", "DRAINING", "OFFSET", "LOAD", "COPIES")
 				for _, b := range boxes {
-					row(w, b.Box.ID, b.Box.Zone, b.Box.State, b.Reached, b.Status.Draining, b.Status.Offset, b.Status.Load, copiesText(b))
+					printRow(w, b.Box.ID, b.Box.Zone, b.Box.State, b.Reached, b.Status.Draining, b.Status.Offset, b.Status.Load, formatCopies(b))
 				}
 			})
 		}),
 	}
 }
 
-func copiesText(b admin.BoxStatus) string {
+func formatCopies(b admin.BoxStatus) string {
 	var out []string
 	for _, c := range b.Status.Copies {
 		text := fmt.Sprintf("%s %s", c.Ref, c.State)
@@ -161,15 +161,15 @@
 }
 
 func workspacesCommand() *cli.Command {
-	list := action(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
+	list := clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
 		all, err := api.Workspaces(ctx)
 		if err != nil {
 			return err
 		}
-		return show(c, all, func(w io.Writer) {
-			row(w, "WORKSPACE", "PRIORITY", "MAX IN FLIGHT", "FLOOR")
+		return printResult(c, all, func(w io.Writer) {
+			printRow(w, "WORKSPACE", "PRIORITY", "MAX IN FLIGHT", "FLOOR")
 			for _, ws := range all {
-				row(w, ws.Name, ws.Priority, ws.MaxInFlight, ws.Floor)
+				printRow(w, ws.Name, ws.Priority, ws.MaxInFlight, ws.Floor)
 			}
 		})
 	})
@@ -189,12 +189,12 @@
 					&cli.IntFlag{Name: "max-in-flight", Usage: "requests in progress at one gateway, 0 for no bound"},
 					&cli.IntFlag{Name: "floor", Usage: "boxes that must go on serving it"},
 				),
-				Action: action(setWorkspace),
+				Action: clientAction(setWorkspace),
 			},
 			{
 				Name: "remove", Usage: "remove a workspace", ArgsUsage: "NAME", Flags: clientFlags(),
-				Action: action(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
-					name, err := arg(c, "workspace")
+				Action: clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
+					name, err := singleArg(c, "workspace")
 					if err != nil {
 						return err
 					}
@@ -206,7 +206,7 @@
 }
 
 func setWorkspace(ctx context.Context, c *cli.Command, api *admin.Client) error {
-	name, err := arg(c, "workspace")
+	name, err := singleArg(c, "workspace")
 	if err != nil {
 		return err
 	}
@@ -229,11 +229,11 @@
 	if err != nil {
 		return err
 	}
-	return show(c, ws, func(w io.Writer) {
-		row(w, "workspace", ws.Name)
-		row(w, "priority", ws.Priority)
-		row(w, "max in flight", ws.MaxInFlight)
-		row(w, "floor", ws.Floor)
+	return printResult(c, ws, func(w io.Writer) {
+		printRow(w, "workspace", ws.Name)
+		printRow(w, "priority", ws.Priority)
+		printRow(w, "max in flight", ws.MaxInFlight)
+		printRow(w, "floor", ws.Floor)
 	})
 }
 
@@ -245,8 +245,8 @@
 			Name: "set", Usage: "add an operator or change its key", ArgsUsage: "NAME",
 			Description: "Example: mintlift operators set ana --operator-key-file ana.key",
 			Flags:       clientFlags(&cli.StringFlag{Name: "operator-key-file", Usage: "`FILE` with the new key", Required: true}),
-			Action: action(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
-				name, err := arg(c, "operator")
+			Action: clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
+				name, err := singleArg(c, "operator")
 				if err != nil {
 					return err
 				}
--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -24,7 +24,7 @@
 
 // changeInForce is how long after the store took it a configuration may take
 // to be in force at a gateway that reaches the store.
-const changeInForce = 2 * time.Second
+const configApplyTimeout = 2 * time.Second
 
 // Seen: all gateways served a configuration 5.3 s after a newer one had been
 // acknowledged, while they read the list of endpoints from the same store each
@@ -42,39 +42,39 @@
 // Shown by the calls that the store counted (none for 5.5 s, twice, at each
 // gateway), the lines "store lost" and "store still lost" (ms=5501) of the same
 // outage brought about on purpose, and by this test.
-func TestChangeIsInForceAfterAnOutageOfItsTopic(t *testing.T) {
+func TestConfigurationAppliedAfterTopicOutage(t *testing.T) {
 	t.Parallel()
-	d := startDeployment(t, "127.77.1")
+	d := startRouteDeployment(t, "127.77.1")
 	time.Sleep(3500 * time.Millisecond) // into the wait of a read
-	d.silence(storetest.Operator)
+	d.setUnresponsive(storetest.Operator)
 	time.Sleep(3 * time.Second)
-	d.silence()
+	d.setUnresponsive()
 	time.Sleep(100 * time.Millisecond)
-	d.moveRoute(t)
+	d.checkRouteChange(t)
 }
 
 // The same with a single call: the read that begins after a change was heard
 // is never answered. A store that was silent for some milliseconds only does
 // this to whoever read in them.
-func TestChangeIsInForceThoughOneReadIsNeverAnswered(t *testing.T) {
+func TestConfigurationAppliedDespiteUnansweredRead(t *testing.T) {
 	t.Parallel()
-	d := startDeployment(t, "127.77.2")
-	d.silence(storetest.Operator)
+	d := startRouteDeployment(t, "127.77.2")
+	d.setUnresponsive(storetest.Operator)
 	d.store.Put(storetest.Operator, "version/none", `{"model":"none","version":2}`) // ends the wait of the read in progress
 	time.Sleep(100 * time.Millisecond)
-	d.silence()
-	d.moveRoute(t)
+	d.setUnresponsive()
+	d.checkRouteChange(t)
 }
 
 // deployment is a gateway with a stand-in of the store and two services of
 // one endpoint each.
-type deployment struct {
+type routeDeployment struct {
 	store *storetest.Store
 	front string
 }
 
 // silence makes these topics answer nothing, and all others again.
-func (d *deployment) silence(topics ...string) {
+func (d *routeDeployment) setUnresponsive(topics ...string) {
 	silent := make(map[string]bool)
 	for _, topic := range topics {
 		silent[topic] = true
@@ -83,7 +83,7 @@
 }
 
 // configure writes a configuration whose only route leads to a service.
-func (d *deployment) configure(version int, service string) {
+func (d *routeDeployment) configure(version int, service string) {
 	d.store.Put(storetest.Operator, "config", fmt.Sprintf(`{"version":%d,
 		"routes":[{"name":"r","host":"h.example","path_prefix":"/r/","kind":"safe","timeout_ms":1000,"target_latency_ms":300,"service":%q,"max_attempts":1,"public":true}],
 		"services":[{"name":"before","max_connections":50},{"name":"after","max_connections":50}],
@@ -92,12 +92,12 @@
 
 // moveRoute writes a configuration that moves the route, and checks that the
 // gateway serves it in time.
-func (d *deployment) moveRoute(t *testing.T) {
+func (d *routeDeployment) checkRouteChange(t *testing.T) {
 	t.Helper()
 	written := time.Now()
 	d.configure(2, "after")
-	for d.ask() != "after" {
-		assert.Assert(t, time.Since(written) < changeInForce, "the route has not moved %s after it was written", changeInForce)
+	for d.request() != "after" {
+		assert.Assert(t, time.Since(written) < configApplyTimeout, "the route has not moved %s after it was written", configApplyTimeout)
 		time.Sleep(10 * time.Millisecond)
 	}
 	t.Logf("in force after %s", time.Since(written))
@@ -105,7 +105,7 @@
 
 // ask sends a request along the route; the answer is the name of the service
 // that ran it, or empty.
-func (d *deployment) ask() string {
+func (d *routeDeployment) request() string {
 	r, err := http.NewRequest(http.MethodGet, "http://"+d.front+"/r/x", nil)
 	if err != nil {
 		return ""
@@ -126,7 +126,7 @@
 }
 
 // endpointOf starts an endpoint of a service; its answers name the service.
-func endpointOf(t *testing.T, service string) (address string) {
+func startEndpoint(t *testing.T, service string) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(platform.Headers().RequestID, r.Header.Get(platform.Headers().RequestID))
@@ -139,9 +139,9 @@
 
 // startDeployment starts a gateway at the first address of a loopback net, and
 // waits until it serves.
-func startDeployment(t *testing.T, network string) *deployment {
+func startRouteDeployment(t *testing.T, network string) *routeDeployment {
 	t.Helper()
-	d := &deployment{store: storetest.New(), front: net.JoinHostPort(network+".1", "8005")}
+	d := &routeDeployment{store: storetest.New(), front: net.JoinHostPort(network+".1", "8005")}
 	server := httptest.NewServer(d.store)
 	t.Cleanup(func() {
 		d.store.End()
@@ -149,11 +149,11 @@
 		server.Close()
 	})
 	for _, service := range []string{"before", "after"} {
-		d.store.Put(storetest.Endpoints, service, fmt.Sprintf(`{"service":%q,"address":%q,"zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1}`, service, endpointOf(t, service)))
+		d.store.Put(storetest.Endpoints, service, fmt.Sprintf(`{"service":%q,"address":%q,"zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1}`, service, startEndpoint(t, service)))
 	}
 	d.configure(1, "before")
 	startGateway(t, network+".1", strings.TrimPrefix(server.URL, "http://"))
-	for began := time.Now(); d.ask() != "before"; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); d.request() != "before"; time.Sleep(20 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 20*time.Second, "the gateway does not serve")
 	}
 	return d
@@ -161,42 +161,42 @@
 
 // processAt returns a process of the platform at an address of the loopback
 // net; extra are further settings.
-func processAt(t *testing.T, ip, store, extra string) *platformProcess {
+func newPlatformProcess(t *testing.T, ip, store, extra string) *platformProcess {
 	t.Helper()
 	settings, err := platform.ParseSettings(fmt.Appendf(nil, `{"node_name":"%[1]s","ip":"%[1]s","zone":"z","region":"r","zones":{"z":"r"},
 		"listen":{"front":"%[1]s:8005","ready":"%[1]s:8002"},"internal_ports":[7700,7715],"limits":{"link_mbps":80},
 		"bounds":{"grace_s":5,"config_apply_ms":%d,"contact_ms":%d,"drain_ms":2000,"version_ms":8000,"retry_budget_ratio":0.2,"budget_window_s":10,"budget_slack":100},
-		"platform":{"address":%q}%s}`, ip, changeInForce.Milliseconds(), contact.Milliseconds(), store, extra))
+		"platform":{"address":%q}%s}`, ip, configApplyTimeout.Milliseconds(), propagationTimeout.Milliseconds(), store, extra))
 	assert.NilError(t, err)
 	metrics := telemetry.NewMetrics()
 	return &platformProcess{
-		settings: settings, requests: logr.Discard(), events: logr.Discard(), metrics: metrics,
+		settings: settings, requestLog: logr.Discard(), log: logr.Discard(), metrics: metrics,
 		watcher: platform.NewWatcher(platform.NewStore(settings.Store.Address), logr.Discard(), metrics),
 	}
 }
 
 // startGateway starts a gateway at an address of the loopback net.
-func startGateway(t *testing.T, ip, store string) *running {
+func startGateway(t *testing.T, ip, store string) *taskGroup {
 	t.Helper()
-	all, err := startPlatformGateway(context.Background(), processAt(t, ip, store, ""))
+	all, err := startPlatformGateway(context.Background(), newPlatformProcess(t, ip, store, ""))
 	assert.NilError(t, err)
-	t.Cleanup(func() { endNow(all) })
+	t.Cleanup(func() { closeNow(all) })
 	return all
 }
 
 // endNow ends a daemon without a grace for requests in progress, and waits until
 // it has ended.
-func endNow(all *running) {
+func closeNow(all *taskGroup) {
 	const endWait = 5 * time.Second
 	ending, cancel := context.WithTimeout(context.Background(), endWait)
 	defer cancel()
-	all.end(ending)
+	all.close(ending)
 }
 
 // A configuration that was confirmed before a suspension may be too old: what it
 // does not know is refused as not run, not denied, until the store has answered.
-func TestConfigurationAgesWhileSuspended(t *testing.T) {
-	d := startDeployment(t, "127.77.3")
+func TestConfigurationExpiresWhileSuspended(t *testing.T) {
+	d := startRouteDeployment(t, "127.77.3")
 	ask := func(path string) int {
 		r, err := http.NewRequest(http.MethodGet, "http://"+d.front+path, nil)
 		assert.NilError(t, err)
@@ -207,11 +207,11 @@
 		return response.StatusCode
 	}
 	assert.Equal(t, ask("/none/"), http.StatusNotFound)
-	d.silence("")
-	clock.SuspendForTest(t, changeInForce)
+	d.setUnresponsive("")
+	clock.SuspendForTest(t, configApplyTimeout)
 	assert.Equal(t, ask("/none/"), http.StatusServiceUnavailable)
-	d.silence()
+	d.setUnresponsive()
 	for began := time.Now(); ask("/none/") != http.StatusNotFound; time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < changeInForce+contact, "it is not confirmed again")
+		assert.Assert(t, time.Since(began) < configApplyTimeout+propagationTimeout, "it is not confirmed again")
 	}
 }
--- a/cmd/mintlift/overhead_test.go
+++ b/cmd/mintlift/overhead_test.go
@@ -23,12 +23,12 @@
 const measureOverheadEnv = "MINTLIFT_MEASURE_OVERHEAD"
 
 // times are what one side of the comparison saw.
-type times struct {
+type latencies struct {
 	mu          sync.Mutex
 	first, gaps []time.Duration
 }
 
-func (t *times) add(first time.Duration, gaps []time.Duration) {
+func (t *latencies) add(first time.Duration, gaps []time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.first = append(t.first, first)
@@ -52,7 +52,7 @@
 	s.awaitChat(0)
 	const tokens, seconds = 32, 10
 	for _, rate := range []int{20, 100, 180} {
-		var direct, through times
+		var direct, through latencies
 		var requests sync.WaitGroup
 		tick := time.NewTicker(time.Second / time.Duration(rate))
 		for n := range rate * seconds {
--- a/cmd/mintlift/plans.go
+++ b/cmd/mintlift/plans.go
@@ -36,12 +36,12 @@
 					&cli.IntFlag{Name: "priority", Usage: "override the workspaces' own priority"},
 					&cli.StringFlag{Name: "weighing", Usage: "time_to_replicas or origin_bytes; empty for the deployment's"},
 				),
-				Action: action(createIntent),
+				Action: clientAction(createIntent),
 			},
-			{Name: "list", Usage: "list the intents and their plans", Flags: clientFlags(), Action: action(listPlans)},
+			{Name: "list", Usage: "list the intents and their plans", Flags: clientFlags(), Action: clientAction(listPlans)},
 			{
 				Name: "show", Usage: "show the plan that answers an intent", ArgsUsage: "INTENT", Flags: clientFlags(),
-				Action: action(showIntent),
+				Action: clientAction(showIntent),
 			},
 		},
 	}
@@ -49,8 +49,8 @@
 
 func planCommand() *cli.Command {
 	one := func(do func(*admin.Client, context.Context, string) (*intent.Plan, error)) cli.ActionFunc {
-		return action(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
-			id, err := arg(c, "plan")
+		return clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
+			id, err := singleArg(c, "plan")
 			if err != nil {
 				return err
 			}
@@ -58,14 +58,14 @@
 			if err != nil {
 				return err
 			}
-			return showPlan(c, p)
+			return printPlan(c, p)
 		})
 	}
 	return &cli.Command{
 		Name:  "plan",
 		Usage: "look at plans, confirm and watch them",
 		Commands: []*cli.Command{
-			{Name: "list", Usage: "list the plans", Flags: clientFlags(), Action: action(listPlans)},
+			{Name: "list", Usage: "list the plans", Flags: clientFlags(), Action: clientAction(listPlans)},
 			{Name: "show", Usage: "show a plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Plan)},
 			{Name: "confirm", Usage: "put a plan in force", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Confirm)},
 			{Name: "reject", Usage: "end a proposed plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Reject)},
@@ -74,14 +74,14 @@
 				Name: "watch", Usage: "show a plan's progress until it is done", ArgsUsage: "PLAN",
 				Description: "Example: mintlift plan watch 5f0c... --timeout 10m",
 				Flags:       clientFlags(&cli.DurationFlag{Name: "timeout", Value: 30 * time.Minute, Usage: "give up after"}, &cli.DurationFlag{Name: "every", Value: time.Second, Usage: "time between two looks"}),
-				Action:      action(watchPlan),
+				Action:      clientAction(watchPlan),
 			},
 		},
 	}
 }
 
 func createIntent(ctx context.Context, c *cli.Command, api *admin.Client) error {
-	name, err := arg(c, "model@version")
+	name, err := singleArg(c, "model@version")
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	return showPlan(c, p)
+	return printPlan(c, p)
 }
 
 func listPlans(ctx context.Context, c *cli.Command, api *admin.Client) error {
@@ -109,16 +109,16 @@
 	if err != nil {
 		return err
 	}
-	return show(c, plans, func(w io.Writer) {
-		row(w, "PLAN", "INTENT", "VERSION", "WORKSPACES", "BOXES", "PRIORITY", "STATUS", "REASON")
+	return printResult(c, plans, func(w io.Writer) {
+		printRow(w, "PLAN", "INTENT", "VERSION", "WORKSPACES", "BOXES", "PRIORITY", "STATUS", "REASON")
 		for _, p := range plans {
-			row(w, p.ID, p.Intent.ID, p.Intent.Ref, strings.Join(p.Intent.Workspaces, ","), len(p.Steps), p.Priority, p.Status, p.Reason)
+			printRow(w, p.ID, p.Intent.ID, p.Intent.Ref, strings.Join(p.Intent.Workspaces, ","), len(p.Steps), p.Priority, p.Status, p.Reason)
 		}
 	})
 }
 
 func showIntent(ctx context.Context, c *cli.Command, api *admin.Client) error {
-	id, err := arg(c, "intent")
+	id, err := singleArg(c, "intent")
 	if err != nil {
 		return err
 	}
@@ -128,39 +128,39 @@
 	}
 	for _, p := range slices.Backward(plans) {
 		if p.Intent.ID == id {
-			return showPlan(c, p)
+			return printPlan(c, p)
 		}
 	}
 	return admin.Problem(admin.CodeNotFound, "intent %q does not exist", id)
 }
 
-func showPlan(c *cli.Command, p *intent.Plan) error {
-	return show(c, p, func(w io.Writer) {
-		row(w, "plan", p.ID)
-		row(w, "status", strings.TrimSpace(string(p.Status)+" "+p.Reason))
-		row(w, "version", p.Intent.Ref)
-		row(w, "manifest", fmt.Sprintf("%.12s", p.ManifestDigest))
-		row(w, "size", fmt.Sprintf("%d bytes in %d chunks", p.Bytes, p.Chunks))
-		row(w, "workspaces", strings.Join(p.Intent.Workspaces, ", "))
-		row(w, "priority", p.Priority)
-		row(w, "made from offset", p.Base)
-		row(w, "expires", time.UnixMilli(p.ExpiresAt).UTC().Format(time.RFC3339))
+func printPlan(c *cli.Command, p *intent.Plan) error {
+	return printResult(c, p, func(w io.Writer) {
+		printRow(w, "plan", p.ID)
+		printRow(w, "status", strings.TrimSpace(string(p.Status)+" "+p.Reason))
+		printRow(w, "version", p.Intent.Ref)
+		printRow(w, "manifest", fmt.Sprintf("%.12s", p.ManifestDigest))
+		printRow(w, "size", fmt.Sprintf("%d bytes in %d chunks", p.Bytes, p.Chunks))
+		printRow(w, "workspaces", strings.Join(p.Intent.Workspaces, ", "))
+		printRow(w, "priority", p.Priority)
+		printRow(w, "made from offset", p.Base)
+		printRow(w, "expires", time.UnixMilli(p.ExpiresAt).UTC().Format(time.RFC3339))
 		for _, f := range p.Forecasts {
 			mark := ""
 			if f.Weighing == p.Weighing {
 				mark = " (chosen)"
 			}
-			row(w, "forecast "+string(f.Weighing), fmt.Sprintf("%v to all replicas, %d bytes from the origin%s", f.TimeToReplicas.Round(time.Millisecond), f.OriginBytes, mark))
+			printRow(w, "forecast "+string(f.Weighing), fmt.Sprintf("%v to all replicas, %d bytes from the origin%s", f.TimeToReplicas.Round(time.Millisecond), f.OriginBytes, mark))
 		}
 		for _, cap := range p.Capacities {
-			row(w, "capacity "+cap.Workspace, fmt.Sprintf("%d boxes now, %d at the lowest, floor %d", cap.Now, cap.Lowest, cap.Floor))
+			printRow(w, "capacity "+cap.Workspace, fmt.Sprintf("%d boxes now, %d at the lowest, floor %d", cap.Now, cap.Lowest, cap.Floor))
 		}
 		for i, s := range p.Steps {
 			evicts := ""
 			for _, e := range s.Evicts {
 				evicts += " evicts " + e.String()
 			}
-			row(w, fmt.Sprintf("box %d", i+1), fmt.Sprintf("%s in %s, first copy from %s, wave %d%s", s.Box, s.Zone, s.Source, s.Wave, evicts))
+			printRow(w, fmt.Sprintf("box %d", i+1), fmt.Sprintf("%s in %s, first copy from %s, wave %d%s", s.Box, s.Zone, s.Source, s.Wave, evicts))
 		}
 	})
 }
@@ -168,11 +168,11 @@
 // zoneProgress sums the boxes of one availability zone.
 type zoneProgress struct {
 	zone                  string
-	boxes, serving, lost  int
+	boxes, serving, unreachable  int
 	chunksHeld, chunksAll int
 }
 
-func byZone(p *admin.Progress) []zoneProgress {
+func progressByZone(p *admin.Progress) []zoneProgress {
 	sums := make(map[string]*zoneProgress)
 	for _, b := range p.Boxes {
 		zone := b.Step.Zone.String()
@@ -185,7 +185,7 @@
 		z.chunksAll += p.Plan.Chunks
 		z.chunksHeld += b.Copy.Held
 		if !b.Reached {
-			z.lost++
+			z.unreachable++
 		}
 		if b.Copy.State == weights.Serving {
 			z.serving++
@@ -199,7 +199,7 @@
 	return out
 }
 
-func (z zoneProgress) line() string {
+func (z zoneProgress) format() string {
 	const width = 30
 	share := 0.0
 	if z.chunksAll > 0 {
@@ -208,8 +208,8 @@
 	full := int(share * width)
 	bar := strings.Repeat("#", full) + strings.Repeat(".", width-full)
 	text := fmt.Sprintf("%-24s [%s] %3.0f%%  %d/%d serving", z.zone, bar, 100*share, z.serving, z.boxes)
-	if z.lost > 0 {
-		text += fmt.Sprintf(", %d silent", z.lost)
+	if z.unreachable > 0 {
+		text += fmt.Sprintf(", %d silent", z.unreachable)
 	}
 	return text
 }
@@ -217,7 +217,7 @@
 // watchPlan shows a bar for each zone on a terminal, and a line a look
 // elsewhere.
 func watchPlan(ctx context.Context, c *cli.Command, api *admin.Client) error {
-	id, err := arg(c, "plan")
+	id, err := singleArg(c, "plan")
 	if err != nil {
 		return err
 	}
@@ -255,9 +255,9 @@
 		fmt.Fprintln(out, sum)
 		return 1
 	}
-	zones := byZone(p)
+	zones := progressByZone(p)
 	for _, z := range zones {
-		fmt.Fprintf(out, "\x1b[2K%s\n", z.line())
+		fmt.Fprintf(out, "\x1b[2K%s\n", z.format())
 	}
 	fmt.Fprintf(out, "\x1b[2K%s\n", sum)
 	return len(zones) + 1
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -37,14 +37,14 @@
 				Name:  "gateway",
 				Usage: "serve callers on an entry box",
 				Action: func(ctx context.Context, _ *cli.Command) error {
-					return runPlatform(ctx, "gateway", startPlatformGateway)
+					return runPlatformDaemon(ctx, "gateway", startPlatformGateway)
 				},
 			},
 			{
 				Name:  "sidecar",
 				Usage: "bring the engine of this box to the named version",
 				Action: func(ctx context.Context, _ *cli.Command) error {
-					return runPlatform(ctx, "sidecar", startPlatformSidecar)
+					return runPlatformDaemon(ctx, "sidecar", startPlatformSidecar)
 				},
 			},
 			clearSuspectCommand(),
@@ -55,25 +55,25 @@
 // platformProcess is what the two daemons on the platform start from.
 type platformProcess struct {
 	settings *platform.Settings
-	requests logr.Logger // lines about single requests
-	events   logr.Logger // lines about what the process believes
+	requestLog logr.Logger // lines about single requests
+	log   logr.Logger // lines about what the process believes
 	metrics  *telemetry.Metrics
 	watcher  *platform.Watcher
 }
 
 // stopMargin is kept of the grace for closing logs.
-const stopMargin = 400 * time.Millisecond
+const logCloseTimeout = 400 * time.Millisecond
 
 // collectAt is how much garbage may gather, in percent of what lives. With 75,
 // and with a third copy of versions (installer.keptCopies), memory took a
 // hundredth more of a day's worth where it is dear.
-const collectAt = 50
+const gcPercent = 50
 
 // runPlatform runs a daemon until SIGTERM.
-func runPlatform(ctx context.Context, part string, start func(context.Context, *platformProcess) (*running, error)) error {
-	debug.SetGCPercent(collectAt)
+func runPlatformDaemon(ctx context.Context, part string, start func(context.Context, *platformProcess) (*taskGroup, error)) error {
+	debug.SetGCPercent(gcPercent)
 	sink := telemetry.NewSink(os.Stdout)
-	defer sink.Close(stopMargin / 2)
+	defer sink.Close(logCloseTimeout / 2)
 	level := telemetry.LogSettings{Level: telemetry.LevelInfo}
 	events := telemetry.Part(telemetry.NewLogger(sink.Rare(), level), part)
 	settings, err := platform.LoadSettings()
@@ -84,8 +84,8 @@
 	metrics := telemetry.NewMetrics()
 	p := &platformProcess{
 		settings: settings,
-		requests: telemetry.Part(telemetry.NewLogger(sink, level), part),
-		events:   events,
+		requestLog: telemetry.Part(telemetry.NewLogger(sink, level), part),
+		log:   events,
 		metrics:  metrics,
 		watcher:  platform.NewWatcher(platform.NewStore(settings.Store.Address), events, metrics),
 	}
@@ -111,7 +111,7 @@
 		// within a life.
 		events.Info("reload without effect")
 	}
-	grace := settings.Grace() - stopMargin
+	grace := settings.Grace() - logCloseTimeout
 	events.Info("stopping", "grace_ms", grace.Milliseconds())
 	ending, done := context.WithTimeout(context.WithoutCancel(ctx), grace)
 	defer done()
@@ -122,10 +122,10 @@
 
 // serveMetrics serves metrics, and the calls that more adds if it is not nil, until
 // all ends; a process without them works on.
-func (p *platformProcess) serveMetrics(all *running, more func(*http.ServeMux)) {
+func (p *platformProcess) serveMetrics(all *taskGroup, more func(*http.ServeMux)) {
 	listener, err := all.listen(p.settings.Internal(p.settings.IP, portMetrics))
 	if err != nil {
-		p.events.Error(err, "metrics not served")
+		p.log.Error(err, "metrics not served")
 		return
 	}
 	mux := http.NewServeMux()
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -27,27 +27,27 @@
 )
 
 // gatewayView gives what the store tells to a gateway.
-type gatewayView struct{ *ingress.Server }
+type gatewayOperator struct{ *ingress.Server }
 
 // Configured implements platform.Operator.
-func (v gatewayView) Configured(c *routing.Configuration) { v.Apply(c) }
+func (v gatewayOperator) Configured(c *routing.Configuration) { v.Apply(c) }
 
 // Named implements platform.Operator.
-func (v gatewayView) Named(n platform.Naming, first bool) {
+func (v gatewayOperator) Named(n platform.Naming, first bool) {
 	v.NameVersion(n.Model, n.Version, first, clock.Now())
 }
 
 // sidecarsView gives what sidecars tell to a gateway.
-type sidecarsView struct {
+type reportHandler struct {
 	ctx     context.Context // of the process
 	server  *ingress.Server
 	watcher *platform.Watcher
 	readers *storerelay.Readers
-	learner *learner
+	recovery *recordRecovery
 }
 
 // Heard implements loadreport.Handler.
-func (v sidecarsView) Heard(r fleet.Report, e *loadreport.Echo) {
+func (v reportHandler) Heard(r fleet.Report, e *loadreport.Echo) {
 	if e == nil {
 		v.server.Heard(r, noRoundTrip)
 		return
@@ -55,26 +55,26 @@
 	now := clock.Now()
 	v.watcher.OthersRead(e.Read, now)
 	v.readers.Heard(e.Readers, now)
-	v.learner.heard(v.ctx, e, now)
+	v.recovery.handleEcho(v.ctx, e, now)
 	v.server.Heard(r, e.RoundTrip)
 }
 
 // HeardSuspects implements loadreport.Handler.
-func (v sidecarsView) HeardSuspects(suspects []quarantine.Record) {
+func (v reportHandler) HeardSuspects(suspects []quarantine.Record) {
 	v.server.HeardSuspects(suspects, clock.Now())
 }
 
 // Granted implements loadreport.Handler.
-func (v sidecarsView) Granted(g backpressure.Grant) { v.server.Granted(g) }
+func (v reportHandler) Granted(g backpressure.Grant) { v.server.Granted(g) }
 
 // HeardEndpoints implements loadreport.Handler.
-func (v sidecarsView) HeardEndpoints(records []backpressure.Record) {
+func (v reportHandler) HeardEndpoints(records []backpressure.Record) {
 	v.server.HeardEndpoints(records)
 }
 
 // current reports whether the configuration in force is known to be the
 // newest.
-func current(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
+func configCurrent(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
 	return !p.Behind && !p.Lacks && !p.Confirmed.IsZero() && budget.Current(p.Age(now))
 }
 
@@ -88,20 +88,20 @@
 // Limits of the callers' server.
 const (
 	headerTimeout  = 10 * time.Second
-	callerIdle     = 2 * time.Minute
+	callerIdleTimeout     = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 	// drainLead is how long a stopping gateway takes new requests, until the
 	// platform has seen that it is not ready.
-	drainLead     = 2500 * time.Millisecond
-	maintainEvery = time.Second
+	preDrainDelay     = 2500 * time.Millisecond
+	maintainInterval = time.Second
 )
 
-func startPlatformGateway(ctx context.Context, p *platformProcess) (all *running, err error) {
-	all = newRunning(ctx)
+func startPlatformGateway(ctx context.Context, p *platformProcess) (all *taskGroup, err error) {
+	all = newTaskGroup(ctx)
 	ctx = all.ctx
 	defer func() {
 		if err != nil {
-			all.end(ctx)
+			all.close(ctx)
 		}
 	}()
 	s := p.settings
@@ -113,15 +113,15 @@
 		Signal:          platform.Signal,
 		Budget:          budget,
 		VersionDeadline: s.VersionDeadline(),
-		Current:         func() bool { return current(p.watcher.Progress(), s.ConfigBudget(), clock.Now()) },
+		Current:         func() bool { return configCurrent(p.watcher.Progress(), s.ConfigBudget(), clock.Now()) },
 		ConfigAge:       func() time.Duration { return p.watcher.Progress().Age(clock.Now()) },
-	}, p.requests, p.events, p.metrics)
-	all.onEnd(server.Close)
+	}, p.requestLog, p.log, p.metrics)
+	all.addCloser(server.Close)
 	front, err := tcpconn.Listen(ctx, s.Listen.Front, tcpconn.ProbeLater)
 	if err != nil {
 		return all, errors.Trace(err)
 	}
-	all.onEnd(func() { _ = front.Close() })
+	all.addCloser(func() { _ = front.Close() })
 	ready, err := all.listen(s.Listen.Ready)
 	if err != nil {
 		return all, errors.Trace(err)
@@ -138,36 +138,36 @@
 	probes.HandleFunc("/ready", server.ServeReady)
 	all.serve(server.Accepting(front), &http.Server{
 		Handler: server, ConnContext: ingress.ConnContext,
-		ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: maxHeaderBytes,
+		ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	})
 	all.serve(ready, &http.Server{Handler: probes})
 	all.serve(relays, &http.Server{Handler: storerelay.Handler(server, operatorRecords{p.watcher})})
 	p.serveMetrics(all, func(mux *http.ServeMux) { handleClearSuspect(mux, server) })
 
-	view := gatewayView{server}
-	readers := storerelay.NewReaders(s.IP, func(ip string) string { return s.Internal(ip, portRelay) }, p.events)
-	all.onEnd(readers.Close)
-	all.onEnd(p.watcher.Close)
+	view := gatewayOperator{server}
+	readers := storerelay.NewReaders(s.IP, func(ip string) string { return s.Internal(ip, portRelay) }, p.log)
+	all.addCloser(readers.Close)
+	all.addCloser(p.watcher.Close)
 	all.spawn(func() {
-		p.watcher.WatchOperator(ctx, view, relay(storerelay.NewRecordFollower(readers, s.ConfigBudget(), p.events)), s.ConfigBudget())
+		p.watcher.WatchOperator(ctx, view, recordRelay(storerelay.NewRecordFollower(readers, s.ConfigBudget(), p.log)), s.ConfigBudget())
 	})
-	follower := storerelay.NewFollower(readers, server, s.DrainBudget(), p.events)
+	follower := storerelay.NewFollower(readers, server, s.DrainBudget(), p.log)
 	all.spawn(func() { p.watchEndpoints(ctx, server, follower) })
 	told := func() []loadreport.Audience {
-		return audiences(s, server, knownOf(p.watcher), clock.Now())
+		return subscriptionGroups(s, server, operatorProgressOf(p.watcher), clock.Now())
 	}
-	learner := &learner{watcher: p.watcher, operator: view, readers: readers, log: p.events}
+	learner := &recordRecovery{watcher: p.watcher, operator: view, readers: readers, log: p.log}
 	all.spawn(func() {
-		subscriber.Run(ctx, told, server.TellSoon(), sidecarsView{ctx, server, p.watcher, readers, learner})
+		subscriber.Run(ctx, told, server.TellSoon(), reportHandler{ctx, server, p.watcher, readers, learner})
 	})
-	all.spawn(func() { askPermits(ctx, s, server, subscriber) })
+	all.spawn(func() { sendPermitRequests(ctx, s, server, subscriber) })
 	all.spawn(func() { maintain(ctx, server) })
-	all.drain = func(ending context.Context) { stopGateway(ending, p, server, front) }
+	all.drain = func(ending context.Context) { drainGateway(ending, p, server, front) }
 	return all, nil
 }
 
 // askPermits sends what the server asks of sidecars, until ctx ends.
-func askPermits(ctx context.Context, s *platform.Settings, server *ingress.Server, subscriber *loadreport.Subscriber) {
+func sendPermitRequests(ctx context.Context, s *platform.Settings, server *ingress.Server, subscriber *loadreport.Subscriber) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -183,22 +183,22 @@
 // maintain lets the server forget what has grown old, until ctx ends.
 func maintain(ctx context.Context, server *ingress.Server) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, maintainEvery)
+		clock.Sleep(ctx, maintainInterval)
 		server.Maintain(clock.Now())
 	}
 }
 
 // known is how much a gateway knows of what the operator wrote.
-type known struct {
-	read      history.Position
-	knowledge int64
+type operatorProgress struct {
+	position      history.Position
+	versionSum int64
 }
 
-func knownOf(w *platform.Watcher) known { return known{w.Progress().Read, w.Knowledge()} }
+func operatorProgressOf(w *platform.Watcher) operatorProgress { return operatorProgress{w.Progress().Read, w.Knowledge()} }
 
 // audiences are the sidecars of each service of engines, and what they are
 // told.
-func audiences(s *platform.Settings, server *ingress.Server, k known, now time.Time) []loadreport.Audience {
+func subscriptionGroups(s *platform.Settings, server *ingress.Server, k operatorProgress, now time.Time) []loadreport.Audience {
 	c := server.Configuration()
 	if c == nil {
 		return nil
@@ -209,29 +209,29 @@
 			continue
 		}
 		notice := loadreport.Notice{
-			Model: service.Engine.Model, Region: s.Region, Read: k.read.Offset, Era: k.read.Era, Knowledge: k.knowledge,
-			Demand: math.Round(server.Demand(name, now)), Named: named(server, service.Engine.Model, now),
+			Model: service.Engine.Model, Region: s.Region, Read: k.position.Offset, Era: k.position.Era, Knowledge: k.versionSum,
+			Demand: math.Round(server.Demand(name, now)), Named: namedVersions(server, service.Engine.Model, now),
 		}
 		weights, ok := c.Weights(name)
 		knowing, others := server.EngineAddresses(name, weights.Sum(), now)
-		out = append(out, loadreport.Audience{Sidecars: publishers(s, knowing), Notice: notice})
+		out = append(out, loadreport.Audience{Sidecars: publisherAddresses(s, knowing), Notice: notice})
 		if ok {
 			notice.Weights = &weights
 		}
-		out = append(out, loadreport.Audience{Sidecars: publishers(s, others), Notice: notice})
+		out = append(out, loadreport.Audience{Sidecars: publisherAddresses(s, others), Notice: notice})
 	}
 	suspects := server.Suspects(now)
 	if len(suspects) == 0 {
 		return out
 	}
-	return tellSuspects(out, suspects, relaysOf(s, server, c, now))
+	return addSuspects(out, suspects, suspectRelays(s, server, c, now))
 }
 
 // relaysOf are the sidecars that pass on what gateways tell each other.
-func relaysOf(s *platform.Settings, server *ingress.Server, c *routing.Configuration, now time.Time) map[string]bool {
+func suspectRelays(s *platform.Settings, server *ingress.Server, c *routing.Configuration, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for name := range c.Services {
-		for _, relay := range publishers(s, server.Relays(name, now)) {
+		for _, relay := range publisherAddresses(s, server.Relays(name, now)) {
 			out[relay] = true
 		}
 	}
@@ -240,7 +240,7 @@
 
 // tellSuspects divides audiences into the relays, which are told suspects, and
 // the others.
-func tellSuspects(audiences []loadreport.Audience, suspects []quarantine.Record, relays map[string]bool) []loadreport.Audience {
+func addSuspects(audiences []loadreport.Audience, suspects []quarantine.Record, relays map[string]bool) []loadreport.Audience {
 	var out []loadreport.Audience
 	for _, a := range audiences {
 		told := loadreport.Audience{Notice: a.Notice}
@@ -259,7 +259,7 @@
 }
 
 // publishers are the addresses of the sidecars beside engines.
-func publishers(s *platform.Settings, engines []string) []string {
+func publisherAddresses(s *platform.Settings, engines []string) []string {
 	out := make([]string, len(engines))
 	for i, address := range engines {
 		out[i] = s.Internal(address, portPublish)
@@ -268,7 +268,7 @@
 }
 
 // named are the named versions of a model as sidecars are told.
-func named(server *ingress.Server, model string, now time.Time) []loadreport.Named {
+func namedVersions(server *ingress.Server, model string, now time.Time) []loadreport.Named {
 	var out []loadreport.Named
 	for _, n := range server.Named(model) {
 		told := loadreport.Named{Version: n.Version, AgeMS: loadreport.UnknownAge, Overdue: n.Overdue(now)}
@@ -302,28 +302,28 @@
 // stopGateway lets requests in progress end. Resting connections are left
 // to the end of the process: net/http's Shutdown closes them also while a
 // request on one of them is being read, and so loses the request.
-func stopGateway(ending context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
+func drainGateway(ending context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
 	server.StartStopping()
 	select {
-	case <-time.After(drainLead):
+	case <-time.After(preDrainDelay):
 	case <-ending.Done():
 	}
 	server.Refuse()
 	_ = front.Close()
-	for quiet := 0; ending.Err() == nil && quiet < quietLooks; quiet++ {
+	for quiet := 0; ending.Err() == nil && quiet < idlePolls; quiet++ {
 		if server.InFlight() > 0 {
 			quiet = 0
 		}
-		time.Sleep(quietLook)
+		time.Sleep(idlePollInterval)
 	}
 	if n := server.InFlight(); n > 0 {
-		p.events.Info("requests cut off at the end of the grace", "in_flight", n)
+		p.log.Info("requests cut off at the end of the grace", "in_flight", n)
 	}
 }
 
 // A stopping gateway ends once quietLooks looks in a row, quietLook apart,
 // have found no request in progress.
 const (
-	quietLook  = 30 * time.Millisecond
-	quietLooks = 8
+	idlePollInterval  = 30 * time.Millisecond
+	idlePolls = 8
 )
--- a/cmd/mintlift/platform_relay.go
+++ b/cmd/mintlift/platform_relay.go
@@ -30,7 +30,7 @@
 }
 
 // relay gives what another gateway has read to a watcher.
-func relay(f *storerelay.RecordFollower) storewatch.Relay {
+func recordRelay(f *storerelay.RecordFollower) storewatch.Relay {
 	return func(ctx context.Context, from history.Position, age time.Duration) *storewatch.Relayed {
 		got, ok := f.Since(ctx, from, age)
 		if !ok {
@@ -46,10 +46,10 @@
 
 // learnEvery is the least time between two questions for what another gateway
 // knows and this one does not; a change that is on its way comes sooner.
-const learnEvery = time.Second
+const recoveryInterval = time.Second
 
 // learner asks other gateways for operator's records that the store has lost.
-type learner struct {
+type recordRecovery struct {
 	watcher  *platform.Watcher
 	operator platform.Operator
 	readers  *storerelay.Readers
@@ -58,13 +58,13 @@
 	mu sync.Mutex
 	// lacks is since when another gateway has known more, or zero, and asked when
 	// one was asked last.
-	lacks, asked time.Time
+	incompleteSince, lastFetch time.Time
 }
 
 // heard takes what a sidecar tells of the gateway that knows most.
-func (l *learner) heard(ctx context.Context, e *loadreport.Echo, now time.Time) {
+func (l *recordRecovery) handleEcho(ctx context.Context, e *loadreport.Echo, now time.Time) {
 	lacks := l.watcher.OthersKnow(e.Knowledge)
-	if !l.due(lacks, now) {
+	if !l.fetchDue(lacks, now) {
 		return
 	}
 	l.log.Info("another gateway knows more of what the operator wrote", "gateway", e.Knower, "theirs", e.Knowledge, "own", l.watcher.Knowledge())
@@ -82,19 +82,19 @@
 }
 
 // due reports whether a gateway should be asked now.
-func (l *learner) due(lacks bool, now time.Time) bool {
+func (l *recordRecovery) fetchDue(lacks bool, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !lacks {
-		l.lacks = time.Time{}
+		l.incompleteSince = time.Time{}
 		return false
 	}
-	if l.lacks.IsZero() {
-		l.lacks = now
+	if l.incompleteSince.IsZero() {
+		l.incompleteSince = now
 	}
-	if now.Sub(l.lacks) < learnEvery || now.Sub(l.asked) < learnEvery {
+	if now.Sub(l.incompleteSince) < recoveryInterval || now.Sub(l.lastFetch) < recoveryInterval {
 		return false
 	}
-	l.asked = now
+	l.lastFetch = now
 	return true
 }
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -22,7 +22,7 @@
 )
 
 // sidecarView gives what the store or a gateway tells to a sidecar.
-type sidecarView struct {
+type sidecarState struct {
 	settings  *platform.Settings
 	installer *installer.Installer
 
@@ -31,14 +31,14 @@
 }
 
 // Configured implements platform.Operator.
-func (v *sidecarView) Configured(c *routing.Configuration) {
+func (v *sidecarState) Configured(c *routing.Configuration) {
 	if weights, ok := c.Weights(v.settings.Service); ok {
 		v.apply(weights)
 	}
 }
 
 // apply takes how weights come, unless something newer is known.
-func (v *sidecarView) apply(w routing.Weights) {
+func (v *sidecarState) apply(w routing.Weights) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if w.Chunks == 0 || w.Version <= v.weights.Version {
@@ -56,7 +56,7 @@
 }
 
 // Named implements platform.Operator.
-func (v *sidecarView) Named(n platform.Naming, first bool) {
+func (v *sidecarState) Named(n platform.Naming, first bool) {
 	named := time.Time{}
 	if !first {
 		named = clock.Now()
@@ -65,7 +65,7 @@
 }
 
 // told takes what a gateway tells.
-func (v *sidecarView) told(n loadreport.Notice) {
+func (v *sidecarState) handleNotice(n loadreport.Notice) {
 	if n.Weights != nil {
 		v.apply(*n.Weights)
 	}
@@ -80,15 +80,15 @@
 }
 
 // known returns how weights come, as far as that is known.
-func (v *sidecarView) known() routing.Weights {
+func (v *sidecarState) weightsConfig() routing.Weights {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.weights
 }
 
 // sum is the checksum of how weights come, or 0 while that is not known.
-func (v *sidecarView) sum() uint32 {
-	w := v.known()
+func (v *sidecarState) weightsChecksum() uint32 {
+	w := v.weightsConfig()
 	if w.Chunks == 0 {
 		return 0
 	}
@@ -96,27 +96,27 @@
 }
 
 // layers is how many layers the service's model has, or 0.
-func (v *sidecarView) layers(service string) int {
+func (v *sidecarState) layers(service string) int {
 	if service != v.settings.Service {
 		return 0
 	}
-	return v.known().Layers
+	return v.weightsConfig().Layers
 }
 
 // gatewaysAsked is how many gateways are asked for the list before the store.
-const gatewaysAsked = 2
+const maxGatewaysQueried = 2
 
 // peers returns the sidecars of the service as a gateway lists them, or the
 // store if no gateway answers.
-func (v *sidecarView) peers(ctx context.Context, p *platformProcess, lists *storerelay.Client, publisher *loadreport.Publisher) ([]installer.Peer, error) {
-	gateways := publisher.Gateways(v.settings.Region, gatewaysAsked, clock.Now())
+func (v *sidecarState) listPeers(ctx context.Context, p *platformProcess, lists *storerelay.Client, publisher *loadreport.Publisher) ([]installer.Peer, error) {
+	gateways := publisher.Gateways(v.settings.Region, maxGatewaysQueried, clock.Now())
 	for at, ip := range gateways {
 		gateways[at] = v.settings.Internal(ip, portRelay)
 	}
 	list, err := lists.Service(ctx, gateways, v.settings.Service)
 	if err != nil {
-		p.events.Info("list of gateways not had", "asked", len(gateways), "error", err.Error())
-		if list, err = v.storedList(ctx, p.watcher); err != nil {
+		p.log.Info("list of gateways not had", "asked", len(gateways), "error", err.Error())
+		if list, err = v.endpointsFromStore(ctx, p.watcher); err != nil {
 			return nil, err
 		}
 	}
@@ -124,7 +124,7 @@
 	for _, e := range list {
 		box, _, err := net.SplitHostPort(e.Address)
 		if err != nil {
-			p.events.Info("endpoint left out", "address", e.Address, "error", err.Error())
+			p.log.Info("endpoint left out", "address", e.Address, "error", err.Error())
 			continue
 		}
 		out = append(out, installer.Peer{
@@ -135,7 +135,7 @@
 }
 
 // storedList reads the list from the store.
-func (v *sidecarView) storedList(ctx context.Context, w *platform.Watcher) ([]storerelay.Endpoint, error) {
+func (v *sidecarState) endpointsFromStore(ctx context.Context, w *platform.Watcher) ([]storerelay.Endpoint, error) {
 	list, err := w.List(ctx, v.layers)
 	if err != nil {
 		return nil, err
@@ -147,18 +147,18 @@
 	// unheardAfter is how long a sidecar goes without a gateway's word before
 	// it reads on its own, longer by up to unheardMore so that not all do so
 	// at once, and rereadPause how often then.
-	unheardAfter = 2 * time.Second
-	unheardMore  = 2 * time.Second
-	rereadPause  = 1500 * time.Millisecond
+	gatewayTimeout = 2 * time.Second
+	gatewayTimeoutJitter  = 2 * time.Second
+	storeReadInterval  = 1500 * time.Millisecond
 )
 
 // watchOperatorSparingly reads what the operator wrote while no gateway tells
 // it: each configuration is large, a sidecar needs next to nothing of it, and
 // hundreds that read it at once fill the links between regions.
-func (p *platformProcess) watchOperatorSparingly(ctx context.Context, o platform.Operator, publisher *loadreport.Publisher) {
+func (p *platformProcess) watchOperatorFallback(ctx context.Context, o platform.Operator, publisher *loadreport.Publisher) {
 	const look = 250 * time.Millisecond
 	reader := p.watcher.OperatorReader(o)
-	patience := unheardAfter + rand.N(unheardMore)
+	patience := gatewayTimeout + rand.N(gatewayTimeoutJitter)
 	read, began := time.Time{}, clock.Now()
 	lost := false
 	for ctx.Err() == nil {
@@ -168,7 +168,7 @@
 		if heard.IsZero() {
 			heard = began
 		}
-		if now.Sub(heard) < patience || now.Sub(read) < rereadPause {
+		if now.Sub(heard) < patience || now.Sub(read) < storeReadInterval {
 			continue
 		}
 		err := reader.Read(ctx)
@@ -176,32 +176,32 @@
 		case err == nil:
 			read = clock.Now()
 			if lost {
-				p.events.Info("store regained", "topic", "operator")
+				p.log.Info("store regained", "topic", "operator")
 			}
 			lost = false
 		case !lost:
 			lost = true
-			p.events.Info("store lost", "topic", "operator", "error", err.Error())
+			p.log.Info("store lost", "topic", "operator", "error", err.Error())
 		}
 	}
 }
 
 // reportEvery is how often the engine's report is read.
-const reportEvery = 40 * time.Millisecond
+const reportInterval = 40 * time.Millisecond
 
-func startPlatformSidecar(ctx context.Context, p *platformProcess) (all *running, err error) {
-	all = newRunning(ctx)
+func startPlatformSidecar(ctx context.Context, p *platformProcess) (all *taskGroup, err error) {
+	all = newTaskGroup(ctx)
 	ctx = all.ctx
 	defer func() {
 		if err != nil {
-			all.end(ctx)
+			all.close(ctx)
 		}
 	}()
 	s := p.settings
-	view := &sidecarView{settings: s}
+	view := &sidecarState{settings: s}
 	engine := platform.NewEngine(s.App, func() int { return view.layers(s.Service) })
-	all.onEnd(engine.Close)
-	origin := platform.NewOrigin(func() string { return view.known().Origin })
+	all.addCloser(engine.Close)
+	origin := platform.NewOrigin(func() string { return view.weightsConfig().Origin })
 	listener, err := all.listen(s.Internal(s.IP, portSidecars))
 	if err != nil {
 		return all, errors.Trace(err)
@@ -210,25 +210,25 @@
 	if err != nil {
 		return all, err
 	}
-	all.onEnd(func() { _ = publisher.Close() })
+	all.addCloser(func() { _ = publisher.Close() })
 	lists := storerelay.NewClient()
-	all.onEnd(lists.Close)
-	all.onEnd(p.watcher.Close)
+	all.addCloser(lists.Close)
+	all.addCloser(p.watcher.Close)
 	view.installer = installer.New(installer.Settings{Box: s.IP, Region: s.Region, Zone: s.Zone, LinkRate: s.LinkRate()}, engine, origin,
-		func(ctx context.Context) ([]installer.Peer, error) { return view.peers(ctx, p, lists, publisher) }, p.events, p.metrics)
-	all.onEnd(view.installer.Close)
-	all.spawn(func() { publisher.Run(view.told) })
+		func(ctx context.Context) ([]installer.Peer, error) { return view.listPeers(ctx, p, lists, publisher) }, p.log, p.metrics)
+	all.addCloser(view.installer.Close)
+	all.spawn(func() { publisher.Run(view.handleNotice) })
 	all.serve(listener, &http.Server{Handler: view.installer.Handler(), ReadHeaderTimeout: headerTimeout})
 	p.serveMetrics(all, nil)
-	all.spawn(func() { p.watchOperatorSparingly(ctx, view, publisher) })
+	all.spawn(func() { p.watchOperatorFallback(ctx, view, publisher) })
 	all.spawn(func() { view.installer.Run(ctx) })
 	all.spawn(func() { reportLoad(ctx, view, engine, publisher) })
 	return all, nil
 }
 
 // reportLoad reads the engine's state and publishes it.
-func reportLoad(ctx context.Context, view *sidecarView, engine *platform.Engine, publisher *loadreport.Publisher) {
-	ticker := time.NewTicker(reportEvery)
+func reportLoad(ctx context.Context, view *sidecarState, engine *platform.Engine, publisher *loadreport.Publisher) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	i := view.installer
 	for {
@@ -236,7 +236,7 @@
 			i.Heard(state)
 			publisher.Publish(fleet.Report{
 				Address: view.settings.App, Model: state.Model, Version: state.Version, Busy: state.Busy || i.Leaving(), Promised: i.Promised(),
-				Doubted: i.Doubted(), Running: state.Running, Queued: state.Queued, Pace: state.Pace, Born: state.Born, Weights: view.sum(),
+				Doubted: i.Doubted(), Running: state.Running, Queued: state.Queued, Pace: state.Pace, Born: state.Born, Weights: view.weightsChecksum(),
 				Draining: state.Signal.Draining, Limited: state.Signal.Limit.Named, Limit: state.Signal.Limit.Rate,
 			}, i.Changing(), clock.Now())
 		}
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -28,22 +28,22 @@
 )
 
 // nobody takes what the operator wrote.
-type nobody struct{}
+type discardOperator struct{}
 
-func (nobody) Configured(*routing.Configuration) {}
-func (nobody) Named(platform.Naming, bool)       {}
+func (discardOperator) Configured(*routing.Configuration) {}
+func (discardOperator) Named(platform.Naming, bool)       {}
 
 // deafGateway takes what sidecars send.
-type deafGateway struct{}
+type discardReports struct{}
 
-func (deafGateway) Heard(fleet.Report, *loadreport.Echo) {}
-func (deafGateway) Granted(backpressure.Grant)           {}
-func (deafGateway) HeardEndpoints([]backpressure.Record) {}
-func (deafGateway) HeardSuspects([]quarantine.Record)    {}
+func (discardReports) Heard(fleet.Report, *loadreport.Echo) {}
+func (discardReports) Granted(backpressure.Grant)           {}
+func (discardReports) HeardEndpoints([]backpressure.Record) {}
+func (discardReports) HeardSuspects([]quarantine.Record)    {}
 
 // A sidecar that gateways speak to reads nothing from the store; one that
 // hears none reads on its own, all once and then what is new.
-func TestSidecarReadsSparingly(t *testing.T) {
+func TestSidecarReadsStoreOnlyWithoutGateways(t *testing.T) {
 	var newest, reads atomic.Int32
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/log-newest" {
@@ -65,16 +65,16 @@
 	defer cancel()
 	speaking, silence := context.WithCancel(ctx)
 	audience := loadreport.Audience{Sidecars: []string{"127.0.0.1:17701"}}
-	go subscriber.Run(speaking, func() []loadreport.Audience { return []loadreport.Audience{audience} }, nil, deafGateway{})
+	go subscriber.Run(speaking, func() []loadreport.Audience { return []loadreport.Audience{audience} }, nil, discardReports{})
 	for publisher.Asked().IsZero() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	p := &platformProcess{
-		events:  logr.Discard(),
+		log:  logr.Discard(),
 		watcher: platform.NewWatcher(platform.NewStore(strings.TrimPrefix(store.URL, "http://")), logr.Discard(), telemetry.NewMetrics()),
 	}
-	go p.watchOperatorSparingly(ctx, nobody{}, publisher)
-	time.Sleep(unheardAfter + unheardMore + time.Second)
+	go p.watchOperatorFallback(ctx, discardOperator{}, publisher)
+	time.Sleep(gatewayTimeout + gatewayTimeoutJitter + time.Second)
 	assert.Equal(t, newest.Load()+reads.Load(), int32(0))
 	silence()
 	for began := time.Now(); reads.Load() < 2; time.Sleep(20 * time.Millisecond) {
@@ -85,7 +85,7 @@
 
 // A sidecar learns from a gateway all that it needs: how weights come, and
 // the named versions; its reports show that it need not be told again.
-func TestSidecarLearnsFromAGateway(t *testing.T) {
+func TestSidecarConfiguredByGateway(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "s", InternalPorts: [2]int{17710, 17720}}
 	c := routing.New(5, nil, []*routing.Service{
 		{Name: "s", Engine: &routing.Engine{Model: "m", Chunks: 4, ChunkBytes: 64, Layers: 2, Slots: 3}},
@@ -105,7 +105,7 @@
 	}
 
 	notice := func() loadreport.Notice {
-		for _, a := range audiences(settings, server, known{read: history.Unread}, now) {
+		for _, a := range subscriptionGroups(settings, server, operatorProgress{position: history.Unread}, now) {
 			if len(a.Sidecars) > 0 {
 				assert.DeepEqual(t, a.Sidecars, []string{"127.0.0.1:17711"})
 				return a.Notice
@@ -114,22 +114,22 @@
 		t.Fatal("nobody is told")
 		return loadreport.Notice{}
 	}
-	view := &sidecarView{settings: settings}
+	view := &sidecarState{settings: settings}
 	view.installer = installer.New(installer.Settings{Box: "127.0.0.1"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	told := notice()
 	assert.DeepEqual(t, told.Named, []loadreport.Named{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
-	view.told(told)
+	view.handleNotice(told)
 	want, _ := c.Weights("s")
-	assert.DeepEqual(t, view.known(), want)
+	assert.DeepEqual(t, view.weightsConfig(), want)
 	assert.Equal(t, view.layers("s"), 2)
 	assert.Equal(t, view.layers("plain"), 0)
 
-	server.Heard(fleet.Report{Address: "127.0.0.1:9", Weights: view.sum()}, -1)
+	server.Heard(fleet.Report{Address: "127.0.0.1:9", Weights: view.weightsChecksum()}, -1)
 	assert.Assert(t, notice().Weights == nil, "it knows them")
 	newer := routing.New(6, nil, []*routing.Service{{Name: "s", Engine: &routing.Engine{Model: "m", Chunks: 8, ChunkBytes: 64, Layers: 2}}}, nil, routing.Limits{})
 	server.Apply(newer)
 	assert.Equal(t, notice().Weights.Chunks, 8, "they have changed")
-	view.told(notice())
-	view.told(told)
-	assert.Equal(t, view.known().Chunks, 8, "an older gateway's word takes nothing back")
+	view.handleNotice(notice())
+	view.handleNotice(told)
+	assert.Equal(t, view.weightsConfig().Chunks, 8, "an older gateway's word takes nothing back")
 }
--- a/cmd/mintlift/process_test.go
+++ b/cmd/mintlift/process_test.go
@@ -146,7 +146,7 @@
 	return s.path(name)
 }
 
-func (s *system) list(b membership.Box) {
+func (s *system) listBox(b membership.Box) {
 	raw, err := json.Marshal(b)
 	assert.NilError(s.t, err)
 	req, err := http.NewRequest(http.MethodPut, "http://"+s.platform.BoxList+"/boxes/"+b.ID, bytes.NewReader(raw))
@@ -170,7 +170,7 @@
 func (s *system) startGateway(i int) {
 	g := s.gateways[i]
 	s.procs[g.Node.Box] = launch(s.t, nil, "gateway", "--settings", s.write(g.Node.Box+".json", g))
-	s.list(membership.Box{ID: g.Node.Box, Zone: g.Node.AvailabilityZone(), Role: membership.Gateway, Address: g.PeerListen, State: membership.Live})
+	s.listBox(membership.Box{ID: g.Node.Box, Zone: g.Node.AvailabilityZone(), Role: membership.Gateway, Address: g.PeerListen, State: membership.Live})
 }
 
 func (s *system) addSidecar(box, engine string) {
@@ -187,11 +187,11 @@
 func (s *system) startSidecar(i int) {
 	c := s.sidecars[i]
 	s.procs[c.Node.Box] = launch(s.t, nil, "sidecar", "--settings", s.write(c.Node.Box+".json", c))
-	s.list(membership.Box{ID: c.Node.Box, Zone: c.Node.AvailabilityZone(), Role: membership.Endpoint, Address: c.PeerListen, State: membership.Live})
+	s.listBox(membership.Box{ID: c.Node.Box, Zone: c.Node.AvailabilityZone(), Role: membership.Endpoint, Address: c.PeerListen, State: membership.Live})
 }
 
 // mintlift runs an operator's command and returns its code and output.
-func (s *system) mintlift(args ...string) (int, string) {
+func (s *system) runCLI(args ...string) (int, string) {
 	s.t.Helper()
 	args = append(append([]string{"mintlift"}, args...), "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("operator.key"))
 	var out bytes.Buffer
@@ -199,10 +199,10 @@
 	return code, out.String()
 }
 
-func (s *system) must(args ...string) string {
+func (s *system) mustRunCLI(args ...string) string {
 	s.t.Helper()
 	for {
-		code, out := s.mintlift(args...)
+		code, out := s.runCLI(args...)
 		if code == exitOK {
 			return out
 		}
@@ -225,16 +225,16 @@
 func (s *system) deploy(version string) {
 	s.t.Helper()
 	var plan struct{ ID string }
-	out := s.must("intent", "create", "draft@"+version, "--workspace", "liceo", "--json")
+	out := s.mustRunCLI("intent", "create", "draft@"+version, "--workspace", "liceo", "--json")
 	assert.NilError(s.t, json.Unmarshal([]byte(out), &plan), out)
-	s.must("plan", "confirm", plan.ID)
-	s.must("plan", "watch", plan.ID, "--timeout", "60s", "--every", "100ms")
+	s.mustRunCLI("plan", "confirm", plan.ID)
+	s.mustRunCLI("plan", "watch", plan.ID, "--timeout", "60s", "--every", "100ms")
 }
 
 func (s *system) prepare() {
 	s.t.Helper()
 	assert.NilError(s.t, os.WriteFile(s.path("liceo.key"), []byte("workspace-key-liceo-1"), 0o600))
-	s.must("workspaces", "set", "liceo", "--workspace-key-file", s.path("liceo.key"), "--priority", "40")
+	s.mustRunCLI("workspaces", "set", "liceo", "--workspace-key-file", s.path("liceo.key"), "--priority", "40")
 	api := admin.NewClient(s.gateways[0].AdminListen, testKey, call.Options{})
 	for {
 		boxes, err := api.Boxes(context.Background())
@@ -321,7 +321,7 @@
 func (s *system) testErrors(t *testing.T) {
 	plan := func() string {
 		var p struct{ ID string }
-		out := s.must("intent", "create", "draft@v2", "--workspace", "liceo", "--json")
+		out := s.mustRunCLI("intent", "create", "draft@v2", "--workspace", "liceo", "--json")
 		assert.NilError(t, json.Unmarshal([]byte(out), &p), out)
 		return p.ID
 	}
@@ -341,9 +341,9 @@
 		{"taken back", exitOK, []string{"plan", "cancel", first}},
 		{"wrong key", exitRefused, []string{"status", "--key-file", s.path("liceo.key")}},
 	} {
-		code, out := s.mintlift(c.args...)
+		code, out := s.runCLI(c.args...)
 		if c.name == "wrong key" {
-			code, out = command("status", "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("liceo.key"))
+			code, out = runCLI("status", "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("liceo.key"))
 		}
 		assert.Equal(t, code, c.want, "%s: %s", c.name, out)
 		if code != exitOK {
@@ -418,7 +418,7 @@
 	const streams, tokens = 12, 400
 	ends, begun := make(chan error, streams), make(chan struct{}, streams)
 	for i := range streams {
-		go func() { ends <- s.wholeStream(i%2, tokens, begun) }()
+		go func() { ends <- s.readStream(i%2, tokens, begun) }()
 	}
 	for range streams {
 		<-begun
@@ -437,7 +437,7 @@
 
 // wholeStream reads a stream to its end, and tells begun when its head has
 // come.
-func (s *system) wholeStream(gateway, tokens int, begun chan<- struct{}) error {
+func (s *system) readStream(gateway, tokens int, begun chan<- struct{}) error {
 	resp, err := s.chat(gateway, tokens, nil)
 	begun <- struct{}{}
 	if err != nil {
--- a/cmd/mintlift/settings.go
+++ b/cmd/mintlift/settings.go
@@ -44,7 +44,7 @@
 }
 
 func checkSettings(_ context.Context, c *cli.Command) error {
-	file, err := arg(c, "settings file")
+	file, err := singleArg(c, "settings file")
 	if err != nil {
 		return err
 	}
@@ -60,9 +60,9 @@
 	if err != nil && !errors.As(err, &problems) {
 		return errors.WithType(err, errUsage)
 	}
-	if bad := show(c, problems, func(w io.Writer) {
+	if bad := printResult(c, problems, func(w io.Writer) {
 		for _, p := range problems {
-			row(w, p.Path, p.Value, "want "+p.Want)
+			printRow(w, p.Path, p.Value, "want "+p.Want)
 		}
 		if len(problems) == 0 {
 			fmt.Fprintln(w, "ok")
--- a/cmd/mintlift/storereturn_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -19,13 +19,13 @@
 )
 
 // keyed writes a configuration of one route, whose callers need a key.
-func (d *weightsDeployment) keyed(version int, key string) {
+func (d *weightsDeployment) configureKey(version int, key string) {
 	text := fmt.Sprintf(`{"version":%d,"tenants":[{"name":"w","api_keys":[%q],"priority":1}],`, version, key)
 	d.store.Put(storetest.Operator, "config", strings.Replace(strings.Replace(d.config, `{"version":1,`, text, 1), `"public":true,`, "", 1))
 }
 
 // askWith sends a request with a key to a gateway, and returns the status.
-func (d *weightsDeployment) askWith(front, key string) int {
+func (d *weightsDeployment) requestWithKey(front, key string) int {
 	r, err := http.NewRequest(http.MethodPost, "http://"+front+"/s/x", strings.NewReader("text"))
 	if err != nil {
 		return 0
@@ -47,10 +47,10 @@
 func (d *weightsDeployment) awaitStatus(t *testing.T, key string, status int, within time.Duration) {
 	t.Helper()
 	began := time.Now()
-	for _, front := range d.fronts {
+	for _, front := range d.gateways {
 		for got := 0; got != status; time.Sleep(10 * time.Millisecond) {
 			assert.Assert(t, time.Since(began) < within, "%s answers %d, not %d, to %s", front, got, status, key)
-			got = d.askWith(front, key)
+			got = d.requestWithKey(front, key)
 		}
 	}
 }
@@ -58,71 +58,71 @@
 // A store that comes back from an older copy holds a key that was taken away, and
 // not yet the configuration without it. Gateways that knew go on refusing the key;
 // one that starts in between learns from them.
-func TestKeyStaysTakenAway(t *testing.T) {
+func TestRevokedKeyAfterStoreRollback(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
 		b.engine.Hold(1)
 	}
-	d.keyed(2, "before")
+	d.configureKey(2, "before")
 	d.awaitStatus(t, "before", http.StatusOK, 10*time.Second)
 	copied := d.store.Copy()
-	d.keyed(3, "after")
+	d.configureKey(3, "after")
 	d.awaitStatus(t, "after", http.StatusOK, 5*time.Second)
 	d.awaitStatus(t, "before", http.StatusUnauthorized, 5*time.Second)
 	d.store.GoBack(copied)
 	for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) {
-		status := d.askWith(d.fronts[0], "before")
+		status := d.requestWithKey(d.gateways[0], "before")
 		assert.Assert(t, status == http.StatusUnauthorized || status == http.StatusServiceUnavailable, "status %d", status)
 	}
 	d.startGateway(t)
 	d.awaitStatus(t, "before", http.StatusUnauthorized, 6*time.Second)
 	d.awaitStatus(t, "after", http.StatusOK, time.Second)
-	d.keyed(4, "after")
+	d.configureKey(4, "after")
 	d.awaitStatus(t, "after", http.StatusOK, 5*time.Second)
 }
 
 // The same with a version of weights: a gateway that starts in between brings no
 // older one back.
-func TestVersionStaysNamed(t *testing.T) {
+func TestNamedVersionAfterStoreRollback(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
 		b.engine.Hold(1)
 	}
 	copied := d.store.Copy()
-	d.name(2)
+	d.nameVersion(2)
 	for began := time.Now(); d.boxes[0].engine.State().Version != 2 || d.boxes[1].engine.State().Version != 2; time.Sleep(20 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 15*time.Second, "version 2 does not come")
 	}
 	d.store.GoBack(copied)
 	time.Sleep(time.Second)
 	d.startGateway(t)
-	d.askFor(4 * time.Second)
-	d.name(2)
-	d.askFor(2 * time.Second)
-	d.check(t, 2)
+	d.sendRequestsFor(4 * time.Second)
+	d.nameVersion(2)
+	d.sendRequestsFor(2 * time.Second)
+	d.checkVersions(t, 2)
 	for _, b := range d.boxes {
 		assert.DeepEqual(t, b.engine.Starts(), []int{2})
 	}
 }
 
 // gatewaysVariable chooses how many gateways the test of calls starts.
-const gatewaysVariable = "RETURN_GATEWAYS"
+const gatewaysEnv = "RETURN_GATEWAYS"
 
 // The return costs each gateway a few calls, spread, and no gateway reads anew for
 // ever since another one once knew a higher offset.
-func TestCallsAtTheReturnOfAnOlderStore(t *testing.T) {
+func TestStoreCallsAfterRollback(t *testing.T) {
 	t.Parallel()
 	gateways := 5
-	if n, err := strconv.Atoi(os.Getenv(gatewaysVariable)); err == nil {
+	if n, err := strconv.Atoi(os.Getenv(gatewaysEnv)); err == nil {
 		gateways = n
 	}
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
 		b.engine.Hold(1)
 	}
-	for len(d.fronts) < gateways {
+	for len(d.gateways) < gateways {
 		d.startGateway(t)
 	}
 	d.awaitStatus(t, "", http.StatusOK, 20*time.Second)
@@ -151,7 +151,7 @@
 // startGateway starts one more gateway.
 func (d *weightsDeployment) startGateway(t *testing.T) {
 	t.Helper()
-	ip := fmt.Sprintf("%s.%d", d.network, 1+len(d.fronts))
+	ip := fmt.Sprintf("%s.%d", d.network, 1+len(d.gateways))
 	d.daemons = append(d.daemons, startGateway(t, ip, d.storeAddress))
-	d.fronts = append(d.fronts, net.JoinHostPort(ip, "8005"))
+	d.gateways = append(d.gateways, net.JoinHostPort(ip, "8005"))
 }
--- a/cmd/mintlift/running_test.go
+++ b/cmd/mintlift/taskgroup_test.go
@@ -16,7 +16,7 @@
 )
 
 // left returns the goroutines that run code of this module beside the caller's.
-func left(t *testing.T) []string {
+func moduleGoroutines(t *testing.T) []string {
 	t.Helper()
 	var text strings.Builder
 	assert.NilError(t, pprof.Lookup("goroutine").WriteTo(&text, 2))
@@ -33,12 +33,12 @@
 // A daemon that has ended leaves nothing behind: no goroutine, and each of its
 // addresses can be listened on again. Other tests of the package must not run
 // beside this one.
-func TestDaemonLeavesNothingBehind(t *testing.T) {
-	before := len(left(t))
+func TestClosedDaemonReleasesResources(t *testing.T) {
+	before := len(moduleGoroutines(t))
 	for range 2 {
 		d := startWeights(t, 1)
 		d.boxes[0].engine.Hold(1)
-		for began := time.Now(); d.ask() != 1; time.Sleep(20 * time.Millisecond) {
+		for began := time.Now(); d.request() != 1; time.Sleep(20 * time.Millisecond) {
 			assert.Assert(t, time.Since(began) < 15*time.Second, "it does not serve")
 		}
 		d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} }) // a read is under way
@@ -46,13 +46,13 @@
 		ending, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		began := time.Now()
 		for _, all := range d.daemons {
-			all.end(ending)
+			all.close(ending)
 		}
 		cancel()
 		assert.Assert(t, time.Since(began) < time.Second, "ended after %s", time.Since(began))
 		var stacks []string
 		for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) {
-			if stacks = left(t); len(stacks) <= before {
+			if stacks = moduleGoroutines(t); len(stacks) <= before {
 				break
 			}
 		}
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -40,7 +40,7 @@
 //
 // Shown by 13 engines of one day that went back to an older version, 2.7 to 11 s
 // after they had been ordered to take it, and by this test.
-func TestStartThatIsTakenLate(t *testing.T) {
+func TestStartAcceptedLate(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 4)
 	ordered := make(chan struct{}, len(d.boxes))
@@ -56,56 +56,56 @@
 			}
 		})
 	}
-	d.name(2)
+	d.nameVersion(2)
 	for range d.boxes {
 		<-ordered
 	}
-	d.name(3)
-	d.askFor(9 * time.Second)
-	d.check(t, 3)
+	d.nameVersion(3)
+	d.sendRequestsFor(9 * time.Second)
+	d.checkVersions(t, 3)
 }
 
 // A chunk that has turned bad since it was read is taken with the others: its
 // box stood still meanwhile.
-func TestChunkThatTurnsBadAfterItWasRead(t *testing.T) {
+func TestChunkCorruptedAfterRead(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
-	d.first(2, func(b *weightsBox) { b.engine.Rot(3, enginetest.RotForgiven+time.Second) })
-	d.name(2)
-	d.askFor(2 * time.Second)
-	d.name(3)
-	d.askFor(9 * time.Second)
-	d.check(t, 3)
+	d.onFirstStart(2, func(b *weightsBox) { b.engine.Rot(3, enginetest.RotForgiven+time.Second) })
+	d.nameVersion(2)
+	d.sendRequestsFor(2 * time.Second)
+	d.nameVersion(3)
+	d.sendRequestsFor(9 * time.Second)
+	d.checkVersions(t, 3)
 }
 
 // The same when nothing newer is named: the engine says that it holds the
 // version, and takes it only by way of another.
-func TestNewestVersionIsLoadedAnew(t *testing.T) {
+func TestCorruptNewestVersionIsReloaded(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
 		b.engine.Hold(1)
 	}
-	d.first(2, func(b *weightsBox) { b.engine.Rot(3, enginetest.RotForgiven+time.Second) })
-	d.name(2)
-	d.askFor(12 * time.Second)
-	d.check(t, 2)
+	d.onFirstStart(2, func(b *weightsBox) { b.engine.Rot(3, enginetest.RotForgiven+time.Second) })
+	d.nameVersion(2)
+	d.sendRequestsFor(12 * time.Second)
+	d.checkVersions(t, 2)
 }
 
 // An engine begins anew between the check and the order, and what lay ready is
 // lost with it: the order fits the new life's count.
-func TestEngineThatBeginsAnewBeforeItsStart(t *testing.T) {
+func TestEngineRestartBeforeStart(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
-	d.first(2, func(b *weightsBox) { b.engine.Restart(true) })
-	d.name(2)
-	d.askFor(9 * time.Second)
-	d.check(t, 2)
+	d.onFirstStart(2, func(b *weightsBox) { b.engine.Restart(true) })
+	d.nameVersion(2)
+	d.sendRequestsFor(9 * time.Second)
+	d.checkVersions(t, 2)
 }
 
 // A chunk of an older version is written late, while the newer one is checked
 // and taken, by engines that read at once and by engines that read slowly.
-func TestChunkThatIsWrittenLate(t *testing.T) {
+func TestChunkWrittenLate(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 8)
 	for n, b := range d.boxes {
@@ -120,15 +120,15 @@
 			}
 		})
 	}
-	d.name(2)
+	d.nameVersion(2)
 	time.Sleep(time.Second)
-	d.name(3)
-	d.askFor(9 * time.Second)
-	d.check(t, 3)
+	d.nameVersion(3)
+	d.sendRequestsFor(9 * time.Second)
+	d.checkVersions(t, 3)
 }
 
 // first does something when the first start of a version comes to each engine.
-func (d *weightsDeployment) first(version int, do func(*weightsBox)) {
+func (d *weightsDeployment) onFirstStart(version int, do func(*weightsBox)) {
 	for _, b := range d.boxes {
 		var once sync.Once
 		b.engine.Change(func(f *enginetest.Faults) {
@@ -152,8 +152,8 @@
 	// configuration.
 	storeAddress, config string
 	boxes                []*weightsBox
-	daemons              []*running
-	fronts               []string // IP:PORT of the gateways' callers' listeners
+	daemons              []*taskGroup
+	gateways               []string // IP:PORT of the gateways' callers' listeners
 
 	mu sync.Mutex
 	// served counts answers by the version that gave them.
@@ -171,7 +171,7 @@
 // loopback net of its own.
 func startWeights(t *testing.T, count int) *weightsDeployment {
 	t.Helper()
-	network := fmt.Sprintf("127.78.%d", networks.Add(1))
+	network := fmt.Sprintf("127.78.%d", loopbackNetworks.Add(1))
 	d := &weightsDeployment{network: network, store: storetest.New(), served: make(map[int]int)}
 	d.storeAddress = serveAt(t, "127.0.0.1:0", d.store, d.store.End)
 	origin := serveAt(t, "127.0.0.1:0", weightsModel, func() {})
@@ -191,10 +191,10 @@
 func (d *weightsDeployment) startBox(t *testing.T, ip, store string) {
 	t.Helper()
 	b := &weightsBox{store: d.store, address: net.JoinHostPort(ip, "8320")}
-	b.engine = enginetest.New(weightsModel, b.list)
+	b.engine = enginetest.New(weightsModel, b.writeEntry)
 	d.boxes = append(d.boxes, b)
 	serveAt(t, b.address, http.HandlerFunc(b.serve), func() {})
-	b.list()
+	b.writeEntry()
 	d.daemons = append(d.daemons, startSidecar(t, ip, store, b.address))
 }
 
@@ -217,7 +217,7 @@
 }
 
 // list writes the engine's entry.
-func (b *weightsBox) list() {
+func (b *weightsBox) writeEntry() {
 	state := b.engine.State()
 	entry, err := json.Marshal(map[string]any{
 		"service": "e", "address": b.address, "zone": "z", "version": "v1", "slots": 16, "state": "ready", "cold_remaining_ms": 0,
@@ -249,20 +249,20 @@
 }
 
 // name names a version.
-func (d *weightsDeployment) name(version int) {
+func (d *weightsDeployment) nameVersion(version int) {
 	d.store.Put(storetest.Operator, "version/m", fmt.Sprintf(`{"model":"m","version":%d}`, version))
 }
 
 // callers send requests at the same time.
-const callers = 8
+const concurrentCallers = 8
 
 // askFor sends requests for so long.
-func (d *weightsDeployment) askFor(long time.Duration) {
+func (d *weightsDeployment) sendRequestsFor(long time.Duration) {
 	var group sync.WaitGroup
-	for range callers {
+	for range concurrentCallers {
 		group.Go(func() {
 			for began := time.Now(); time.Since(began) < long; time.Sleep(10 * time.Millisecond) {
-				version := d.ask()
+				version := d.request()
 				d.mu.Lock()
 				d.served[version]++
 				d.mu.Unlock()
@@ -273,8 +273,8 @@
 }
 
 // ask sends a request, and returns the version that answered it, or 0.
-func (d *weightsDeployment) ask() int {
-	r, err := http.NewRequest(http.MethodPost, "http://"+d.fronts[rand.IntN(len(d.fronts))]+"/s/x", strings.NewReader("text"))
+func (d *weightsDeployment) request() int {
+	r, err := http.NewRequest(http.MethodPost, "http://"+d.gateways[rand.IntN(len(d.gateways))]+"/s/x", strings.NewReader("text"))
 	if err != nil {
 		return 0
 	}
@@ -298,7 +298,7 @@
 
 // check checks that no token was made with wrong weights, and that the version
 // named last is served.
-func (d *weightsDeployment) check(t *testing.T, newest int) {
+func (d *weightsDeployment) checkVersions(t *testing.T, newest int) {
 	t.Helper()
 	var wrong []string
 	for _, b := range d.boxes {
