--- a/cmd/mintlift/backoff_test.go
+++ b/cmd/mintlift/backoff_test.go
@@ -16,7 +16,7 @@
 	// backoffGrace is how long after an endpoint has turned a gateway away and asked
 	// for backoff requests may still be on their way.
 	backoffGrace = 500 * time.Millisecond
-	// backoffSlack is how many requests may reach it until the backoff ends.
+	// maxRequestsInBackoff is how many requests may reach it until the backoff ends.
 	maxRequestsInBackoff = 2
 )
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// getsBackoff lets an endpoint turn all requests away and ask for seconds of backoff, and
+// checkBackoff lets an endpoint turn all requests away and ask for seconds of backoff, and
 // checks that each gateway gives it that.
 func checkBackoff(t *testing.T, d *engineDeployment, backingOff *signalingEndpoint, path string, seconds float64) {
 	t.Helper()
--- a/cmd/mintlift/bench.go
+++ b/cmd/mintlift/bench.go
@@ -14,13 +14,13 @@
 func benchCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "bench",
-		Usage: "measure mintlift's decisions in virtual time",
+		Usage: "run benchmarks of the scheduling decisions in simulated time",
 		Commands: []*cli.Command{{
 			Name:        "transfer",
-			Usage:       "time to N replicas and origin bytes; the same figures every run",
+			Usage:       "simulate transfers: time to N replicas and origin bytes; deterministic",
 			Description: "Example: mintlift bench transfer --boxes 64 --boxes 410",
 			Flags: []cli.Flag{
-				&cli.IntSliceFlag{Name: "boxes", Usage: "number of boxes; may be given again", Value: linksim.Sizes},
+				&cli.IntSliceFlag{Name: "boxes", Usage: "number of boxes; repeatable", Value: linksim.Sizes},
 				&cli.BoolFlag{Name: "json", Usage: "print JSON for scripts"},
 			},
 			Action: func(_ context.Context, c *cli.Command) error {
--- a/cmd/mintlift/capacity.go
+++ b/cmd/mintlift/capacity.go
@@ -15,7 +15,7 @@
 func capacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "capacity",
-		Usage:       "work out what each role costs at full size, from the committed measurements",
+		Usage:       "compute the cost of each role at full size from the committed measurements",
 		Description: "Example: mintlift capacity --json",
 		Flags:       []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print JSON for scripts"}},
 		Action: func(_ context.Context, c *cli.Command) error {
--- a/cmd/mintlift/crash_test.go
+++ b/cmd/mintlift/crash_test.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	// contact is how long after the third crash gateways must know of it.
+	// propagationTimeout is how long after the third crash gateways must know of it.
 	propagationTimeout = 3 * time.Second
-	// retriesAfterContact is how many sends may follow after that.
+	// maxCrashesAfterPropagation is how many sends may follow after that.
 	maxCrashesAfterPropagation = 3
-	// crashesNoticed is after how many crashes a request must be known.
+	// crashThreshold is after how many crashes a request must be known.
 	crashThreshold = 3
 )
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// keptFromEndpoints tries one request that crashes its endpoints at one gateway
+// checkQuarantine tries one request that crashes its endpoints at one gateway
 // after the other, and checks that few crash.
 func checkQuarantine(t *testing.T, gateways, count int) {
 	t.Helper()
@@ -104,7 +104,7 @@
 	assert.Assert(t, len(d.crashTimes()) <= crashThreshold+maxCrashesAfterPropagation, "%d engines have crashed", len(d.crashTimes()))
 }
 
-// keptOut checks the answer to a try of the request that crashes endpoints: 502
+// checkCrashingResponse checks the answer to a try of the request that crashes endpoints: 502
 // without an invitation if it may have run, else that it has not.
 func checkCrashingResponse(t *testing.T, d *engineDeployment, gateway int) {
 	t.Helper()
@@ -123,21 +123,21 @@
 	}
 }
 
-// crashing is the body of a request that ends each engine that runs it.
+// crashingBody is the body of a request that ends each engine that runs it.
 const crashingBody = "crash"
 
-// engines are gateways before engines with sidecars, which crash when they
+// engineDeployment are gateways before engines with sidecars, which crash when they
 // are asked to.
 type engineDeployment struct {
 	store    *storetest.Store
 	gateways []string // IP:PORT of their callers' listeners
 
-	mu      sync.Mutex
-	crashes []time.Time
-	incarnations   int
+	mu           sync.Mutex
+	crashes      []time.Time
+	incarnations int
 }
 
-// networks counts the loopback nets in use.
+// loopbackNetworks counts the loopback nets in use.
 var loopbackNetworks atomic.Int32
 
 // startEngines starts gateways and engines on a loopback net of /24 of their
@@ -147,7 +147,7 @@
 	return startEnginesWith(t, gateways, count, (*engineDeployment).startEngine)
 }
 
-// startEnginesOf is startEngines for engines that start starts, each at an IP
+// startEnginesWith is startEngines for engines that start starts, each at an IP
 // number, with the address of the store.
 func startEnginesWith(t *testing.T, gateways, count int, start func(d *engineDeployment, t *testing.T, ip, store string)) *engineDeployment {
 	t.Helper()
@@ -202,19 +202,19 @@
 	return all
 }
 
-// try sends one try of a request to the n-th gateway, counted round, and
+// send sends one try of a request to the n-th gateway, counted round, and
 // returns the status of the answer, or 0.
 func (d *engineDeployment) send(n int, body string) int {
 	status, _ := d.sendForHeader(n, body)
 	return status
 }
 
-// answer is as try, with the head of the answer.
+// sendForHeader is as try, with the head of the answer.
 func (d *engineDeployment) sendForHeader(n int, body string) (int, http.Header) {
 	return d.sendToPath("/s/x", n, body)
 }
 
-// answerAt is as answer, for a request of a path.
+// sendToPath is as answer, for a request of a path.
 func (d *engineDeployment) sendToPath(path string, n int, body string) (int, http.Header) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.gateways[n%len(d.gateways)]+path, strings.NewReader(body))
 	if err != nil {
@@ -240,7 +240,7 @@
 	return append([]time.Time(nil), d.crashes...)
 }
 
-// newLife returns an id for an engine that starts.
+// newIncarnationID returns an id for an engine that starts.
 func (d *engineDeployment) newIncarnationID() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -251,7 +251,7 @@
 // crashingEngine is one engine, through all its lives.
 type crashingEngine struct {
 	deployment *engineDeployment
-	address string
+	address    string
 
 	mu      sync.Mutex
 	id      string
@@ -259,10 +259,10 @@
 	stopped bool
 }
 
-// restart is how long a crashed engine is away.
+// restartDelay is how long a crashed engine is away.
 const restartDelay = 700 * time.Millisecond
 
-// crashAfter is how long an engine works on a request that crashes it.
+// crashDelay is how long an engine works on a request that crashes it.
 const crashDelay = 60 * time.Millisecond
 
 func (e *crashingEngine) start() error {
--- a/cmd/mintlift/daemons.go
+++ b/cmd/mintlift/daemons.go
@@ -19,8 +19,9 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// daemon is what a gateway and a sidecar have in common.
+// daemon is a started gateway or sidecar.
 type daemon interface {
+	// Stop drains the daemon, then closes it.
 	Stop(ctx context.Context) error
 }
 
@@ -31,7 +32,7 @@
 func gatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "gateway",
-		Usage:       "run the process of an entry box",
+		Usage:       "run the gateway process of an entry box",
 		Description: "Example: mintlift gateway --settings /etc/mintlift/gateway.json",
 		Flags:       []cli.Flag{settingsFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -49,7 +50,7 @@
 func sidecarCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "sidecar",
-		Usage:       "run the process beside an endpoint",
+		Usage:       "run the sidecar process of an endpoint",
 		Description: "Example: mintlift sidecar --settings /etc/mintlift/sidecar.json",
 		Flags:       []cli.Flag{settingsFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -64,12 +65,12 @@
 	}
 }
 
-// serve runs a daemon until SIGTERM or SIGINT, then drains it. go-zero
-// forces an exit some seconds after a signal, whatever is in progress; its
-// bound is put past the daemon's own.
-func runDaemon(ctx context.Context, name string, t telemetry.TraceSettings, bound time.Duration, start func() (daemon, error)) error {
-	const margin = 10 * time.Second
-	proc.SetTimeToForceQuit(bound + margin)
+// runDaemon starts a daemon and stops it on SIGTERM, SIGINT or the end of ctx.
+// go-zero forces an exit some seconds after a signal, even while requests are in
+// progress; that delay is raised above drainTimeout.
+func runDaemon(ctx context.Context, name string, t telemetry.TraceSettings, drainTimeout time.Duration, start func() (daemon, error)) error {
+	const forceQuitMargin = 10 * time.Second
+	proc.SetTimeToForceQuit(drainTimeout + forceQuitMargin)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	stopTraces, err := telemetry.StartTraces("mintlift-"+name, t)
--- a/cmd/mintlift/demo.go
+++ b/cmd/mintlift/demo.go
@@ -16,7 +16,7 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "demo",
-		Usage:       "show the whole path in one process on stand-ins",
+		Usage:       "run a demonstration of the whole request path in one process, on stand-ins",
 		Description: "Example: mintlift demo --logs",
 		Flags:       []cli.Flag{&cli.BoolFlag{Name: "logs", Usage: "print the processes' logs to standard error"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/cmd/mintlift/draining_test.go
+++ b/cmd/mintlift/draining_test.go
@@ -13,7 +13,7 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// drainBound is how long after a gateway has passed on an answer of an endpoint that
+// drainTimeout is how long after a gateway has passed on an answer of an endpoint that
 // drains it may send it requests.
 const drainTimeout = 2 * time.Second
 
@@ -56,7 +56,7 @@
 	checkNoRequestsAfterDrain(t, d, draining, plainPath)
 }
 
-// getsNothingAfterLeaving lets an endpoint say that it drains, and checks that each
+// checkNoRequestsAfterDrain lets an endpoint say that it drains, and checks that each
 // gateway stops sending in time.
 func checkNoRequestsAfterDrain(t *testing.T, d *engineDeployment, draining *signalingEndpoint, path string) {
 	t.Helper()
--- a/cmd/mintlift/explain.go
+++ b/cmd/mintlift/explain.go
@@ -18,14 +18,14 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "explain",
-		Usage:       "tell from log files what became of a request, all its tries, an endpoint or a version",
+		Usage:       "show the log lines about a request, all its attempts, an endpoint or a version",
 		ArgsUsage:   "[ID] FILE...",
 		Description: "Examples: mintlift explain 9c41d07be2a35f68 gateway-*.log\n          mintlift explain --endpoint i-7f3a91c2 *.log\n          mintlift explain --causes 2s gateway-*.log",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "endpoint", Usage: "lines about the endpoint with this `ID`"},
-			&cli.StringFlag{Name: "identity", Usage: "lines about all tries of the request with this `IDENTITY`"},
+			&cli.StringFlag{Name: "identity", Usage: "lines about all attempts of the request with this `IDENTITY`"},
 			&cli.StringFlag{Name: "version", Usage: "lines about this `VERSION` of the weights"},
-			&cli.DurationFlag{Name: "causes", Usage: "count how requests ended and why, by windows of this `LENGTH`"},
+			&cli.DurationFlag{Name: "causes", Usage: "count outcomes and causes of requests in windows of this `LENGTH`"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON lines"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -51,11 +51,12 @@
 	}
 }
 
-// explainCauses counts how the requests in the log files ended.
+// explainCauses prints the outcomes of the requests in the log files, with their
+// causes, for each window of time.
 func explainCauses(c *cli.Command, window time.Duration) error {
 	files := c.Args().Slice()
 	if len(files) == 0 {
-		return errors.WithType(errors.New("say which log files to read"), errUsage)
+		return errors.WithType(errors.New("no log files given"), errUsage)
 	}
 	causes := explain.NewCauses(window)
 	for _, name := range files {
@@ -64,14 +65,14 @@
 			return errors.Trace(err)
 		}
 		err = causes.Add(file)
-		_ = file.Close() // it was only read
+		_ = file.Close() // read only
 		if err != nil {
 			return errors.Annotate(err, name)
 		}
 	}
 	list := causes.List()
 	if len(list) == 0 {
-		return errors.NotFoundf("ends of requests in %d files", len(files))
+		return errors.NotFoundf("outcomes of requests in %d files", len(files))
 	}
 	if !c.Bool("json") {
 		return explain.WriteCauses(c.Root().Writer, list)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// explainArguments returns what is asked for and the files to read.
+// explainArguments returns the filter and the log files that the command line names.
 func explainArguments(c *cli.Command) (explain.Filter, []string, error) {
 	files := c.Args().Slice()
 	var filter explain.Filter
@@ -105,11 +106,12 @@
 		filter, files = explain.Request(files[0]), files[1:]
 	}
 	if filter.Value == "" || len(files) == 0 {
-		return filter, nil, errors.WithType(errors.New("say what to explain, and the log files to read"), errUsage)
+		return filter, nil, errors.WithType(errors.New("no subject or no log files given"), errUsage)
 	}
 	return filter, files, nil
 }
 
+// readLogs returns the matching lines of all files, sorted.
 func readLogs(files []string, filter explain.Filter) ([]explain.Line, error) {
 	var out []explain.Line
 	for _, name := range files {
--- a/cmd/mintlift/idle_test.go
+++ b/cmd/mintlift/idle_test.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// measureEnv names the sizes to measure, as in "10,50,200". The measurement
+// measureIdleEnv names the sizes to measure, as in "10,50,200". The measurement
 // takes minutes and depends on the machine, so CI does not run it; its
 // result stands in docs/capacity.json.
 const measureIdleEnv = "MINTLIFT_MEASURE_IDLE"
--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -72,7 +72,7 @@
 	plainPath  = "/p/x"
 )
 
-// keepsLimit lets an endpoint name a limit under more demand than that, and checks
+// checkLimit lets an endpoint name a limit under more demand than that, and checks
 // that it is kept, and used.
 func checkLimit(t *testing.T, d *engineDeployment, limited *signalingEndpoint, path string, rate float64) {
 	t.Helper()
@@ -90,7 +90,7 @@
 	assert.Assert(t, float64(most) >= least, "%d of %d in %s", most, demand, limitWindow)
 }
 
-// press sends a request to each gateway each time that every has passed, for so
+// sendLoad sends a request to each gateway each time that every has passed, for so
 // long, and waits for the answers.
 // It returns what it sent, and how much of it was served.
 func (d *engineDeployment) sendLoad(path string, long, every time.Duration) (asked loadResult) {
@@ -114,13 +114,13 @@
 	return asked
 }
 
-// pressed is what press sent, and how much of it was served.
+// loadResult is what press sent, and how much of it was served.
 type loadResult struct {
 	requests []arrival
 	served   int
 }
 
-// mostIn returns the most arrivals in any window that begins at from or later.
+// maxInWindow returns the most arrivals in any window that begins at from or later.
 func maxInWindow(arrivals []arrival, from time.Time, window time.Duration) int {
 	most := 0
 	for n, first := range arrivals {
@@ -147,12 +147,12 @@
 	status int
 }
 
-// talker is an endpoint that says something of itself in its answers.
+// signalingEndpoint is an endpoint that says something of itself in its answers.
 type signalingEndpoint struct {
 	deployment *engineDeployment
-	id      string
-	service string
-	address string
+	id         string
+	service    string
+	address    string
 
 	signals enginetest.Signals
 
@@ -160,7 +160,7 @@
 	seen []arrival
 }
 
-// startTalkers starts gateways and engines that say nothing yet.
+// startSignalingEngines starts gateways and engines that say nothing yet.
 func startSignalingEngines(t *testing.T, gateways, count int) (*engineDeployment, []*signalingEndpoint) {
 	t.Helper()
 	var talkers []*signalingEndpoint
@@ -177,13 +177,13 @@
 	return e
 }
 
-// startPlain starts an endpoint beside which no sidecar is.
+// startPlainEndpoint starts an endpoint beside which no sidecar is.
 func startPlainEndpoint(t *testing.T, d *engineDeployment) *signalingEndpoint {
 	t.Helper()
 	return serveEndpoint(t, &signalingEndpoint{deployment: d, service: "p", address: "127.0.0.1:0"})
 }
 
-// listen starts a talker that says nothing yet, and lists it.
+// serveEndpoint starts a talker that says nothing yet, and lists it.
 func serveEndpoint(t *testing.T, e *signalingEndpoint) *signalingEndpoint {
 	t.Helper()
 	e.id = e.deployment.newIncarnationID()
@@ -197,7 +197,7 @@
 	return e
 }
 
-// list writes the endpoint's entry into the list.
+// writeEntry writes the endpoint's entry into the list.
 func (e *signalingEndpoint) writeEntry(state string) {
 	models := ""
 	if e.service == "e" {
@@ -242,7 +242,7 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: token\n\n")
 }
 
-// gatewayOf returns the gateway to which engines.try sent the request of an id.
+// gatewayFromID returns the gateway to which engines.try sent the request of an id.
 func gatewayFromID(id string) string {
 	parts := strings.SplitN(id, "-", 3)
 	return parts[1]
--- a/cmd/mintlift/load.go
+++ b/cmd/mintlift/load.go
@@ -14,13 +14,13 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "load",
-		Usage:       "send a mix of requests to gateways, open-loop, and report",
+		Usage:       "generate open-loop load from a mix of requests and report the results",
 		Description: "Example: mintlift load --mix examples/mixes/derby-night.json --target 127.0.0.1:8080",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "mix", Usage: "JSON `FILE` with the mix", Required: true},
-			&cli.StringSliceFlag{Name: "target", Usage: "gateway's caller IP:port; may be given again", Required: true},
-			&cli.Float64Flag{Name: "rate", Usage: "override the mix's requests a second"},
-			&cli.Float64Flag{Name: "seconds", Usage: "override the mix's duration"},
+			&cli.StringSliceFlag{Name: "target", Usage: "gateway's caller IP:port; repeatable", Required: true},
+			&cli.Float64Flag{Name: "rate", Usage: "override the mix's rate, in requests per second"},
+			&cli.Float64Flag{Name: "seconds", Usage: "override the mix's duration, in seconds"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON for scripts"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/cmd/mintlift/main.go
+++ b/cmd/mintlift/main.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command mintlift runs the processes of mintlift and talks to them.
+// Command mintlift runs the processes of mintlift and administers them.
 //
 // "mintlift gateway" and "mintlift sidecar" are the daemons; the other
 // commands are a client of the administration API. docs/OPERATIONS.md is
-// the page for operators, docs/API.md lists the exit codes.
+// written for operators; docs/API.md lists the exit codes.
 package main
 
 import (
@@ -21,23 +21,24 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// version is the release; the build may set it.
+// version is the release; the build may override it.
 var version = "0.1.0-dev"
 
 // Exit codes. docs/API.md documents them.
 const (
-	exitOK          = 0
-	exitFailed      = 1 // anything without a code of its own
-	exitUsage       = 2 // the command line or a settings file is wrong
-	exitUnavailable = 3 // the gateway or a platform service does not answer
-	exitRefused     = 4 // key missing, wrong or without the right
-	exitNotFound    = 5 // what the command names does not exist
-	exitInvalid     = 6 // the request can never be carried out as it is
-	exitConflict    = 7 // a later change goes first, or the plan is past
-	exitOutcomeUnknown   = 8 // not known whether the change was accepted
-	exitInvariant   = 9 // a check of the demo or of a benchmark failed
+	exitOK             = 0
+	exitFailed         = 1 // any other error
+	exitUsage          = 2 // the command line or a settings file is wrong
+	exitUnavailable    = 3 // the gateway or a platform service is unavailable
+	exitRefused        = 4 // key missing or invalid, or lacks the permission
+	exitNotFound       = 5 // the named object does not exist
+	exitInvalid        = 6 // the request is invalid or cannot be satisfied
+	exitConflict       = 7 // in conflict with another change, or the plan is not proposed any more
+	exitOutcomeUnknown = 8 // unknown whether the change was accepted
+	exitInvariant      = 9 // a check of the demo or of a benchmark failed
 )
 
+// exitCodes maps error codes of the administration API to exit codes.
 var exitCodes = map[admin.Code]int{
 	admin.CodeInvalid:      exitInvalid,
 	admin.CodeUnauthorized: exitRefused,
@@ -54,22 +55,23 @@
 	admin.CodeUnsettled:    exitOutcomeUnknown,
 }
 
-// errInvariant marks a failed check.
+// errInvariant is the type of errors for a failed check.
 const errInvariant = errors.ConstError("invariant does not hold")
 
-// errUsage marks a mistake on the command line.
+// errUsage is the type of errors in the command line or in a file that it names.
 const errUsage = errors.ConstError("usage")
 
 func main() {
 	os.Exit(run(context.Background(), os.Args, os.Stdout, os.Stderr))
 }
 
-// run runs one command and returns its exit code.
+// run executes a command line and returns its exit code. Errors are printed to
+// errOut.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	httpserve.Quiet()
 	app := &cli.Command{
 		Name:                  "mintlift",
-		Usage:                 "put new model weights on many boxes at once, and serve meanwhile",
+		Usage:                 "roll out model weights to many boxes while they keep serving",
 		Version:               version,
 		EnableShellCompletion: true,
 		Writer:                out,
--- a/cmd/mintlift/main_test.go
+++ b/cmd/mintlift/main_test.go
@@ -17,7 +17,7 @@
 	"github.com/mintlift/mintlift/examples"
 )
 
-// command runs a command line.
+// runCLI runs a command line.
 func runCLI(args ...string) (int, string) {
 	var out bytes.Buffer
 	code := run(context.Background(), append([]string{"mintlift"}, args...), &out, &out)
--- a/cmd/mintlift/malformed_test.go
+++ b/cmd/mintlift/malformed_test.go
@@ -34,12 +34,12 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":4194304,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"w","api_keys":["k1"],"priority":2}]}`
 
-// strange returns values that no operator should write.
+// invalidValues returns values that no operator should write.
 func invalidValues() []any {
 	return []any{0.0, -1.0, 1e18, -1e18, 1e308, 0.5, "", "text", nil, true, []any{}, map[string]any{}, []any{nil}, []any{[]any{}}}
 }
 
-// spoil replaces one value somewhere within v.
+// mutate replaces one value somewhere within v.
 func mutate(t *rapid.T, v any) any {
 	switch v := v.(type) {
 	case map[string]any:
--- a/cmd/mintlift/operator.go
+++ b/cmd/mintlift/operator.go
@@ -20,16 +20,18 @@
 	"github.com/mintlift/mintlift/internal/call"
 )
 
-// clientFlags are the flags of every command that calls a gateway.
+// clientFlags returns the flags of a command that calls a gateway, followed by
+// more.
 func clientFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "gateway", Usage: "gateway's administration `IP:PORT`", Value: "127.0.0.1:8081", Sources: cli.EnvVars("MINTLIFT_GATEWAY")},
 		&cli.StringFlag{Name: "key-file", Usage: "`FILE` with the operator's key", Sources: cli.EnvVars("MINTLIFT_KEY_FILE")},
-		&cli.StringFlag{Name: "ca-file", Usage: "use TLS and trust the authority in `FILE`", Sources: cli.EnvVars("MINTLIFT_CA_FILE")},
+		&cli.StringFlag{Name: "ca-file", Usage: "use TLS and trust the CA certificates in `FILE`", Sources: cli.EnvVars("MINTLIFT_CA_FILE")},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON for scripts"},
 	}, more...)
 }
 
+// newClient returns a client as the command's flags describe it.
 func newClient(c *cli.Command) (*admin.Client, error) {
 	key := ""
 	if file := c.String("key-file"); file != "" {
@@ -47,14 +49,14 @@
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return nil, errors.WithType(errors.Errorf("%s holds no certificate", file), errUsage)
+			return nil, errors.WithType(errors.Errorf("%s contains no PEM certificate", file), errUsage)
 		}
 		o.TLS = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}
 	}
 	return admin.NewClient(c.String("gateway"), key, o), nil
 }
 
-// action makes a command's action out of one that has a client.
+// clientAction returns the action of a command that calls f with a client.
 func clientAction(f func(ctx context.Context, c *cli.Command, api *admin.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		api, err := newClient(c)
@@ -65,15 +67,16 @@
 	}
 }
 
-// arg returns the command's one argument.
+// singleArg returns the command's only argument; what names it in the error.
 func singleArg(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", errors.WithType(errors.Errorf("%s wants one argument, the %s", c.FullName(), what), errUsage)
+		return "", errors.WithType(errors.Errorf("%s takes exactly one argument, the %s", c.FullName(), what), errUsage)
 	}
 	return c.Args().First(), nil
 }
 
-// show prints JSON for scripts, or a table for people.
+// printResult prints v as JSON if --json is set, else the output of table, with
+// its columns aligned.
 func printResult(c *cli.Command, v any, table func(w io.Writer)) error {
 	out := c.Root().Writer
 	if c.Bool("json") {
@@ -86,7 +89,7 @@
 	return w.Flush()
 }
 
-// row prints one line of a table.
+// printRow prints the cells of one line, separated by tabs.
 func printRow(w io.Writer, cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
@@ -100,7 +103,7 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "status",
-		Usage:       "show how a gateway is",
+		Usage:       "show the status of a gateway",
 		Description: "Example: mintlift status --gateway 10.0.0.7:8081 --key-file operator.key",
 		Flags:       clientFlags(),
 		Action: clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
@@ -145,6 +148,8 @@
 	}
 }
 
+// formatCopies returns the states of the copies on a box, with the number of chunks
+// held of those that are incomplete.
 func formatCopies(b admin.BoxStatus) string {
 	var out []string
 	for _, c := range b.Status.Copies {
@@ -186,8 +191,8 @@
 				Flags: clientFlags(
 					&cli.StringFlag{Name: "workspace-key-file", Usage: "`FILE` with the workspace's key"},
 					&cli.IntFlag{Name: "priority", Usage: "price class, 1 to 100"},
-					&cli.IntFlag{Name: "max-in-flight", Usage: "requests in progress at one gateway, 0 for no bound"},
-					&cli.IntFlag{Name: "floor", Usage: "boxes that must go on serving it"},
+					&cli.IntFlag{Name: "max-in-flight", Usage: "maximum number of requests in progress at one gateway, 0 for no limit"},
+					&cli.IntFlag{Name: "floor", Usage: "minimum number of boxes that must keep serving it"},
 				),
 				Action: clientAction(setWorkspace),
 			},
@@ -240,7 +245,7 @@
 func operatorsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "operators",
-		Usage: "add operators",
+		Usage: "manage operators",
 		Commands: []*cli.Command{{
 			Name: "set", Usage: "add an operator or change its key", ArgsUsage: "NAME",
 			Description: "Example: mintlift operators set ana --operator-key-file ana.key",
--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -22,7 +22,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// changeInForce is how long after the store took it a configuration may take
+// configApplyTimeout is how long after the store took it a configuration may take
 // to be in force at a gateway that reaches the store.
 const configApplyTimeout = 2 * time.Second
 
@@ -66,14 +66,14 @@
 	d.checkRouteChange(t)
 }
 
-// deployment is a gateway with a stand-in of the store and two services of
+// routeDeployment is a gateway with a stand-in of the store and two services of
 // one endpoint each.
 type routeDeployment struct {
 	store *storetest.Store
 	front string
 }
 
-// silence makes these topics answer nothing, and all others again.
+// setUnresponsive makes these topics answer nothing, and all others again.
 func (d *routeDeployment) setUnresponsive(topics ...string) {
 	silent := make(map[string]bool)
 	for _, topic := range topics {
@@ -90,7 +90,7 @@
 		"limits":{"max_body_bytes":1048576,"idle_timeout_ms":15000}}`, version, service))
 }
 
-// moveRoute writes a configuration that moves the route, and checks that the
+// checkRouteChange writes a configuration that moves the route, and checks that the
 // gateway serves it in time.
 func (d *routeDeployment) checkRouteChange(t *testing.T) {
 	t.Helper()
@@ -103,7 +103,7 @@
 	t.Logf("in force after %s", time.Since(written))
 }
 
-// ask sends a request along the route; the answer is the name of the service
+// request sends a request along the route; the answer is the name of the service
 // that ran it, or empty.
 func (d *routeDeployment) request() string {
 	r, err := http.NewRequest(http.MethodGet, "http://"+d.front+"/r/x", nil)
@@ -125,7 +125,7 @@
 	return string(body)
 }
 
-// endpointOf starts an endpoint of a service; its answers name the service.
+// startEndpoint starts an endpoint of a service; its answers name the service.
 func startEndpoint(t *testing.T, service string) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -137,7 +137,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startDeployment starts a gateway at the first address of a loopback net, and
+// startRouteDeployment starts a gateway at the first address of a loopback net, and
 // waits until it serves.
 func startRouteDeployment(t *testing.T, network string) *routeDeployment {
 	t.Helper()
@@ -159,7 +159,7 @@
 	return d
 }
 
-// processAt returns a process of the platform at an address of the loopback
+// newPlatformProcess returns a process of the platform at an address of the loopback
 // net; extra are further settings.
 func newPlatformProcess(t *testing.T, ip, store, extra string) *platformProcess {
 	t.Helper()
@@ -184,7 +184,7 @@
 	return all
 }
 
-// endNow ends a daemon without a grace for requests in progress, and waits until
+// closeNow ends a daemon without a grace for requests in progress, and waits until
 // it has ended.
 func closeNow(all *taskGroup) {
 	const endWait = 5 * time.Second
--- a/cmd/mintlift/overhead_test.go
+++ b/cmd/mintlift/overhead_test.go
@@ -22,7 +22,7 @@
 // run it.
 const measureOverheadEnv = "MINTLIFT_MEASURE_OVERHEAD"
 
-// times are what one side of the comparison saw.
+// latencies are what one side of the comparison saw.
 type latencies struct {
 	mu          sync.Mutex
 	first, gaps []time.Duration
--- a/cmd/mintlift/plans.go
+++ b/cmd/mintlift/plans.go
@@ -23,24 +23,24 @@
 func intentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "intent",
-		Usage: "say what should serve whom; the answer is a plan",
+		Usage: "request that a version serve workspaces; the result is a plan",
 		Commands: []*cli.Command{
 			{
-				Name: "create", Usage: "ask for a plan; nothing moves before it is confirmed", ArgsUsage: "MODEL@VERSION",
+				Name: "create", Usage: "request a plan; nothing changes until it is confirmed", ArgsUsage: "MODEL@VERSION",
 				Description: "Example: mintlift intent create celeste-draft@v7 --workspace liceo-salto --zone salto",
 				Flags: clientFlags(
-					&cli.StringSliceFlag{Name: "workspace", Usage: "workspace to serve; may be given again", Required: true},
-					&cli.StringSliceFlag{Name: "zone", Usage: "availability zone; may be given again; none means all"},
-					&cli.StringSliceFlag{Name: "box", Usage: "box; may be given again; none means all"},
+					&cli.StringSliceFlag{Name: "workspace", Usage: "workspace to serve; repeatable", Required: true},
+					&cli.StringSliceFlag{Name: "zone", Usage: "availability zone; repeatable; default all"},
+					&cli.StringSliceFlag{Name: "box", Usage: "box; repeatable; default all"},
 					&cli.IntFlag{Name: "replicas", Usage: "number of boxes, 0 for all that match"},
-					&cli.IntFlag{Name: "priority", Usage: "override the workspaces' own priority"},
-					&cli.StringFlag{Name: "weighing", Usage: "time_to_replicas or origin_bytes; empty for the deployment's"},
+					&cli.IntFlag{Name: "priority", Usage: "override the workspaces' priority"},
+					&cli.StringFlag{Name: "weighing", Usage: "time_to_replicas or origin_bytes; default is the deployment's setting"},
 				),
 				Action: clientAction(createIntent),
 			},
 			{Name: "list", Usage: "list the intents and their plans", Flags: clientFlags(), Action: clientAction(listPlans)},
 			{
-				Name: "show", Usage: "show the plan that answers an intent", ArgsUsage: "INTENT", Flags: clientFlags(),
+				Name: "show", Usage: "show the plan of an intent", ArgsUsage: "INTENT", Flags: clientFlags(),
 				Action: clientAction(showIntent),
 			},
 		},
@@ -48,13 +48,13 @@
 }
 
 func planCommand() *cli.Command {
-	one := func(do func(*admin.Client, context.Context, string) (*intent.Plan, error)) cli.ActionFunc {
+	planAction := func(call func(*admin.Client, context.Context, string) (*intent.Plan, error)) cli.ActionFunc {
 		return clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
 			id, err := singleArg(c, "plan")
 			if err != nil {
 				return err
 			}
-			p, err := do(api, ctx, id)
+			p, err := call(api, ctx, id)
 			if err != nil {
 				return err
 			}
@@ -63,17 +63,17 @@
 	}
 	return &cli.Command{
 		Name:  "plan",
-		Usage: "look at plans, confirm and watch them",
+		Usage: "show, confirm, end and watch plans",
 		Commands: []*cli.Command{
 			{Name: "list", Usage: "list the plans", Flags: clientFlags(), Action: clientAction(listPlans)},
-			{Name: "show", Usage: "show a plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Plan)},
-			{Name: "confirm", Usage: "put a plan in force", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Confirm)},
-			{Name: "reject", Usage: "end a proposed plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Reject)},
-			{Name: "cancel", Usage: "take a confirmed plan back; the one before it is in force again", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Cancel)},
+			{Name: "show", Usage: "show a plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Plan)},
+			{Name: "confirm", Usage: "confirm a proposed plan, so that it is carried out", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Confirm)},
+			{Name: "reject", Usage: "reject a proposed plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Reject)},
+			{Name: "cancel", Usage: "cancel a confirmed plan; the one before it takes effect again", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Cancel)},
 			{
 				Name: "watch", Usage: "show a plan's progress until it is done", ArgsUsage: "PLAN",
 				Description: "Example: mintlift plan watch 5f0c... --timeout 10m",
-				Flags:       clientFlags(&cli.DurationFlag{Name: "timeout", Value: 30 * time.Minute, Usage: "give up after"}, &cli.DurationFlag{Name: "every", Value: time.Second, Usage: "time between two looks"}),
+				Flags:       clientFlags(&cli.DurationFlag{Name: "timeout", Value: 30 * time.Minute, Usage: "maximum time to wait"}, &cli.DurationFlag{Name: "every", Value: time.Second, Usage: "polling interval"}),
 				Action:      clientAction(watchPlan),
 			},
 		},
@@ -165,13 +165,15 @@
 	})
 }
 
-// zoneProgress sums the boxes of one availability zone.
+// zoneProgress is the progress of a plan in one availability zone, summed over its
+// boxes.
 type zoneProgress struct {
-	zone                  string
-	boxes, serving, unreachable  int
-	chunksHeld, chunksAll int
+	zone                        string
+	boxes, serving, unreachable int
+	chunksHeld, chunksAll       int
 }
 
+// progressByZone returns the progress of each zone, sorted by zone.
 func progressByZone(p *admin.Progress) []zoneProgress {
 	sums := make(map[string]*zoneProgress)
 	for _, b := range p.Boxes {
@@ -199,6 +201,7 @@
 	return out
 }
 
+// format returns a progress bar of the chunks held, with the counts of boxes.
 func (z zoneProgress) format() string {
 	const width = 30
 	share := 0.0
@@ -214,8 +217,8 @@
 	return text
 }
 
-// watchPlan shows a bar for each zone on a terminal, and a line a look
-// elsewhere.
+// watchPlan prints a plan's progress until the plan is done: on a terminal, a bar
+// for each zone that is updated in place; otherwise one line for each poll.
 func watchPlan(ctx context.Context, c *cli.Command, api *admin.Client) error {
 	id, err := singleArg(c, "plan")
 	if err != nil {
@@ -249,6 +252,7 @@
 	}
 }
 
+// printProgress prints the progress once and returns the number of lines printed.
 func printProgress(out io.Writer, p *admin.Progress, terminal bool) int {
 	sum := fmt.Sprintf("%d/%d serving, origin %d bytes, peers %d bytes, bad chunks %d", p.Serving, len(p.Boxes), p.OriginBytes, p.PeerBytes, p.BadChunks)
 	if !terminal {
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -19,30 +19,31 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// Internal ports of our processes, counted from the first of the settings.
+// Internal ports of the daemons, as offsets from the first port of the range in the
+// settings. A gateway and a sidecar may use the same offset.
 const (
-	portSidecars  = 0 // TCP: between sidecars
-	portRelay     = 0 // TCP: what a gateway has read from the store
-	portPublish   = 1 // UDP: subscriptions at a sidecar
-	portSubscribe = 2 // UDP: reports to a gateway
-	portMetrics   = 3 // TCP: metrics
+	portSidecars  = 0 // TCP: chunks, between sidecars
+	portRelay     = 0 // TCP: store records and lists, from a gateway to other processes
+	portPublish   = 1 // UDP: subscriptions and permit requests, at a sidecar
+	portSubscribe = 2 // UDP: reports, at a gateway
+	portMetrics   = 3 // TCP: metrics, and clear-suspect at a gateway
 )
 
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "run on the users' platform, by the settings that it hands out",
+		Usage: "run the daemons of a platform, with the settings that it provides",
 		Commands: []*cli.Command{
 			{
 				Name:  "gateway",
-				Usage: "serve callers on an entry box",
+				Usage: "run the gateway of an entry box",
 				Action: func(ctx context.Context, _ *cli.Command) error {
 					return runPlatformDaemon(ctx, "gateway", startPlatformGateway)
 				},
 			},
 			{
 				Name:  "sidecar",
-				Usage: "bring the engine of this box to the named version",
+				Usage: "run the sidecar that installs the named versions on this box's engine",
 				Action: func(ctx context.Context, _ *cli.Command) error {
 					return runPlatformDaemon(ctx, "sidecar", startPlatformSidecar)
 				},
@@ -52,54 +53,56 @@
 	}
 }
 
-// platformProcess is what the two daemons on the platform start from.
+// platformProcess holds the settings, logs and store watcher with which both
+// daemons of the platform start.
 type platformProcess struct {
-	settings *platform.Settings
-	requestLog logr.Logger // lines about single requests
-	log   logr.Logger // lines about what the process believes
-	metrics  *telemetry.Metrics
-	watcher  *platform.Watcher
+	settings   *platform.Settings
+	requestLog logr.Logger // one line per request
+	log        logr.Logger // events of the process and changes of its state
+	metrics    *telemetry.Metrics
+	watcher    *platform.Watcher
 }
 
 // stopMargin is kept of the grace for closing logs.
-const logCloseTimeout = 400 * time.Millisecond
+const shutdownMargin = 400 * time.Millisecond
 
-// collectAt is how much garbage may gather, in percent of what lives. With 75,
-// and with a third copy of versions (installer.keptCopies), memory took a
-// hundredth more of a day's worth where it is dear.
+// gcPercent is the GOGC value of the daemons: below Go's default of 100, to use
+// less memory at the cost of processor time.
 const gcPercent = 50
 
-// runPlatform runs a daemon until SIGTERM.
-func runPlatformDaemon(ctx context.Context, part string, start func(context.Context, *platformProcess) (*taskGroup, error)) error {
+// runPlatformDaemon runs a daemon until SIGTERM or SIGINT, then drains and closes
+// it within the grace period. SIGHUP is only logged. The component names the daemon
+// in log lines.
+func runPlatformDaemon(ctx context.Context, component string, start func(context.Context, *platformProcess) (*taskGroup, error)) error {
 	debug.SetGCPercent(gcPercent)
 	sink := telemetry.NewSink(os.Stdout)
-	defer sink.Close(logCloseTimeout / 2)
+	defer sink.Close(shutdownMargin / 2)
 	level := telemetry.LogSettings{Level: telemetry.LevelInfo}
-	events := telemetry.Part(telemetry.NewLogger(sink.Rare(), level), part)
+	events := telemetry.Part(telemetry.NewLogger(sink.Rare(), level), component)
 	settings, err := platform.LoadSettings()
 	if err != nil {
-		events.Error(err, "settings not usable")
+		events.Error(err, "cannot load settings")
 		return err
 	}
 	metrics := telemetry.NewMetrics()
 	p := &platformProcess{
-		settings: settings,
-		requestLog: telemetry.Part(telemetry.NewLogger(sink, level), part),
-		log:   events,
-		metrics:  metrics,
-		watcher:  platform.NewWatcher(platform.NewStore(settings.Store.Address), events, metrics),
+		settings:   settings,
+		requestLog: telemetry.Part(telemetry.NewLogger(sink, level), component),
+		log:        events,
+		metrics:    metrics,
+		watcher:    platform.NewWatcher(platform.NewStore(settings.Store.Address), events, metrics),
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	all, err := start(ctx, p)
+	group, err := start(ctx, p)
 	if err != nil {
 		events.Error(err, "start failed")
 		return err
 	}
 	go clock.Watch(ctx, func(suspended time.Duration) {
-		events.Info("woken", "suspended_ms", suspended.Milliseconds())
+		events.Info("resumed after suspension", "suspended_ms", suspended.Milliseconds())
 	})
 	events.Info("started", "release", version, "node", settings.Node, "zone", settings.Zone, "ip", settings.IP)
 	for {
@@ -107,31 +110,31 @@
 		if s != syscall.SIGHUP {
 			break
 		}
-		// Settings are read at the start only: none of those in use changes
-		// within a life.
-		events.Info("reload without effect")
+		// Settings are read at the start only.
+		events.Info("reload signal ignored")
 	}
-	grace := settings.Grace() - logCloseTimeout
+	grace := settings.Grace() - shutdownMargin
 	events.Info("stopping", "grace_ms", grace.Milliseconds())
-	ending, done := context.WithTimeout(context.WithoutCancel(ctx), grace)
-	defer done()
-	all.stop(ending)
+	stopCtx, cancelStop := context.WithTimeout(context.WithoutCancel(ctx), grace)
+	defer cancelStop()
+	group.stop(stopCtx)
 	events.Info("stopped")
 	return nil
 }
 
-// serveMetrics serves metrics, and the calls that more adds if it is not nil, until
-// all ends; a process without them works on.
-func (p *platformProcess) serveMetrics(all *taskGroup, more func(*http.ServeMux)) {
-	listener, err := all.listen(p.settings.Internal(p.settings.IP, portMetrics))
+// serveMetrics serves the metrics, and the handlers that register adds unless it is
+// nil, until group is closed. If the address is not available, it logs an error and
+// the process runs without them.
+func (p *platformProcess) serveMetrics(group *taskGroup, register func(*http.ServeMux)) {
+	listener, err := group.listen(p.settings.Internal(p.settings.IP, portMetrics))
 	if err != nil {
-		p.log.Error(err, "metrics not served")
+		p.log.Error(err, "cannot serve metrics")
 		return
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/metrics", p.metrics.Handler)
-	if more != nil {
-		more(mux)
+	if register != nil {
+		register(mux)
 	}
-	all.serve(listener, &http.Server{Handler: mux})
+	group.serve(listener, &http.Server{Handler: mux})
 }
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -26,7 +26,7 @@
 	"github.com/mintlift/mintlift/storewatch"
 )
 
-// gatewayView gives what the store tells to a gateway.
+// gatewayOperator gives what the store tells to a gateway.
 type gatewayOperator struct{ *ingress.Server }
 
 // Configured implements platform.Operator.
@@ -37,12 +37,12 @@
 	v.NameVersion(n.Model, n.Version, first, clock.Now())
 }
 
-// sidecarsView gives what sidecars tell to a gateway.
+// reportHandler gives what sidecars tell to a gateway.
 type reportHandler struct {
-	ctx     context.Context // of the process
-	server  *ingress.Server
-	watcher *platform.Watcher
-	readers *storerelay.Readers
+	ctx      context.Context // of the process
+	server   *ingress.Server
+	watcher  *platform.Watcher
+	readers  *storerelay.Readers
 	recovery *recordRecovery
 }
 
@@ -72,7 +72,7 @@
 	v.server.HeardEndpoints(records)
 }
 
-// current reports whether the configuration in force is known to be the
+// configCurrent reports whether the configuration in force is known to be the
 // newest.
 func configCurrent(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
 	return !p.Behind && !p.Lacks && !p.Confirmed.IsZero() && budget.Current(p.Age(now))
@@ -87,12 +87,12 @@
 
 // Limits of the callers' server.
 const (
-	headerTimeout  = 10 * time.Second
-	callerIdleTimeout     = 2 * time.Minute
-	maxHeaderBytes = 64 << 10
-	// drainLead is how long a stopping gateway takes new requests, until the
+	headerTimeout     = 10 * time.Second
+	callerIdleTimeout = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	// preDrainDelay is how long a stopping gateway takes new requests, until the
 	// platform has seen that it is not ready.
-	preDrainDelay     = 2500 * time.Millisecond
+	preDrainDelay    = 2500 * time.Millisecond
 	maintainInterval = time.Second
 )
 
@@ -166,7 +166,7 @@
 	return all, nil
 }
 
-// askPermits sends what the server asks of sidecars, until ctx ends.
+// sendPermitRequests sends what the server asks of sidecars, until ctx ends.
 func sendPermitRequests(ctx context.Context, s *platform.Settings, server *ingress.Server, subscriber *loadreport.Subscriber) {
 	for {
 		select {
@@ -188,15 +188,17 @@
 	}
 }
 
-// known is how much a gateway knows of what the operator wrote.
+// operatorProgress is how much a gateway knows of what the operator wrote.
 type operatorProgress struct {
-	position      history.Position
+	position   history.Position
 	versionSum int64
 }
 
-func operatorProgressOf(w *platform.Watcher) operatorProgress { return operatorProgress{w.Progress().Read, w.Knowledge()} }
+func operatorProgressOf(w *platform.Watcher) operatorProgress {
+	return operatorProgress{w.Progress().Read, w.Knowledge()}
+}
 
-// audiences are the sidecars of each service of engines, and what they are
+// subscriptionGroups are the sidecars of each service of engines, and what they are
 // told.
 func subscriptionGroups(s *platform.Settings, server *ingress.Server, k operatorProgress, now time.Time) []loadreport.Audience {
 	c := server.Configuration()
@@ -227,7 +229,7 @@
 	return addSuspects(out, suspects, suspectRelays(s, server, c, now))
 }
 
-// relaysOf are the sidecars that pass on what gateways tell each other.
+// suspectRelays are the sidecars that pass on what gateways tell each other.
 func suspectRelays(s *platform.Settings, server *ingress.Server, c *routing.Configuration, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for name := range c.Services {
@@ -238,7 +240,7 @@
 	return out
 }
 
-// tellSuspects divides audiences into the relays, which are told suspects, and
+// addSuspects divides audiences into the relays, which are told suspects, and
 // the others.
 func addSuspects(audiences []loadreport.Audience, suspects []quarantine.Record, relays map[string]bool) []loadreport.Audience {
 	var out []loadreport.Audience
@@ -258,7 +260,7 @@
 	return out
 }
 
-// publishers are the addresses of the sidecars beside engines.
+// publisherAddresses are the addresses of the sidecars beside engines.
 func publisherAddresses(s *platform.Settings, engines []string) []string {
 	out := make([]string, len(engines))
 	for i, address := range engines {
@@ -267,7 +269,7 @@
 	return out
 }
 
-// named are the named versions of a model as sidecars are told.
+// namedVersions are the named versions of a model as sidecars are told.
 func namedVersions(server *ingress.Server, model string, now time.Time) []loadreport.Named {
 	var out []loadreport.Named
 	for _, n := range server.Named(model) {
@@ -299,7 +301,7 @@
 	})
 }
 
-// stopGateway lets requests in progress end. Resting connections are left
+// drainGateway lets requests in progress end. Resting connections are left
 // to the end of the process: net/http's Shutdown closes them also while a
 // request on one of them is being read, and so loses the request.
 func drainGateway(ending context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
@@ -324,6 +326,6 @@
 // A stopping gateway ends once quietLooks looks in a row, quietLook apart,
 // have found no request in progress.
 const (
-	idlePollInterval  = 30 * time.Millisecond
-	idlePolls = 8
+	idlePollInterval = 30 * time.Millisecond
+	idlePolls        = 8
 )
--- a/cmd/mintlift/platform_relay.go
+++ b/cmd/mintlift/platform_relay.go
@@ -29,7 +29,7 @@
 	return out, known
 }
 
-// relay gives what another gateway has read to a watcher.
+// recordRelay gives what another gateway has read to a watcher.
 func recordRelay(f *storerelay.RecordFollower) storewatch.Relay {
 	return func(ctx context.Context, from history.Position, age time.Duration) *storewatch.Relayed {
 		got, ok := f.Since(ctx, from, age)
@@ -44,11 +44,11 @@
 	}
 }
 
-// learnEvery is the least time between two questions for what another gateway
+// recoveryInterval is the least time between two questions for what another gateway
 // knows and this one does not; a change that is on its way comes sooner.
 const recoveryInterval = time.Second
 
-// learner asks other gateways for operator's records that the store has lost.
+// recordRecovery asks other gateways for operator's records that the store has lost.
 type recordRecovery struct {
 	watcher  *platform.Watcher
 	operator platform.Operator
@@ -56,12 +56,12 @@
 	log      logr.Logger
 
 	mu sync.Mutex
-	// lacks is since when another gateway has known more, or zero, and asked when
+	// incompleteSince is since when another gateway has known more, or zero, and asked when
 	// one was asked last.
 	incompleteSince, lastFetch time.Time
 }
 
-// heard takes what a sidecar tells of the gateway that knows most.
+// handleEcho takes what a sidecar tells of the gateway that knows most.
 func (l *recordRecovery) handleEcho(ctx context.Context, e *loadreport.Echo, now time.Time) {
 	lacks := l.watcher.OthersKnow(e.Knowledge)
 	if !l.fetchDue(lacks, now) {
@@ -81,7 +81,7 @@
 	}()
 }
 
-// due reports whether a gateway should be asked now.
+// fetchDue reports whether a gateway should be asked now.
 func (l *recordRecovery) fetchDue(lacks bool, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -21,7 +21,7 @@
 	"github.com/mintlift/mintlift/storerelay"
 )
 
-// sidecarView gives what the store or a gateway tells to a sidecar.
+// sidecarState gives what the store or a gateway tells to a sidecar.
 type sidecarState struct {
 	settings  *platform.Settings
 	installer *installer.Installer
@@ -64,7 +64,7 @@
 	v.installer.Name(n.Model, n.Version, named)
 }
 
-// told takes what a gateway tells.
+// handleNotice takes what a gateway tells.
 func (v *sidecarState) handleNotice(n loadreport.Notice) {
 	if n.Weights != nil {
 		v.apply(*n.Weights)
@@ -79,14 +79,14 @@
 	}
 }
 
-// known returns how weights come, as far as that is known.
+// weightsConfig returns how weights come, as far as that is known.
 func (v *sidecarState) weightsConfig() routing.Weights {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.weights
 }
 
-// sum is the checksum of how weights come, or 0 while that is not known.
+// weightsChecksum is the checksum of how weights come, or 0 while that is not known.
 func (v *sidecarState) weightsChecksum() uint32 {
 	w := v.weightsConfig()
 	if w.Chunks == 0 {
@@ -103,10 +103,10 @@
 	return v.weightsConfig().Layers
 }
 
-// gatewaysAsked is how many gateways are asked for the list before the store.
+// maxGatewaysQueried is how many gateways are asked for the list before the store.
 const maxGatewaysQueried = 2
 
-// peers returns the sidecars of the service as a gateway lists them, or the
+// listPeers returns the sidecars of the service as a gateway lists them, or the
 // store if no gateway answers.
 func (v *sidecarState) listPeers(ctx context.Context, p *platformProcess, lists *storerelay.Client, publisher *loadreport.Publisher) ([]installer.Peer, error) {
 	gateways := publisher.Gateways(v.settings.Region, maxGatewaysQueried, clock.Now())
@@ -134,7 +134,7 @@
 	return out, nil
 }
 
-// storedList reads the list from the store.
+// endpointsFromStore reads the list from the store.
 func (v *sidecarState) endpointsFromStore(ctx context.Context, w *platform.Watcher) ([]storerelay.Endpoint, error) {
 	list, err := w.List(ctx, v.layers)
 	if err != nil {
@@ -144,15 +144,15 @@
 }
 
 const (
-	// unheardAfter is how long a sidecar goes without a gateway's word before
+	// gatewayTimeout is how long a sidecar goes without a gateway's word before
 	// it reads on its own, longer by up to unheardMore so that not all do so
 	// at once, and rereadPause how often then.
-	gatewayTimeout = 2 * time.Second
-	gatewayTimeoutJitter  = 2 * time.Second
-	storeReadInterval  = 1500 * time.Millisecond
+	gatewayTimeout       = 2 * time.Second
+	gatewayTimeoutJitter = 2 * time.Second
+	storeReadInterval    = 1500 * time.Millisecond
 )
 
-// watchOperatorSparingly reads what the operator wrote while no gateway tells
+// watchOperatorFallback reads what the operator wrote while no gateway tells
 // it: each configuration is large, a sidecar needs next to nothing of it, and
 // hundreds that read it at once fill the links between regions.
 func (p *platformProcess) watchOperatorFallback(ctx context.Context, o platform.Operator, publisher *loadreport.Publisher) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// reportEvery is how often the engine's report is read.
+// reportInterval is how often the engine's report is read.
 const reportInterval = 40 * time.Millisecond
 
 func startPlatformSidecar(ctx context.Context, p *platformProcess) (all *taskGroup, err error) {
--- a/cmd/mintlift/platform_suspects.go
+++ b/cmd/mintlift/platform_suspects.go
@@ -16,13 +16,15 @@
 	"github.com/mintlift/mintlift/quarantine"
 )
 
-// clearPath is the call by which an operator lets a request out of quarantine, at
-// the metrics address of any gateway; the others hear of it.
+// clearPath is the path at a gateway's metrics address by which an operator
+// releases a request from quarantine. The gateway propagates it to the others.
 const clearPath = "/suspects/{identity}/clear"
 
-// clearTimeout bounds the call.
+// clearTimeout is the timeout of the call of clearPath.
 const clearTimeout = 5 * time.Second
 
+// handleClearSuspect registers the handler of clearPath. It answers 400 to an
+// invalid identity and 404 to one for which no crash is recorded.
 func handleClearSuspect(mux *http.ServeMux, server *ingress.Server) {
 	mux.HandleFunc("POST "+clearPath, func(w http.ResponseWriter, r *http.Request) {
 		var id quarantine.ID
@@ -31,7 +33,7 @@
 			return
 		}
 		if !server.ClearSuspect(id, clock.Now()) {
-			w.WriteHeader(http.StatusNotFound) // no endpoint is known to have crashed under it
+			w.WriteHeader(http.StatusNotFound)
 		}
 	})
 }
@@ -39,10 +41,10 @@
 func clearSuspectCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "clear-suspect",
-		Usage: "let a request out of quarantine, at all gateways",
+		Usage: "release a request from quarantine, at all gateways",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "gateway", Usage: "metrics address of a gateway, IP:PORT", Required: true},
-			&cli.StringFlag{Name: "identity", Usage: "the request's identity, as in its answers and log lines", Required: true},
+			&cli.StringFlag{Name: "identity", Usage: "the request's identity, as in its responses and log lines", Required: true},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return clearSuspect(ctx, c.String("gateway"), c.String("identity"))
@@ -50,6 +52,8 @@
 	}
 }
 
+// clearSuspect releases the request with an identity from quarantine, through the
+// gateway at a metrics address.
 func clearSuspect(ctx context.Context, gateway, identity string) error {
 	ctx, cancel := context.WithTimeout(ctx, clearTimeout)
 	defer cancel()
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -27,13 +27,13 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// nobody takes what the operator wrote.
+// discardOperator takes what the operator wrote.
 type discardOperator struct{}
 
 func (discardOperator) Configured(*routing.Configuration) {}
 func (discardOperator) Named(platform.Naming, bool)       {}
 
-// deafGateway takes what sidecars send.
+// discardReports takes what sidecars send.
 type discardReports struct{}
 
 func (discardReports) Heard(fleet.Report, *loadreport.Echo) {}
@@ -70,7 +70,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	p := &platformProcess{
-		log:  logr.Discard(),
+		log:     logr.Discard(),
 		watcher: platform.NewWatcher(platform.NewStore(strings.TrimPrefix(store.URL, "http://")), logr.Discard(), telemetry.NewMetrics()),
 	}
 	go p.watchOperatorFallback(ctx, discardOperator{}, publisher)
--- a/cmd/mintlift/process_test.go
+++ b/cmd/mintlift/process_test.go
@@ -190,7 +190,7 @@
 	s.listBox(membership.Box{ID: c.Node.Box, Zone: c.Node.AvailabilityZone(), Role: membership.Endpoint, Address: c.PeerListen, State: membership.Live})
 }
 
-// mintlift runs an operator's command and returns its code and output.
+// runCLI runs an operator's command and returns its code and output.
 func (s *system) runCLI(args ...string) (int, string) {
 	s.t.Helper()
 	args = append(append([]string{"mintlift"}, args...), "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("operator.key"))
@@ -435,7 +435,7 @@
 	}
 }
 
-// wholeStream reads a stream to its end, and tells begun when its head has
+// readStream reads a stream to its end, and tells begun when its head has
 // come.
 func (s *system) readStream(gateway, tokens int, begun chan<- struct{}) error {
 	resp, err := s.chat(gateway, tokens, nil)
--- a/cmd/mintlift/settings.go
+++ b/cmd/mintlift/settings.go
@@ -18,16 +18,16 @@
 	role := &cli.StringFlag{Name: "role", Usage: "gateway or sidecar", Value: "gateway"}
 	return &cli.Command{
 		Name:  "settings",
-		Usage: "check settings files and print examples",
+		Usage: "validate settings files and print examples",
 		Commands: []*cli.Command{
 			{
-				Name: "check", Usage: "name every mistake in a settings file", ArgsUsage: "FILE",
+				Name: "check", Usage: "list every error in a settings file", ArgsUsage: "FILE",
 				Description: "Example: mintlift settings check --role sidecar sidecar.json",
 				Flags:       []cli.Flag{role, &cli.BoolFlag{Name: "json", Usage: "print JSON for scripts"}},
 				Action:      checkSettings,
 			},
 			{
-				Name: "example", Usage: "print a committed example",
+				Name: "example", Usage: "print an example settings file",
 				Description: "Example: mintlift settings example --role gateway --deployment marcador-andino",
 				Flags:       []cli.Flag{role, &cli.StringFlag{Name: "deployment", Usage: "anuario-celeste or marcador-andino", Value: "anuario-celeste"}},
 				Action: func(_ context.Context, c *cli.Command) error {
@@ -43,6 +43,8 @@
 	}
 }
 
+// checkSettings prints every error in a settings file; errors in the settings are
+// usage errors.
 func checkSettings(_ context.Context, c *cli.Command) error {
 	file, err := singleArg(c, "settings file")
 	if err != nil {
@@ -60,15 +62,15 @@
 	if err != nil && !errors.As(err, &problems) {
 		return errors.WithType(err, errUsage)
 	}
-	if bad := printResult(c, problems, func(w io.Writer) {
+	if printErr := printResult(c, problems, func(w io.Writer) {
 		for _, p := range problems {
 			printRow(w, p.Path, p.Value, "want "+p.Want)
 		}
 		if len(problems) == 0 {
 			fmt.Fprintln(w, "ok")
 		}
-	}); bad != nil {
-		return bad
+	}); printErr != nil {
+		return printErr
 	}
 	if len(problems) > 0 {
 		return errors.WithType(errors.Errorf("%d mistakes in %s", len(problems), file), errUsage)
--- a/cmd/mintlift/standins.go
+++ b/cmd/mintlift/standins.go
@@ -20,7 +20,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// standinCommand runs the stand-ins for the platform, for tests and trials.
+// standinCommand returns the command that runs stand-ins for the platform's
+// services and for endpoints, for tests and trials only.
 func standinCommand() *cli.Command {
 	listen := &cli.StringFlag{Name: "listen", Usage: "IP:port", Value: "127.0.0.1:0"}
 	return &cli.Command{
@@ -28,7 +29,7 @@
 		Usage: "run a stand-in for a platform service (tests and trials only)",
 		Commands: []*cli.Command{
 			{
-				Name: "log", Usage: "the log service", Flags: []cli.Flag{listen, &cli.IntFlag{Name: "keep", Usage: "records kept a stream, 0 for all"}},
+				Name: "log", Usage: "the log service", Flags: []cli.Flag{listen, &cli.IntFlag{Name: "keep", Usage: "records kept per stream, 0 for all"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					l := standin.NewLog()
 					l.Keep = c.Int("keep")
@@ -39,9 +40,9 @@
 				Name: "store", Usage: "the weight store and the origin",
 				Flags: []cli.Flag{
 					listen,
-					&cli.FloatFlag{Name: "rate", Usage: "origin's bytes a second, 0 for no bound"},
+					&cli.FloatFlag{Name: "rate", Usage: "origin's rate in bytes per second, 0 for no limit"},
 					&cli.StringSliceFlag{Name: "publish", Usage: "model@version to publish"},
-					&cli.StringSliceFlag{Name: "broken", Usage: "model@version whose manifest contradicts itself"},
+					&cli.StringSliceFlag{Name: "broken", Usage: "model@version to publish with an invalid manifest"},
 					&cli.Int64Flag{Name: "bytes", Usage: "size of each version", Value: 16 << 20},
 					&cli.Int64Flag{Name: "chunk", Usage: "size of a chunk", Value: 256 << 10},
 				},
@@ -79,14 +80,14 @@
 				},
 			},
 			{
-				Name: "engine", Usage: "a model engine, or several on ports of their own",
+				Name: "engine", Usage: "one or more model engines, each on its own port",
 				Flags: []cli.Flag{
 					listen,
 					&cli.IntFlag{Name: "count", Usage: "number of engines", Value: 1},
-					&cli.BoolFlag{Name: "check-fences", Usage: "refuse stale orders"},
-					&cli.Int64Flag{Name: "memory", Usage: "bytes for loaded versions, 0 for no bound"},
-					&cli.DurationFlag{Name: "token-time", Usage: "time for each token", Value: 5 * time.Millisecond},
-					&cli.BoolFlag{Name: "forget", Usage: "keep no bytes of staged chunks"},
+					&cli.BoolFlag{Name: "check-fences", Usage: "reject orders with a stale fence"},
+					&cli.Int64Flag{Name: "memory", Usage: "bytes for loaded versions, 0 for no limit"},
+					&cli.DurationFlag{Name: "token-time", Usage: "time to generate a token", Value: 5 * time.Millisecond},
+					&cli.BoolFlag{Name: "forget", Usage: "discard the bytes of staged chunks"},
 				},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					engines := make([]http.Handler, c.Int("count"))
@@ -100,7 +101,7 @@
 				},
 			},
 			{
-				Name: "service", Usage: "a plain service", Flags: []cli.Flag{listen},
+				Name: "service", Usage: "a service without model weights", Flags: []cli.Flag{listen},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					return runStandin(ctx, c, new(standin.Service).Handler())
 				},
@@ -109,6 +110,7 @@
 	}
 }
 
+// readBoxes returns the boxes of a JSON file.
 func readBoxes(file string) ([]membership.Box, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -118,8 +120,8 @@
 	return boxes, json.Unmarshal(b, &boxes)
 }
 
-// runStandin serves each handler on a port of its own, prints the addresses
-// on one line and runs until a signal.
+// runStandin serves each handler on its own port, prints the addresses on one
+// line, separated by commas, and runs until SIGTERM or SIGINT.
 func runStandin(ctx context.Context, c *cli.Command, handlers ...http.Handler) error {
 	var addresses []string
 	for _, h := range handlers {
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -18,13 +18,13 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// keyed writes a configuration of one route, whose callers need a key.
+// configureKey writes a configuration of one route, whose callers need a key.
 func (d *weightsDeployment) configureKey(version int, key string) {
 	text := fmt.Sprintf(`{"version":%d,"tenants":[{"name":"w","api_keys":[%q],"priority":1}],`, version, key)
 	d.store.Put(storetest.Operator, "config", strings.Replace(strings.Replace(d.config, `{"version":1,`, text, 1), `"public":true,`, "", 1))
 }
 
-// askWith sends a request with a key to a gateway, and returns the status.
+// requestWithKey sends a request with a key to a gateway, and returns the status.
 func (d *weightsDeployment) requestWithKey(front, key string) int {
 	r, err := http.NewRequest(http.MethodPost, "http://"+front+"/s/x", strings.NewReader("text"))
 	if err != nil {
@@ -107,7 +107,7 @@
 	}
 }
 
-// gatewaysVariable chooses how many gateways the test of calls starts.
+// gatewaysEnv chooses how many gateways the test of calls starts.
 const gatewaysEnv = "RETURN_GATEWAYS"
 
 // The return costs each gateway a few calls, spread, and no gateway reads anew for
--- a/cmd/mintlift/taskgroup.go
+++ b/cmd/mintlift/taskgroup.go
@@ -9,67 +9,71 @@
 	"sync"
 )
 
-// running is what a daemon has started, so that all of it can be ended: a
-// process that ends does so by itself, a test that starts the daemon again at
-// the same addresses needs them back.
+// taskGroup holds the goroutines, listeners and servers of a daemon and closes them
+// together. A test that starts a daemon again in the same process needs its
+// addresses free.
 type taskGroup struct {
-	// ctx ends with the daemon.
-	ctx     context.Context
-	cancel  context.CancelFunc
-	goroutines   sync.WaitGroup
-	closers []func()
-	// drain lets requests in progress end, ahead of a planned stop; it may be nil.
-	drain func(ending context.Context)
+	// ctx is canceled when the group is closed.
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	closers    []func()
+	// drain waits until the requests in progress have ended or ctx is done; it may
+	// be nil.
+	drain func(ctx context.Context)
 }
 
+// newTaskGroup returns an empty group; its context derives from ctx.
 func newTaskGroup(ctx context.Context) *taskGroup {
-	r := &taskGroup{}
-	r.ctx, r.cancel = context.WithCancel(ctx)
-	return r
+	g := &taskGroup{}
+	g.ctx, g.cancel = context.WithCancel(ctx)
+	return g
 }
 
-// spawn runs f, which returns once ctx has ended or a closer was called.
-func (r *taskGroup) spawn(f func()) { r.goroutines.Go(f) }
+// spawn runs f in a goroutine. f must return once g.ctx is canceled or the closers
+// have been called.
+func (g *taskGroup) spawn(f func()) { g.goroutines.Go(f) }
 
-// onEnd calls f at the end; the last one first.
-func (r *taskGroup) addCloser(f func()) { r.closers = append(r.closers, f) }
+// addCloser registers a function for close to call, in reverse order of registration.
+func (g *taskGroup) addCloser(f func()) { g.closers = append(g.closers, f) }
 
-// listen listens on a TCP address until the end.
-func (r *taskGroup) listen(address string) (net.Listener, error) {
+// listen listens on a TCP address; close closes the listener.
+func (g *taskGroup) listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err == nil {
-		r.addCloser(func() { _ = listener.Close() })
+		g.addCloser(func() { _ = listener.Close() })
 	}
 	return listener, err
 }
 
-// serve serves on a listener until the end.
-func (r *taskGroup) serve(listener net.Listener, server *http.Server) {
-	r.addCloser(func() { _ = server.Close() })
-	r.spawn(func() { _ = server.Serve(listener) })
+// serve serves on a listener in a goroutine; close closes the server.
+func (g *taskGroup) serve(listener net.Listener, server *http.Server) {
+	g.addCloser(func() { _ = server.Close() })
+	g.spawn(func() { _ = server.Serve(listener) })
 }
 
-// stop ends the daemon as planned, before ending is done.
-func (r *taskGroup) stop(ending context.Context) {
-	if r.drain != nil {
-		r.drain(ending)
+// stop drains the daemon, then closes it; ctx limits both.
+func (g *taskGroup) stop(ctx context.Context) {
+	if g.drain != nil {
+		g.drain(ctx)
 	}
-	r.close(ending)
+	g.close(ctx)
 }
 
-// end ends all at once, and waits for it until ending is done.
-func (r *taskGroup) close(ending context.Context) {
-	r.cancel()
-	for n := len(r.closers) - 1; n >= 0; n-- {
-		r.closers[n]()
+// close cancels the context, calls the closers and waits until all goroutines have
+// returned or ctx is done.
+func (g *taskGroup) close(ctx context.Context) {
+	g.cancel()
+	for n := len(g.closers) - 1; n >= 0; n-- {
+		g.closers[n]()
 	}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		r.goroutines.Wait()
-		close(ended)
+		g.goroutines.Wait()
+		close(done)
 	}()
 	select {
-	case <-ended:
-	case <-ending.Done():
+	case <-done:
+	case <-ctx.Done():
 	}
 }
--- a/cmd/mintlift/taskgroup_test.go
+++ b/cmd/mintlift/taskgroup_test.go
@@ -15,7 +15,7 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// left returns the goroutines that run code of this module beside the caller's.
+// moduleGoroutines returns the goroutines that run code of this module beside the caller's.
 func moduleGoroutines(t *testing.T) []string {
 	t.Helper()
 	var text strings.Builder
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -127,7 +127,7 @@
 	d.checkVersions(t, 3)
 }
 
-// first does something when the first start of a version comes to each engine.
+// onFirstStart does something when the first start of a version comes to each engine.
 func (d *weightsDeployment) onFirstStart(version int, do func(*weightsBox)) {
 	for _, b := range d.boxes {
 		var once sync.Once
@@ -153,7 +153,7 @@
 	storeAddress, config string
 	boxes                []*weightsBox
 	daemons              []*taskGroup
-	gateways               []string // IP:PORT of the gateways' callers' listeners
+	gateways             []string // IP:PORT of the gateways' callers' listeners
 
 	mu sync.Mutex
 	// served counts answers by the version that gave them.
@@ -216,7 +216,7 @@
 	return listener.Addr().String()
 }
 
-// list writes the engine's entry.
+// writeEntry writes the engine's entry.
 func (b *weightsBox) writeEntry() {
 	state := b.engine.State()
 	entry, err := json.Marshal(map[string]any{
@@ -248,15 +248,15 @@
 	_, _ = fmt.Fprintf(w, "id: 1\ndata: %d\n\n", version)
 }
 
-// name names a version.
+// nameVersion names a version.
 func (d *weightsDeployment) nameVersion(version int) {
 	d.store.Put(storetest.Operator, "version/m", fmt.Sprintf(`{"model":"m","version":%d}`, version))
 }
 
-// callers send requests at the same time.
+// concurrentCallers send requests at the same time.
 const concurrentCallers = 8
 
-// askFor sends requests for so long.
+// sendRequestsFor sends requests for so long.
 func (d *weightsDeployment) sendRequestsFor(long time.Duration) {
 	var group sync.WaitGroup
 	for range concurrentCallers {
@@ -272,7 +272,7 @@
 	group.Wait()
 }
 
-// ask sends a request, and returns the version that answered it, or 0.
+// request sends a request, and returns the version that answered it, or 0.
 func (d *weightsDeployment) request() int {
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.gateways[rand.IntN(len(d.gateways))]+"/s/x", strings.NewReader("text"))
 	if err != nil {
@@ -296,7 +296,7 @@
 	return version
 }
 
-// check checks that no token was made with wrong weights, and that the version
+// checkVersions checks that no token was made with wrong weights, and that the version
 // named last is served.
 func (d *weightsDeployment) checkVersions(t *testing.T, newest int) {
 	t.Helper()
