--- a/cmd/mintlift/explain.go
+++ b/cmd/mintlift/explain.go
@@ -56,7 +56,7 @@
 func explainCauses(c *cli.Command, window time.Duration) error {
 	files := c.Args().Slice()
 	if len(files) == 0 {
-		return errors.WithType(errors.New("no log files given"), errUsage)
+		return errors.WithType(errors.New("say which log files to read"), errUsage)
 	}
 	causes := explain.NewCauses(window)
 	for _, name := range files {
@@ -72,7 +72,7 @@
 	}
 	list := causes.List()
 	if len(list) == 0 {
-		return errors.NotFoundf("outcomes of requests in %d files", len(files))
+		return errors.NotFoundf("ends of requests in %d files", len(files))
 	}
 	if !c.Bool("json") {
 		return explain.WriteCauses(c.Root().Writer, list)
@@ -106,7 +106,7 @@
 		filter, files = explain.Request(files[0]), files[1:]
 	}
 	if filter.Value == "" || len(files) == 0 {
-		return filter, nil, errors.WithType(errors.New("no subject or no log files given"), errUsage)
+		return filter, nil, errors.WithType(errors.New("say what to explain, and the log files to read"), errUsage)
 	}
 	return filter, files, nil
 }
--- a/cmd/mintlift/main.go
+++ b/cmd/mintlift/main.go
@@ -28,12 +28,12 @@
 const (
 	exitOK             = 0
 	exitFailed         = 1 // any other error
-	exitUsage          = 2 // the command line or a settings file is wrong
+	exitUsage          = 2 // the command line or a settings file is invalid
 	exitUnavailable    = 3 // the gateway or a platform service is unavailable
 	exitRefused        = 4 // key missing or invalid, or lacks the permission
 	exitNotFound       = 5 // the named object does not exist
 	exitInvalid        = 6 // the request is invalid or cannot be satisfied
-	exitConflict       = 7 // in conflict with another change, or the plan is not proposed any more
+	exitConflict       = 7 // conflict with another change, or the plan is no longer proposed
 	exitOutcomeUnknown = 8 // unknown whether the change was accepted
 	exitInvariant      = 9 // a check of the demo or of a benchmark failed
 )
--- a/cmd/mintlift/operator.go
+++ b/cmd/mintlift/operator.go
@@ -49,7 +49,7 @@
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return nil, errors.WithType(errors.Errorf("%s contains no PEM certificate", file), errUsage)
+			return nil, errors.WithType(errors.Errorf("%s holds no certificate", file), errUsage)
 		}
 		o.TLS = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}
 	}
@@ -70,7 +70,7 @@
 // singleArg returns the command's only argument; what names it in the error.
 func singleArg(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
-		return "", errors.WithType(errors.Errorf("%s takes exactly one argument, the %s", c.FullName(), what), errUsage)
+		return "", errors.WithType(errors.Errorf("%s wants one argument, the %s", c.FullName(), what), errUsage)
 	}
 	return c.Args().First(), nil
 }
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -63,7 +63,7 @@
 	watcher    *platform.Watcher
 }
 
-// stopMargin is kept of the grace for closing logs.
+// shutdownMargin is the part of the grace period reserved for closing logs.
 const shutdownMargin = 400 * time.Millisecond
 
 // gcPercent is the GOGC value of the daemons: below Go's default of 100, to use
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -26,20 +26,21 @@
 	"github.com/mintlift/mintlift/storewatch"
 )
 
-// gatewayOperator gives what the store tells to a gateway.
+// gatewayOperator passes the operator's records from the store to a gateway's server.
 type gatewayOperator struct{ *ingress.Server }
 
 // Configured implements platform.Operator.
-func (v gatewayOperator) Configured(c *routing.Configuration) { v.Apply(c) }
+func (o gatewayOperator) Configured(c *routing.Configuration) { o.Apply(c) }
 
 // Named implements platform.Operator.
-func (v gatewayOperator) Named(n platform.Naming, first bool) {
-	v.NameVersion(n.Model, n.Version, first, clock.Now())
+func (o gatewayOperator) Named(n platform.Naming, first bool) {
+	o.NameVersion(n.Model, n.Version, first, clock.Now())
 }
 
-// reportHandler gives what sidecars tell to a gateway.
+// reportHandler passes the sidecars' messages to a gateway's server, and what they
+// relay from other gateways to the watcher, readers and recovery.
 type reportHandler struct {
-	ctx      context.Context // of the process
+	ctx      context.Context // canceled when the daemon is closed
 	server   *ingress.Server
 	watcher  *platform.Watcher
 	readers  *storerelay.Readers
@@ -47,61 +48,63 @@
 }
 
 // Heard implements loadreport.Handler.
-func (v reportHandler) Heard(r fleet.Report, e *loadreport.Echo) {
+func (h reportHandler) Heard(r fleet.Report, e *loadreport.Echo) {
 	if e == nil {
-		v.server.Heard(r, noRoundTrip)
+		h.server.Heard(r, noRoundTrip)
 		return
 	}
 	now := clock.Now()
-	v.watcher.OthersRead(e.Read, now)
-	v.readers.Heard(e.Readers, now)
-	v.recovery.handleEcho(v.ctx, e, now)
-	v.server.Heard(r, e.RoundTrip)
+	h.watcher.OthersRead(e.Read, now)
+	h.readers.Heard(e.Readers, now)
+	h.recovery.handleEcho(h.ctx, e, now)
+	h.server.Heard(r, e.RoundTrip)
 }
 
 // HeardSuspects implements loadreport.Handler.
-func (v reportHandler) HeardSuspects(suspects []quarantine.Record) {
-	v.server.HeardSuspects(suspects, clock.Now())
+func (h reportHandler) HeardSuspects(suspects []quarantine.Record) {
+	h.server.HeardSuspects(suspects, clock.Now())
 }
 
 // Granted implements loadreport.Handler.
-func (v reportHandler) Granted(g backpressure.Grant) { v.server.Granted(g) }
+func (h reportHandler) Granted(g backpressure.Grant) { h.server.Granted(g) }
 
 // HeardEndpoints implements loadreport.Handler.
-func (v reportHandler) HeardEndpoints(records []backpressure.Record) {
-	v.server.HeardEndpoints(records)
+func (h reportHandler) HeardEndpoints(records []backpressure.Record) {
+	h.server.HeardEndpoints(records)
 }
 
 // configCurrent reports whether the configuration in force is known to be the
-// newest.
+// newest: confirmed within the budget, with no evidence of newer records.
 func configCurrent(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
 	return !p.Behind && !p.Lacks && !p.Confirmed.IsZero() && budget.Current(p.Age(now))
 }
 
-// noRoundTrip says that a report measured none.
+// noRoundTrip is the round-trip time passed for a report without a measurement.
 const noRoundTrip = time.Duration(-1)
 
-// assumedGateways divides what all gateways may do together; the settings
-// do not tell how many there are.
+// assumedGateways is the number of gateways among which the retry budget is divided
+// at the start; the settings do not contain their number.
 const assumedGateways = 8
 
-// Limits of the callers' server.
+// Timeouts and limits of the server for callers.
 const (
 	headerTimeout     = 10 * time.Second
 	callerIdleTimeout = 2 * time.Minute
 	maxHeaderBytes    = 64 << 10
-	// preDrainDelay is how long a stopping gateway takes new requests, until the
-	// platform has seen that it is not ready.
+	// preDrainDelay is how long a stopping gateway still accepts new requests, so that
+	// the platform's readiness probes can fail first.
 	preDrainDelay    = 2500 * time.Millisecond
 	maintainInterval = time.Second
 )
 
-func startPlatformGateway(ctx context.Context, p *platformProcess) (all *taskGroup, err error) {
-	all = newTaskGroup(ctx)
-	ctx = all.ctx
+// startPlatformGateway starts a gateway. The caller must stop or close the group. After
+// an error, what was started is closed already.
+func startPlatformGateway(ctx context.Context, p *platformProcess) (group *taskGroup, err error) {
+	group = newTaskGroup(ctx)
+	ctx = group.ctx
 	defer func() {
 		if err != nil {
-			all.close(ctx)
+			group.close(ctx)
 		}
 	}()
 	s := p.settings
@@ -116,57 +119,58 @@
 		Current:         func() bool { return configCurrent(p.watcher.Progress(), s.ConfigBudget(), clock.Now()) },
 		ConfigAge:       func() time.Duration { return p.watcher.Progress().Age(clock.Now()) },
 	}, p.requestLog, p.log, p.metrics)
-	all.addCloser(server.Close)
+	group.addCloser(server.Close)
 	front, err := tcpconn.Listen(ctx, s.Listen.Front, tcpconn.ProbeLater)
 	if err != nil {
-		return all, errors.Trace(err)
+		return group, errors.Trace(err)
 	}
-	all.addCloser(func() { _ = front.Close() })
-	ready, err := all.listen(s.Listen.Ready)
+	group.addCloser(func() { _ = front.Close() })
+	ready, err := group.listen(s.Listen.Ready)
 	if err != nil {
-		return all, errors.Trace(err)
+		return group, errors.Trace(err)
 	}
-	relays, err := all.listen(s.Internal(s.IP, portRelay))
+	relays, err := group.listen(s.Internal(s.IP, portRelay))
 	if err != nil {
-		return all, errors.Trace(err)
+		return group, errors.Trace(err)
 	}
 	subscriber, err := loadreport.NewSubscriber(s.Internal(s.IP, portSubscribe))
 	if err != nil {
-		return all, err
+		return group, err
 	}
 	probes := http.NewServeMux()
 	probes.HandleFunc("/ready", server.ServeReady)
-	all.serve(server.Accepting(front), &http.Server{
+	group.serve(server.Accepting(front), &http.Server{
 		Handler: server, ConnContext: ingress.ConnContext,
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	})
-	all.serve(ready, &http.Server{Handler: probes})
-	all.serve(relays, &http.Server{Handler: storerelay.Handler(server, operatorRecords{p.watcher})})
-	p.serveMetrics(all, func(mux *http.ServeMux) { handleClearSuspect(mux, server) })
+	group.serve(ready, &http.Server{Handler: probes})
+	group.serve(relays, &http.Server{Handler: storerelay.Handler(server, operatorRecords{p.watcher})})
+	p.serveMetrics(group, func(mux *http.ServeMux) { handleClearSuspect(mux, server) })
 
-	view := gatewayOperator{server}
+	operator := gatewayOperator{server}
 	readers := storerelay.NewReaders(s.IP, func(ip string) string { return s.Internal(ip, portRelay) }, p.log)
-	all.addCloser(readers.Close)
-	all.addCloser(p.watcher.Close)
-	all.spawn(func() {
-		p.watcher.WatchOperator(ctx, view, recordRelay(storerelay.NewRecordFollower(readers, s.ConfigBudget(), p.log)), s.ConfigBudget())
+	group.addCloser(readers.Close)
+	group.addCloser(p.watcher.Close)
+	group.spawn(func() {
+		p.watcher.WatchOperator(ctx, operator, recordRelay(storerelay.NewRecordFollower(readers, s.ConfigBudget(), p.log)), s.ConfigBudget())
 	})
 	follower := storerelay.NewFollower(readers, server, s.DrainBudget(), p.log)
-	all.spawn(func() { p.watchEndpoints(ctx, server, follower) })
-	told := func() []loadreport.Audience {
+	group.spawn(func() { p.watchEndpoints(ctx, server, follower) })
+	groups := func() []loadreport.Audience {
 		return subscriptionGroups(s, server, operatorProgressOf(p.watcher), clock.Now())
 	}
-	learner := &recordRecovery{watcher: p.watcher, operator: view, readers: readers, log: p.log}
-	all.spawn(func() {
-		subscriber.Run(ctx, told, server.TellSoon(), reportHandler{ctx, server, p.watcher, readers, learner})
+	recovery := &recordRecovery{watcher: p.watcher, operator: operator, readers: readers, log: p.log}
+	group.spawn(func() {
+		subscriber.Run(ctx, groups, server.TellSoon(), reportHandler{ctx, server, p.watcher, readers, recovery})
 	})
-	all.spawn(func() { sendPermitRequests(ctx, s, server, subscriber) })
-	all.spawn(func() { maintain(ctx, server) })
-	all.drain = func(ending context.Context) { drainGateway(ending, p, server, front) }
-	return all, nil
+	group.spawn(func() { sendPermitRequests(ctx, s, server, subscriber) })
+	group.spawn(func() { maintain(ctx, server) })
+	group.drain = func(ctx context.Context) { drainGateway(ctx, p, server, front) }
+	return group, nil
 }
 
-// sendPermitRequests sends what the server asks of sidecars, until ctx ends.
+// sendPermitRequests sends the server's permit requests to the sidecars that
+// allocate the permits, until ctx ends.
 func sendPermitRequests(ctx context.Context, s *platform.Settings, server *ingress.Server, subscriber *loadreport.Subscriber) {
 	for {
 		select {
@@ -180,7 +184,7 @@
 	}
 }
 
-// maintain lets the server forget what has grown old, until ctx ends.
+// maintain runs the server's periodic maintenance until ctx ends.
 func maintain(ctx context.Context, server *ingress.Server) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, maintainInterval)
@@ -188,19 +192,23 @@
 	}
 }
 
-// operatorProgress is how much a gateway knows of what the operator wrote.
+// operatorProgress is how far a gateway has read the operator's records: the position
+// of the next record and the sum of the versions held.
 type operatorProgress struct {
 	position   history.Position
 	versionSum int64
 }
 
+// operatorProgressOf returns the progress of a watcher.
 func operatorProgressOf(w *platform.Watcher) operatorProgress {
 	return operatorProgress{w.Progress().Read, w.Knowledge()}
 }
 
-// subscriptionGroups are the sidecars of each service of engines, and what they are
-// told.
-func subscriptionGroups(s *platform.Settings, server *ingress.Server, k operatorProgress, now time.Time) []loadreport.Audience {
+// subscriptionGroups returns the sidecars to subscribe to, grouped by the notice that
+// they get. Sidecars that do not have the current weights configuration get it in
+// their notice; those that relay suspects get the suspects. It returns nil without a
+// configuration.
+func subscriptionGroups(s *platform.Settings, server *ingress.Server, progress operatorProgress, now time.Time) []loadreport.Audience {
 	c := server.Configuration()
 	if c == nil {
 		return nil
@@ -211,16 +219,16 @@
 			continue
 		}
 		notice := loadreport.Notice{
-			Model: service.Engine.Model, Region: s.Region, Read: k.position.Offset, Era: k.position.Era, Knowledge: k.versionSum,
+			Model: service.Engine.Model, Region: s.Region, Read: progress.position.Offset, Era: progress.position.Era, Knowledge: progress.versionSum,
 			Demand: math.Round(server.Demand(name, now)), Named: namedVersions(server, service.Engine.Model, now),
 		}
 		weights, ok := c.Weights(name)
-		knowing, others := server.EngineAddresses(name, weights.Sum(), now)
-		out = append(out, loadreport.Audience{Sidecars: publisherAddresses(s, knowing), Notice: notice})
+		current, outdated := server.EngineAddresses(name, weights.Sum(), now)
+		out = append(out, loadreport.Audience{Sidecars: publisherAddresses(s, current), Notice: notice})
 		if ok {
 			notice.Weights = &weights
 		}
-		out = append(out, loadreport.Audience{Sidecars: publisherAddresses(s, others), Notice: notice})
+		out = append(out, loadreport.Audience{Sidecars: publisherAddresses(s, outdated), Notice: notice})
 	}
 	suspects := server.Suspects(now)
 	if len(suspects) == 0 {
@@ -229,7 +237,8 @@
 	return addSuspects(out, suspects, suspectRelays(s, server, c, now))
 }
 
-// suspectRelays are the sidecars that pass on what gateways tell each other.
+// suspectRelays returns the addresses of the sidecars that relay suspects between
+// gateways.
 func suspectRelays(s *platform.Settings, server *ingress.Server, c *routing.Configuration, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for name := range c.Services {
@@ -240,27 +249,28 @@
 	return out
 }
 
-// addSuspects divides audiences into the relays, which are told suspects, and
-// the others.
-func addSuspects(audiences []loadreport.Audience, suspects []quarantine.Record, relays map[string]bool) []loadreport.Audience {
+// addSuspects splits each group into the relays, which get the suspects in their
+// notice, and the other sidecars.
+func addSuspects(groups []loadreport.Audience, suspects []quarantine.Record, relays map[string]bool) []loadreport.Audience {
 	var out []loadreport.Audience
-	for _, a := range audiences {
-		told := loadreport.Audience{Notice: a.Notice}
-		told.Notice.Suspects = suspects
+	for _, a := range groups {
+		relaying := loadreport.Audience{Notice: a.Notice}
+		relaying.Notice.Suspects = suspects
 		rest := loadreport.Audience{Notice: a.Notice}
 		for _, sidecar := range a.Sidecars {
 			if relays[sidecar] {
-				told.Sidecars = append(told.Sidecars, sidecar)
+				relaying.Sidecars = append(relaying.Sidecars, sidecar)
 			} else {
 				rest.Sidecars = append(rest.Sidecars, sidecar)
 			}
 		}
-		out = append(out, told, rest)
+		out = append(out, relaying, rest)
 	}
 	return out
 }
 
-// publisherAddresses are the addresses of the sidecars beside engines.
+// publisherAddresses returns the addresses at which the sidecars of engines accept
+// subscriptions.
 func publisherAddresses(s *platform.Settings, engines []string) []string {
 	out := make([]string, len(engines))
 	for i, address := range engines {
@@ -269,62 +279,63 @@
 	return out
 }
 
-// namedVersions are the named versions of a model as sidecars are told.
+// namedVersions returns a model's named versions for notices to sidecars.
 func namedVersions(server *ingress.Server, model string, now time.Time) []loadreport.Named {
 	var out []loadreport.Named
 	for _, n := range server.Named(model) {
-		told := loadreport.Named{Version: n.Version, AgeMS: loadreport.UnknownAge, Overdue: n.Overdue(now)}
+		version := loadreport.Named{Version: n.Version, AgeMS: loadreport.UnknownAge, Overdue: n.Overdue(now)}
 		if !n.First {
-			told.AgeMS = now.Sub(n.Learned).Milliseconds()
+			version.AgeMS = now.Sub(n.Learned).Milliseconds()
 		}
-		out = append(out, told)
+		out = append(out, version)
 	}
 	return out
 }
 
-// watchEndpoints reads the list once the configuration, which says how many
-// layers a model has, is known.
+// watchEndpoints follows the endpoint list until ctx ends. It starts once there is a
+// configuration, which contains the models' numbers of layers.
 func (p *platformProcess) watchEndpoints(ctx context.Context, server *ingress.Server, follower *storerelay.Follower) {
-	const look = 20 * time.Millisecond
+	const pollInterval = 20 * time.Millisecond
 	for server.Configuration() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 	p.watcher.WatchEndpoints(ctx, server, follower.Follow, func(service string) int {
-		if named := server.Configuration().Services[service]; named != nil && named.Engine != nil {
-			return named.Engine.Layers
+		if s := server.Configuration().Services[service]; s != nil && s.Engine != nil {
+			return s.Engine.Layers
 		}
 		return 0
 	})
 }
 
-// drainGateway lets requests in progress end. Resting connections are left
-// to the end of the process: net/http's Shutdown closes them also while a
-// request on one of them is being read, and so loses the request.
-func drainGateway(ending context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
+// drainGateway makes the gateway unready, stops accepting requests after
+// preDrainDelay and waits until those in progress have ended or ctx is done. Idle
+// connections stay open until the process exits: http.Server.Shutdown may close one
+// while a request on it is being read, which loses the request.
+func drainGateway(ctx context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
 	server.StartStopping()
 	select {
 	case <-time.After(preDrainDelay):
-	case <-ending.Done():
+	case <-ctx.Done():
 	}
 	server.Refuse()
 	_ = front.Close()
-	for quiet := 0; ending.Err() == nil && quiet < idlePolls; quiet++ {
+	for idle := 0; ctx.Err() == nil && idle < idlePolls; idle++ {
 		if server.InFlight() > 0 {
-			quiet = 0
+			idle = 0
 		}
 		time.Sleep(idlePollInterval)
 	}
 	if n := server.InFlight(); n > 0 {
-		p.log.Info("requests cut off at the end of the grace", "in_flight", n)
+		p.log.Info("requests aborted at the end of the grace period", "in_flight", n)
 	}
 }
 
-// A stopping gateway ends once quietLooks looks in a row, quietLook apart,
-// have found no request in progress.
+// A gateway is drained once idlePolls consecutive polls, idlePollInterval apart, have
+// found no request in progress.
 const (
 	idlePollInterval = 30 * time.Millisecond
 	idlePolls        = 8
--- a/cmd/mintlift/platform_relay.go
+++ b/cmd/mintlift/platform_relay.go
@@ -16,39 +16,43 @@
 	"github.com/mintlift/mintlift/storewatch"
 )
 
-// operatorRecords gives what a watcher has read to other gateways.
+// operatorRecords serves the operator's records that a watcher has read to other
+// gateways.
 type operatorRecords struct{ watcher *platform.Watcher }
 
 // Since implements storerelay.RecordSource.
 func (o operatorRecords) Since(from history.Position) (storerelay.Records, bool) {
-	records, progress, changed, known := o.watcher.Since(from)
+	records, progress, changed, ok := o.watcher.Since(from)
 	out := storerelay.Records{Next: progress.Read, Confirmed: progress.Confirmed, Behind: progress.Behind, Changed: changed}
 	for _, r := range records {
 		out.Newest = append(out.Newest, storerelay.Record(r))
 	}
-	return out, known
+	return out, ok
 }
 
-// recordRelay gives what another gateway has read to a watcher.
+// recordRelay returns a function by which a watcher gets the operator's records from
+// another gateway. That function returns nil if the records are not available there.
 func recordRelay(f *storerelay.RecordFollower) storewatch.Relay {
 	return func(ctx context.Context, from history.Position, age time.Duration) *storewatch.Relayed {
-		got, ok := f.Since(ctx, from, age)
+		fetched, ok := f.Since(ctx, from, age)
 		if !ok {
 			return nil
 		}
-		out := &storewatch.Relayed{Next: got.Next, Confirmed: got.Confirmed}
-		for _, r := range got.Newest {
+		out := &storewatch.Relayed{Next: fetched.Next, Confirmed: fetched.Confirmed}
+		for _, r := range fetched.Newest {
 			out.Records = append(out.Records, storewatch.Record(r))
 		}
 		return out
 	}
 }
 
-// recoveryInterval is the least time between two questions for what another gateway
-// knows and this one does not; a change that is on its way comes sooner.
+// recoveryInterval is how long the records must have been incomplete before they are
+// fetched from another gateway, so that a change in transit can arrive first, and the
+// minimum time between two fetches.
 const recoveryInterval = time.Second
 
-// recordRecovery asks other gateways for operator's records that the store has lost.
+// recordRecovery fetches operator's records that the store has lost in a rollback
+// from other gateways.
 type recordRecovery struct {
 	watcher  *platform.Watcher
 	operator platform.Operator
@@ -56,45 +60,47 @@
 	log      logr.Logger
 
 	mu sync.Mutex
-	// incompleteSince is since when another gateway has known more, or zero, and asked when
-	// one was asked last.
+	// incompleteSince is the time since which another gateway has had newer records, or
+	// zero; lastFetch is the time of the last fetch.
 	incompleteSince, lastFetch time.Time
 }
 
-// handleEcho takes what a sidecar tells of the gateway that knows most.
-func (l *recordRecovery) handleEcho(ctx context.Context, e *loadreport.Echo, now time.Time) {
-	lacks := l.watcher.OthersKnow(e.Knowledge)
-	if !l.fetchDue(lacks, now) {
+// handleEcho starts a fetch from the gateway with the largest version sum, which the
+// sidecar's echo names, if this gateway's records have been incomplete for
+// recoveryInterval.
+func (r *recordRecovery) handleEcho(ctx context.Context, e *loadreport.Echo, now time.Time) {
+	incomplete := r.watcher.OthersKnow(e.Knowledge)
+	if !r.fetchDue(incomplete, now) {
 		return
 	}
-	l.log.Info("another gateway knows more of what the operator wrote", "gateway", e.Knower, "theirs", e.Knowledge, "own", l.watcher.Knowledge())
+	r.log.Info("another gateway has newer operator records", "gateway", e.Knower, "theirs", e.Knowledge, "own", r.watcher.Knowledge())
 	go func() {
-		records, ok := l.readers.All(ctx, e.Knower)
+		records, ok := r.readers.All(ctx, e.Knower)
 		if !ok {
-			return // it is logged
+			return // already logged
 		}
-		known := make([]storewatch.Record, len(records))
-		for n, r := range records {
-			known[n] = storewatch.Record(r)
+		fetched := make([]storewatch.Record, len(records))
+		for n, record := range records {
+			fetched[n] = storewatch.Record(record)
 		}
-		l.watcher.Learn(l.operator, known)
+		r.watcher.Learn(r.operator, fetched)
 	}()
 }
 
-// fetchDue reports whether a gateway should be asked now.
-func (l *recordRecovery) fetchDue(lacks bool, now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !lacks {
-		l.incompleteSince = time.Time{}
+// fetchDue reports whether to fetch records now, and notes the time if so.
+func (r *recordRecovery) fetchDue(incomplete bool, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !incomplete {
+		r.incompleteSince = time.Time{}
 		return false
 	}
-	if l.incompleteSince.IsZero() {
-		l.incompleteSince = now
+	if r.incompleteSince.IsZero() {
+		r.incompleteSince = now
 	}
-	if now.Sub(l.incompleteSince) < recoveryInterval || now.Sub(l.lastFetch) < recoveryInterval {
+	if now.Sub(r.incompleteSince) < recoveryInterval || now.Sub(r.lastFetch) < recoveryInterval {
 		return false
 	}
-	l.lastFetch = now
+	r.lastFetch = now
 	return true
 }
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -21,102 +21,110 @@
 	"github.com/mintlift/mintlift/storerelay"
 )
 
-// sidecarState gives what the store or a gateway tells to a sidecar.
+// sidecarState applies the configuration and the named versions that a sidecar gets
+// from the store or from gateways to its installer.
 type sidecarState struct {
 	settings  *platform.Settings
 	installer *installer.Installer
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// weights is the newest weights configuration; zero Chunks while there is none.
 	weights routing.Weights
 }
 
 // Configured implements platform.Operator.
-func (v *sidecarState) Configured(c *routing.Configuration) {
-	if weights, ok := c.Weights(v.settings.Service); ok {
-		v.apply(weights)
+func (s *sidecarState) Configured(c *routing.Configuration) {
+	if weights, ok := c.Weights(s.settings.Service); ok {
+		s.apply(weights)
 	}
 }
 
-// apply takes how weights come, unless something newer is known.
-func (v *sidecarState) apply(w routing.Weights) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if w.Chunks == 0 || w.Version <= v.weights.Version {
+// apply installs a weights configuration unless it is empty or not newer than the
+// current one.
+func (s *sidecarState) apply(w routing.Weights) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if w.Chunks == 0 || w.Version <= s.weights.Version {
 		return
 	}
-	v.weights = w
-	v.installer.Configure(installer.Params{
+	s.weights = w
+	s.installer.Configure(installer.Params{
 		Model:        w.Model,
 		Chunks:       w.Chunks,
 		ChunkBytes:   w.ChunkBytes,
-		Deadline:     v.settings.VersionDeadline(),
+		Deadline:     s.settings.VersionDeadline(),
 		OriginRate:   w.OriginRate,
-		OriginRegion: v.settings.Regions[w.OriginZone],
+		OriginRegion: s.settings.Regions[w.OriginZone],
 	})
 }
 
 // Named implements platform.Operator.
-func (v *sidecarState) Named(n platform.Naming, first bool) {
-	named := time.Time{}
+func (s *sidecarState) Named(n platform.Naming, first bool) {
+	namedAt := time.Time{}
 	if !first {
-		named = clock.Now()
+		namedAt = clock.Now()
 	}
-	v.installer.Name(n.Model, n.Version, named)
+	s.installer.Name(n.Model, n.Version, namedAt)
 }
 
-// handleNotice takes what a gateway tells.
-func (v *sidecarState) handleNotice(n loadreport.Notice) {
+// handleNotice applies a gateway's notice.
+func (s *sidecarState) handleNotice(n loadreport.Notice) {
 	if n.Weights != nil {
-		v.apply(*n.Weights)
+		s.apply(*n.Weights)
 	}
 	now := clock.Now()
-	for _, named := range n.Named {
-		if since := named.Since(now); !since.IsZero() {
-			v.installer.Name(n.Model, named.Version, since)
+	for _, version := range n.Named {
+		if namedAt := version.Since(now); !namedAt.IsZero() {
+			s.installer.Name(n.Model, version.Version, namedAt)
 			continue
 		}
-		v.installer.NameAssumed(n.Model, named.Version, named.Overdue, now)
+		s.installer.NameAssumed(n.Model, version.Version, version.Overdue, now)
 	}
 }
 
-// weightsConfig returns how weights come, as far as that is known.
-func (v *sidecarState) weightsConfig() routing.Weights {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.weights
+// weightsConfig returns the current weights configuration, or the zero value if
+// there is none.
+func (s *sidecarState) weightsConfig() routing.Weights {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.weights
 }
 
-// weightsChecksum is the checksum of how weights come, or 0 while that is not known.
-func (v *sidecarState) weightsChecksum() uint32 {
-	w := v.weightsConfig()
+// weightsChecksum returns the checksum of the current weights configuration, or 0 if
+// there is none.
+func (s *sidecarState) weightsChecksum() uint32 {
+	w := s.weightsConfig()
 	if w.Chunks == 0 {
 		return 0
 	}
 	return w.Sum()
 }
 
-// layers is how many layers the service's model has, or 0.
-func (v *sidecarState) layers(service string) int {
-	if service != v.settings.Service {
+// layers returns the number of layers of the service's model, or 0 if it is not known
+// or the service is not this sidecar's.
+func (s *sidecarState) layers(service string) int {
+	if service != s.settings.Service {
 		return 0
 	}
-	return v.weightsConfig().Layers
+	return s.weightsConfig().Layers
 }
 
-// maxGatewaysQueried is how many gateways are asked for the list before the store.
+// maxGatewaysQueried is the maximum number of gateways from which the endpoint list is
+// requested before it is read from the store.
 const maxGatewaysQueried = 2
 
-// listPeers returns the sidecars of the service as a gateway lists them, or the
-// store if no gateway answers.
-func (v *sidecarState) listPeers(ctx context.Context, p *platformProcess, lists *storerelay.Client, publisher *loadreport.Publisher) ([]installer.Peer, error) {
-	gateways := publisher.Gateways(v.settings.Region, maxGatewaysQueried, clock.Now())
-	for at, ip := range gateways {
-		gateways[at] = v.settings.Internal(ip, portRelay)
+// listPeers returns the sidecars of the service, from a gateway's endpoint list or, if
+// no gateway responds, from the store's. Endpoints with an invalid address are logged
+// and left out.
+func (s *sidecarState) listPeers(ctx context.Context, p *platformProcess, lists *storerelay.Client, publisher *loadreport.Publisher) ([]installer.Peer, error) {
+	gateways := publisher.Gateways(s.settings.Region, maxGatewaysQueried, clock.Now())
+	for n, ip := range gateways {
+		gateways[n] = s.settings.Internal(ip, portRelay)
 	}
-	list, err := lists.Service(ctx, gateways, v.settings.Service)
+	list, err := lists.Service(ctx, gateways, s.settings.Service)
 	if err != nil {
-		p.log.Info("list of gateways not had", "asked", len(gateways), "error", err.Error())
-		if list, err = v.endpointsFromStore(ctx, p.watcher); err != nil {
+		p.log.Info("endpoint list not available from gateways", "asked", len(gateways), "error", err.Error())
+		if list, err = s.endpointsFromStore(ctx, p.watcher); err != nil {
 			return nil, err
 		}
 	}
@@ -124,119 +132,124 @@
 	for _, e := range list {
 		box, _, err := net.SplitHostPort(e.Address)
 		if err != nil {
-			p.log.Info("endpoint left out", "address", e.Address, "error", err.Error())
+			p.log.Info("endpoint with invalid address ignored", "address", e.Address, "error", err.Error())
 			continue
 		}
 		out = append(out, installer.Peer{
-			Box: box, Address: v.settings.Internal(e.Address, portSidecars), Zone: e.Zone, Region: v.settings.Regions[e.Zone], Leaving: e.Draining,
+			Box: box, Address: s.settings.Internal(e.Address, portSidecars), Zone: e.Zone, Region: s.settings.Regions[e.Zone], Leaving: e.Draining,
 		})
 	}
 	return out, nil
 }
 
-// endpointsFromStore reads the list from the store.
-func (v *sidecarState) endpointsFromStore(ctx context.Context, w *platform.Watcher) ([]storerelay.Endpoint, error) {
-	list, err := w.List(ctx, v.layers)
+// endpointsFromStore reads the service's endpoints from the store.
+func (s *sidecarState) endpointsFromStore(ctx context.Context, w *platform.Watcher) ([]storerelay.Endpoint, error) {
+	list, err := w.List(ctx, s.layers)
 	if err != nil {
 		return nil, err
 	}
-	return storerelay.Of(list, v.settings.Service), nil
+	return storerelay.Of(list, s.settings.Service), nil
 }
 
 const (
-	// gatewayTimeout is how long a sidecar goes without a gateway's word before
-	// it reads on its own, longer by up to unheardMore so that not all do so
-	// at once, and rereadPause how often then.
+	// gatewayTimeout is the time without a gateway's message after which a sidecar reads
+	// the operator's records from the store. It is extended by a random part of
+	// gatewayTimeoutJitter, so that not all sidecars read at once.
 	gatewayTimeout       = 2 * time.Second
 	gatewayTimeoutJitter = 2 * time.Second
-	storeReadInterval    = 1500 * time.Millisecond
+	// storeReadInterval is the minimum time between two such reads.
+	storeReadInterval = 1500 * time.Millisecond
 )
 
-// watchOperatorFallback reads what the operator wrote while no gateway tells
-// it: each configuration is large, a sidecar needs next to nothing of it, and
-// hundreds that read it at once fill the links between regions.
+// watchOperatorFallback reads the operator's records from the store while no gateway
+// sends notices, until ctx ends. Otherwise sidecars do not read them: a configuration
+// is large, a sidecar needs little of it, and hundreds of reads at once would saturate
+// the links between regions.
 func (p *platformProcess) watchOperatorFallback(ctx context.Context, o platform.Operator, publisher *loadreport.Publisher) {
-	const look = 250 * time.Millisecond
+	const pollInterval = 250 * time.Millisecond
 	reader := p.watcher.OperatorReader(o)
-	patience := gatewayTimeout + rand.N(gatewayTimeoutJitter)
-	read, began := time.Time{}, clock.Now()
-	lost := false
+	timeout := gatewayTimeout + rand.N(gatewayTimeoutJitter)
+	lastRead, started := time.Time{}, clock.Now()
+	unavailable := false
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, look)
+		clock.Sleep(ctx, pollInterval)
 		now := clock.Now()
-		heard := publisher.Asked()
-		if heard.IsZero() {
-			heard = began
+		lastContact := publisher.Asked()
+		if lastContact.IsZero() {
+			lastContact = started
 		}
-		if now.Sub(heard) < patience || now.Sub(read) < storeReadInterval {
+		if now.Sub(lastContact) < timeout || now.Sub(lastRead) < storeReadInterval {
 			continue
 		}
 		err := reader.Read(ctx)
 		switch {
 		case err == nil:
-			read = clock.Now()
-			if lost {
-				p.log.Info("store regained", "topic", "operator")
+			lastRead = clock.Now()
+			if unavailable {
+				p.log.Info("store available again", "topic", "operator")
 			}
-			lost = false
-		case !lost:
-			lost = true
-			p.log.Info("store lost", "topic", "operator", "error", err.Error())
+			unavailable = false
+		case !unavailable:
+			unavailable = true
+			p.log.Info("store unavailable", "topic", "operator", "error", err.Error())
 		}
 	}
 }
 
-// reportInterval is how often the engine's report is read.
+// reportInterval is the interval at which the engine's state is read and published.
 const reportInterval = 40 * time.Millisecond
 
-func startPlatformSidecar(ctx context.Context, p *platformProcess) (all *taskGroup, err error) {
-	all = newTaskGroup(ctx)
-	ctx = all.ctx
+// startPlatformSidecar starts a sidecar. The caller must stop or close the group. After
+// an error, what was started is closed already.
+func startPlatformSidecar(ctx context.Context, p *platformProcess) (group *taskGroup, err error) {
+	group = newTaskGroup(ctx)
+	ctx = group.ctx
 	defer func() {
 		if err != nil {
-			all.close(ctx)
+			group.close(ctx)
 		}
 	}()
 	s := p.settings
-	view := &sidecarState{settings: s}
-	engine := platform.NewEngine(s.App, func() int { return view.layers(s.Service) })
-	all.addCloser(engine.Close)
-	origin := platform.NewOrigin(func() string { return view.weightsConfig().Origin })
-	listener, err := all.listen(s.Internal(s.IP, portSidecars))
+	state := &sidecarState{settings: s}
+	engine := platform.NewEngine(s.App, func() int { return state.layers(s.Service) })
+	group.addCloser(engine.Close)
+	origin := platform.NewOrigin(func() string { return state.weightsConfig().Origin })
+	listener, err := group.listen(s.Internal(s.IP, portSidecars))
 	if err != nil {
-		return all, errors.Trace(err)
+		return group, errors.Trace(err)
 	}
 	publisher, err := loadreport.NewPublisher(s.Internal(s.IP, portPublish))
 	if err != nil {
-		return all, err
+		return group, err
 	}
-	all.addCloser(func() { _ = publisher.Close() })
+	group.addCloser(func() { _ = publisher.Close() })
 	lists := storerelay.NewClient()
-	all.addCloser(lists.Close)
-	all.addCloser(p.watcher.Close)
-	view.installer = installer.New(installer.Settings{Box: s.IP, Region: s.Region, Zone: s.Zone, LinkRate: s.LinkRate()}, engine, origin,
-		func(ctx context.Context) ([]installer.Peer, error) { return view.listPeers(ctx, p, lists, publisher) }, p.log, p.metrics)
-	all.addCloser(view.installer.Close)
-	all.spawn(func() { publisher.Run(view.handleNotice) })
-	all.serve(listener, &http.Server{Handler: view.installer.Handler(), ReadHeaderTimeout: headerTimeout})
-	p.serveMetrics(all, nil)
-	all.spawn(func() { p.watchOperatorFallback(ctx, view, publisher) })
-	all.spawn(func() { view.installer.Run(ctx) })
-	all.spawn(func() { reportLoad(ctx, view, engine, publisher) })
-	return all, nil
+	group.addCloser(lists.Close)
+	group.addCloser(p.watcher.Close)
+	state.installer = installer.New(installer.Settings{Box: s.IP, Region: s.Region, Zone: s.Zone, LinkRate: s.LinkRate()}, engine, origin,
+		func(ctx context.Context) ([]installer.Peer, error) { return state.listPeers(ctx, p, lists, publisher) }, p.log, p.metrics)
+	group.addCloser(state.installer.Close)
+	group.spawn(func() { publisher.Run(state.handleNotice) })
+	group.serve(listener, &http.Server{Handler: state.installer.Handler(), ReadHeaderTimeout: headerTimeout})
+	p.serveMetrics(group, nil)
+	group.spawn(func() { p.watchOperatorFallback(ctx, state, publisher) })
+	group.spawn(func() { state.installer.Run(ctx) })
+	group.spawn(func() { reportLoad(ctx, state, engine, publisher) })
+	return group, nil
 }
 
-// reportLoad reads the engine's state and publishes it.
-func reportLoad(ctx context.Context, view *sidecarState, engine *platform.Engine, publisher *loadreport.Publisher) {
+// reportLoad reads the engine's state every reportInterval and publishes it, until ctx
+// ends. A state that cannot be read is not published.
+func reportLoad(ctx context.Context, sidecar *sidecarState, engine *platform.Engine, publisher *loadreport.Publisher) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	i := view.installer
+	i := sidecar.installer
 	for {
 		if state, err := engine.State(ctx); err == nil {
 			i.Heard(state)
 			publisher.Publish(fleet.Report{
-				Address: view.settings.App, Model: state.Model, Version: state.Version, Busy: state.Busy || i.Leaving(), Promised: i.Promised(),
-				Doubted: i.Doubted(), Running: state.Running, Queued: state.Queued, Pace: state.Pace, Born: state.Born, Weights: view.weightsChecksum(),
+				Address: sidecar.settings.App, Model: state.Model, Version: state.Version, Busy: state.Busy || i.Leaving(), Promised: i.Promised(),
+				Doubted: i.Doubted(), Running: state.Running, Queued: state.Queued, Pace: state.Pace, Born: state.Born, Weights: sidecar.weightsChecksum(),
 				Draining: state.Signal.Draining, Limited: state.Signal.Limit.Named, Limit: state.Signal.Limit.Rate,
 			}, i.Changing(), clock.Now())
 		}
