--- a/cmd/mintlift/crash_test.go
+++ b/cmd/mintlift/crash_test.go
@@ -23,34 +23,25 @@
 )
 
 const (
-	// propagationTimeout is how long after the third crash gateways must know of it.
+	// propagationTimeout is the time after which all gateways must apply what one of
+	// them has learned, a crash or a signal of an endpoint.
 	propagationTimeout = 3 * time.Second
-	// maxCrashesAfterPropagation is how many sends may follow after that.
+	// maxCrashesAfterPropagation is the maximum number of crashes later than
+	// propagationTimeout after that of number crashThreshold.
 	maxCrashesAfterPropagation = 3
-	// crashThreshold is after how many crashes a request must be known.
+	// crashThreshold is the number of crashes after which a request must be quarantined.
 	crashThreshold = 3
 )
 
-// Seen: one request ended 45 engines in 20 s, and another series of it 44. Each
-// try ended two engines: the one that it was sent to, and the one at which its
-// stream was taken up again. Half of all callers got nothing meanwhile.
-//
-// How it came about: the engine's process ends as soon as it begins to run the
-// request. The caller's client tries again, each time by a new connection that
-// the balancer gives to any gateway, with a new id.
-//
-// Cause: no part of the system remembers a request beyond its own try. What a
-// crash says was held against the endpoint alone, which was left out of that
-// try, and paused at that gateway; the next try began at nothing, everywhere.
-//
-// Shown by the stories of four runs (each engine ended 36 to 111 ms after it
-// had begun that request), by two engines for each try, and by this test.
+// Guards against a request that crashes each engine that runs it: its caller retries
+// with a new request ID at any gateway, so gateways must share the crashes and
+// quarantine the request by its content.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	checkQuarantine(t, 3, 6)
 }
 
-// The same at other sizes.
+// Checks quarantine with other numbers of gateways and engines.
 func TestCrashingRequestIsQuarantinedAtOtherSizes(t *testing.T) {
 	for _, size := range []struct{ gateways, engines int }{{1, 3}, {9, 4}, {5, 15}} {
 		t.Run(fmt.Sprintf("%d gateways, %d engines", size.gateways, size.engines), func(t *testing.T) {
@@ -60,14 +51,14 @@
 	}
 }
 
-// checkQuarantine tries one request that crashes its endpoints at one gateway
-// after the other, and checks that few crash.
+// checkQuarantine sends a request that crashes its endpoints to the gateways in turn,
+// and checks that few endpoints crash.
 func checkQuarantine(t *testing.T, gateways, count int) {
 	t.Helper()
 	d := startEngines(t, gateways, count)
 	end := time.Now().Add(propagationTimeout + 2*time.Second)
-	for try := 0; time.Now().Before(end); try++ {
-		go d.send(try, crashingBody)
+	for n := 0; time.Now().Before(end); n++ {
+		go d.send(n, crashingBody)
 		time.Sleep(100 * time.Millisecond)
 	}
 	crashes := d.crashTimes()
@@ -82,16 +73,16 @@
 	assert.Assert(t, late <= maxCrashesAfterPropagation, "%d engines have crashed, %d of them later than %s after the third", len(crashes), late, propagationTimeout)
 }
 
-// The same while the store answers nothing: gateways hear of each other's crashes
-// by the sidecars. Its caller is told nothing that promises that the request has
-// not run where it may have; others are served meanwhile and after.
+// Checks that gateways share crashes through sidecars while the store is unresponsive,
+// that no response claims that the request did not run where it may have, and that
+// other requests are served.
 func TestCrashesAreSharedWithoutStore(t *testing.T) {
 	t.Parallel()
 	d := startEngines(t, 2, 6)
 	d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} })
-	for try := range 3 {
-		checkCrashingResponse(t, d, try)
-		assert.Equal(t, d.send(try, "text"), http.StatusOK)
+	for n := range 3 {
+		checkCrashingResponse(t, d, n)
+		assert.Equal(t, d.send(n, "text"), http.StatusOK)
 	}
 	for began := time.Now(); time.Since(began) < time.Second; time.Sleep(20 * time.Millisecond) {
 		for gateway := range d.gateways {
@@ -99,56 +90,57 @@
 			assert.Equal(t, d.send(gateway, "text"), http.StatusOK)
 		}
 	}
-	// A second try at a gateway that has not heard of the first yet ends two
-	// engines more.
+	// A second attempt, at a gateway that does not have the first crashes yet, crashes
+	// two more engines.
 	assert.Assert(t, len(d.crashTimes()) <= crashThreshold+maxCrashesAfterPropagation, "%d engines have crashed", len(d.crashTimes()))
 }
 
-// checkCrashingResponse checks the answer to a try of the request that crashes endpoints: 502
-// without an invitation if it may have run, else that it has not.
+// checkCrashingResponse sends the request that crashes endpoints and checks the
+// response: 502 without Retry-After if the request may have run, else 503 with
+// Retry-After.
 func checkCrashingResponse(t *testing.T, d *engineDeployment, gateway int) {
 	t.Helper()
 	before := len(d.crashTimes())
-	status, head := d.sendForHeader(gateway, crashingBody)
+	status, header := d.sendForHeader(gateway, crashingBody)
 	if len(d.crashTimes()) > before {
 		assert.Equal(t, status, http.StatusBadGateway)
 	}
 	switch status {
 	case http.StatusBadGateway:
-		assert.Equal(t, head.Get("Retry-After"), "")
+		assert.Equal(t, header.Get("Retry-After"), "")
 	case http.StatusServiceUnavailable:
-		assert.Assert(t, head.Get("Retry-After") != "")
+		assert.Assert(t, header.Get("Retry-After") != "")
 	default:
 		t.Fatalf("status %d", status)
 	}
 }
 
-// crashingBody is the body of a request that ends each engine that runs it.
+// crashingBody is the body of a request that crashes each engine that runs it.
 const crashingBody = "crash"
 
-// engineDeployment are gateways before engines with sidecars, which crash when they
-// are asked to.
+// engineDeployment is a set of gateways, and engines with sidecars, on loopback
+// addresses.
 type engineDeployment struct {
 	store    *storetest.Store
-	gateways []string // IP:PORT of their callers' listeners
+	gateways []string // IP:PORT of the gateways' listeners for callers
 
 	mu           sync.Mutex
-	crashes      []time.Time
-	incarnations int
+	crashes      []time.Time // of engines
+	incarnations int         // of engines so far
 }
 
-// loopbackNetworks counts the loopback nets in use.
+// loopbackNetworks counts the loopback networks in use.
 var loopbackNetworks atomic.Int32
 
-// startEngines starts gateways and engines on a loopback net of /24 of their
-// own, and waits until all gateways serve.
+// startEngines starts gateways and engines on a /24 loopback network of their own,
+// and waits until all gateways serve.
 func startEngines(t *testing.T, gateways, count int) *engineDeployment {
 	t.Helper()
 	return startEnginesWith(t, gateways, count, (*engineDeployment).startEngine)
 }
 
-// startEnginesWith is startEngines for engines that start starts, each at an IP
-// number, with the address of the store.
+// startEnginesWith is like startEngines, but starts each engine with start, at an IP
+// address, with the address of the store.
 func startEnginesWith(t *testing.T, gateways, count int, start func(d *engineDeployment, t *testing.T, ip, store string)) *engineDeployment {
 	t.Helper()
 	network := fmt.Sprintf("127.78.%d", loopbackNetworks.Add(1))
@@ -182,8 +174,8 @@
 	return d
 }
 
-// startEngine starts an engine, whose process ends at each crash and is back
-// after restart, and its sidecar.
+// startEngine starts an engine, which restarts restartDelay after each crash, and its
+// sidecar.
 func (d *engineDeployment) startEngine(t *testing.T, ip, store string) {
 	t.Helper()
 	address := net.JoinHostPort(ip, "8320")
@@ -193,28 +185,29 @@
 	startSidecar(t, ip, store, address)
 }
 
-// startSidecar starts the sidecar of an engine at address, until the test ends.
+// startSidecar starts the sidecar of the engine at address. It is closed when the test
+// ends.
 func startSidecar(t *testing.T, ip, store, address string) *taskGroup {
 	t.Helper()
-	all, err := startPlatformSidecar(context.Background(), newPlatformProcess(t, ip, store, fmt.Sprintf(`,"app":%q,"service":"e"`, address)))
+	group, err := startPlatformSidecar(context.Background(), newPlatformProcess(t, ip, store, fmt.Sprintf(`,"app":%q,"service":"e"`, address)))
 	assert.NilError(t, err)
-	t.Cleanup(func() { closeNow(all) })
-	return all
+	t.Cleanup(func() { closeNow(group) })
+	return group
 }
 
-// send sends one try of a request to the n-th gateway, counted round, and
-// returns the status of the answer, or 0.
+// send sends a request to gateway n, modulo their number, and returns the status of
+// the response, or 0 if it was not received whole.
 func (d *engineDeployment) send(n int, body string) int {
 	status, _ := d.sendForHeader(n, body)
 	return status
 }
 
-// sendForHeader is as try, with the head of the answer.
+// sendForHeader is like send, and returns the header of the response, too.
 func (d *engineDeployment) sendForHeader(n int, body string) (int, http.Header) {
 	return d.sendToPath("/s/x", n, body)
 }
 
-// sendToPath is as answer, for a request of a path.
+// sendToPath is like sendForHeader, with the path of the request.
 func (d *engineDeployment) sendToPath(path string, n int, body string) (int, http.Header) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.gateways[n%len(d.gateways)]+path, strings.NewReader(body))
 	if err != nil {
@@ -234,13 +227,14 @@
 	return response.StatusCode, response.Header
 }
 
+// crashTimes returns the times of all crashes so far, in order.
 func (d *engineDeployment) crashTimes() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]time.Time(nil), d.crashes...)
 }
 
-// newIncarnationID returns an id for an engine that starts.
+// newIncarnationID returns an endpoint ID for an engine that starts.
 func (d *engineDeployment) newIncarnationID() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -248,23 +242,25 @@
 	return fmt.Sprintf("i-%d", d.incarnations)
 }
 
-// crashingEngine is one engine, through all its lives.
+// crashingEngine is an engine that crashes when it runs crashingBody, and restarts
+// with a new ID.
 type crashingEngine struct {
 	deployment *engineDeployment
 	address    string
 
 	mu      sync.Mutex
-	id      string
+	id      string // of this incarnation; empty after a crash until the restart
 	server  *http.Server
 	stopped bool
 }
 
-// restartDelay is how long a crashed engine is away.
+// restartDelay is the time from a crash of an engine to its restart.
 const restartDelay = 700 * time.Millisecond
 
-// crashDelay is how long an engine works on a request that crashes it.
+// crashDelay is the time from the receipt of a crashing request to the crash.
 const crashDelay = 60 * time.Millisecond
 
+// start starts the engine with a new ID, unless it was stopped.
 func (e *crashingEngine) start() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -283,6 +279,7 @@
 	return nil
 }
 
+// stop closes the engine for good.
 func (e *crashingEngine) stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -290,12 +287,13 @@
 	_ = e.server.Close()
 }
 
-// crash ends all connections and the listener, as the end of a process does.
+// crash closes all connections and the listener, as the end of a process does, and
+// schedules the restart.
 func (e *crashingEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.id == "" {
-		return // another request has ended it meanwhile
+		return // crashed by another request already
 	}
 	_ = e.server.Close()
 	id := e.id
@@ -305,7 +303,7 @@
 	e.deployment.mu.Unlock()
 	time.AfterFunc(restartDelay, func() {
 		e.deployment.store.Put(storetest.Endpoints, id, "")
-		_ = e.start() // the address is this engine's own
+		_ = e.start() // no other engine uses the address
 	})
 }
 
@@ -330,7 +328,8 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: token\n\n")
 }
 
-// An operator's word at one gateway lets a request out at all.
+// Checks that a request that an operator clears at one gateway is released from
+// quarantine at all.
 func TestClearSuspectReachesAllGateways(t *testing.T) {
 	t.Parallel()
 	d := startEngines(t, 2, 6)
@@ -350,7 +349,7 @@
 	assert.NilError(t, clearSuspect(t.Context(), metrics, id))
 	before := len(d.crashTimes())
 	for began := time.Now(); len(d.crashTimes()) == before; time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < propagationTimeout, "it is kept from endpoints at the other gateway")
+		assert.Assert(t, time.Since(began) < propagationTimeout, "still quarantined at the other gateway")
 		d.send(1, crashingBody)
 	}
 }
