--- a/cmd/mintlift/idle_test.go
+++ b/cmd/mintlift/idle_test.go
@@ -16,12 +16,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// measureIdleEnv names the sizes to measure, as in "10,50,200". The measurement
-// takes minutes and depends on the machine, so CI does not run it; its
-// result stands in docs/capacity.json.
+// measureIdleEnv is the environment variable with the numbers of sidecars to measure,
+// as in "10,50,200". The measurement takes minutes and depends on the machine, so CI
+// does not run it; docs/capacity.json holds the result.
 const measureIdleEnv = "MINTLIFT_MEASURE_IDLE"
 
-// idleRow is the cost of idle control at one size.
+// idleRow is the cost of an idle process of a role at one number of sidecars.
 type idleRow struct {
 	Sidecars int     `json:"sidecars"`
 	Role     string  `json:"role"`
@@ -31,18 +31,20 @@
 	OutRate  float64 `json:"sent_bytes_a_second"`
 }
 
-// usage is a process's counters at one moment.
+// usage holds a process's counters at one time: processor time, and bytes received and
+// sent.
 type usage struct {
 	cpu     time.Duration
 	in, out float64
 }
 
+// TestMeasureIdle measures the cost of gateways and sidecars without requests.
 func TestMeasureIdle(t *testing.T) {
 	sizes := os.Getenv(measureIdleEnv)
 	if sizes == "" {
 		t.Skip("set " + measureIdleEnv + "=10,50,200 to measure")
 	}
-	const during = 30 * time.Second
+	const interval = 30 * time.Second
 	var rows []idleRow
 	for _, text := range strings.Split(sizes, ",") {
 		n, err := strconv.Atoi(text)
@@ -57,17 +59,17 @@
 			for i, name := range names {
 				before[i] = s.usage(t, name)
 			}
-			time.Sleep(during)
+			time.Sleep(interval)
 			for i, name := range names {
 				after := s.usage(t, name)
 				role := strings.SplitN(name, "-", 2)[0]
 				rows = append(rows, idleRow{
 					Sidecars: n,
 					Role:     map[string]string{"entry": "gateway", "engine": "sidecar"}[role],
-					CPU:      100 * (after.cpu - before[i].cpu).Seconds() / during.Seconds(),
+					CPU:      100 * (after.cpu - before[i].cpu).Seconds() / interval.Seconds(),
 					MB:       s.procs[name].residentMB(t),
-					InRate:   (after.in - before[i].in) / during.Seconds(),
-					OutRate:  (after.out - before[i].out) / during.Seconds(),
+					InRate:   (after.in - before[i].in) / interval.Seconds(),
+					OutRate:  (after.out - before[i].out) / interval.Seconds(),
 				})
 			}
 		})
@@ -77,6 +79,7 @@
 	t.Logf("\n%s", b)
 }
 
+// usage reads the counters of the process of a box.
 func (s *system) usage(t *testing.T, name string) usage {
 	t.Helper()
 	u := usage{cpu: s.procs[name].cpuTime(t)}
@@ -97,9 +100,9 @@
 	b, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	for line := range strings.Lines(string(b)) {
-		for prefix, into := range map[string]*float64{"mintlift_net_received_bytes ": &u.in, "mintlift_net_sent_bytes ": &u.out} {
+		for prefix, value := range map[string]*float64{"mintlift_net_received_bytes ": &u.in, "mintlift_net_sent_bytes ": &u.out} {
 			if v, ok := strings.CutPrefix(line, prefix); ok {
-				*into, err = strconv.ParseFloat(strings.TrimSpace(v), 64)
+				*value, err = strconv.ParseFloat(strings.TrimSpace(v), 64)
 				assert.NilError(t, err)
 			}
 		}
@@ -107,8 +110,8 @@
 	return u
 }
 
-// cpuTime is a process's user and system time, from the operating system's
-// accounting in ticks of 10 ms.
+// cpuTime returns a process's user and system time. The operating system counts it in
+// ticks of 10 ms.
 func (p *process) cpuTime(t *testing.T) time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	assert.NilError(t, err)
--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -20,44 +20,36 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// Bounds of a limit that an endpoint names: from contact after it first did so, it
-// gets in any limitWindow at most limitFactor times what it allows, and limitSlack
-// more, from all gateways together.
+// Tolerance for an endpoint's rate limit: from propagationTimeout after its first
+// response with the limit, all gateways together send it at most limitFactor times the
+// allowed requests, plus limitSlack, in any limitWindow.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// Seen: two engines of a zone named a limit of 2 requests a second, and went on
-// getting 3 to 9 a second, 22 in 4 s where 17 were allowed. They turned nothing
-// away.
-//
-// How it came about: an engine in need names its limit in its answers, on each of
-// them. Gateways passed the answers on, and chose by the list of endpoints, the
-// sidecars' reports and what they had in flight.
-//
-// Cause: no part of a gateway read the signal. Shown by the flow, which does not
-// change when the signal comes, at no gateway, and by this test.
+// Guards against gateways that ignore the rate limit in an engine's responses, or that
+// each use the whole of it.
 func TestLimitIsSharedByAllGateways(t *testing.T) {
 	t.Parallel()
-	d, talkers := startSignalingEngines(t, 3, 3)
-	checkLimit(t, d, talkers[0], enginePath, 2)
+	d, engines := startSignalingEngines(t, 3, 3)
+	checkLimit(t, d, engines[0], enginePath, 2)
 }
 
-// The same at other limits, one of which lets nothing through.
+// Checks other rates, among them 0, which allows no requests.
 func TestLimitIsSharedAtOtherRates(t *testing.T) {
 	for _, rate := range []float64{0, 0.4, 20} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			t.Parallel()
-			d, talkers := startSignalingEngines(t, 5, 2)
-			checkLimit(t, d, talkers[0], enginePath, rate)
+			d, engines := startSignalingEngines(t, 5, 2)
+			checkLimit(t, d, engines[0], enginePath, rate)
 		})
 	}
 }
 
-// The same at an endpoint beside which no sidecar is: that of an engine deals its
-// limit out.
+// Checks an endpoint without a sidecar: the sidecar of an engine allocates the permits
+// for it.
 func TestLimitOfPlainEndpointIsShared(t *testing.T) {
 	t.Parallel()
 	d, _ := startSignalingEngines(t, 3, 2)
@@ -66,61 +58,61 @@
 	checkLimit(t, d, limited, plainPath, 2)
 }
 
-// Paths of requests for engines, and for endpoints beside which no sidecar is.
+// Paths of requests for engines, and for endpoints without a sidecar.
 const (
 	enginePath = "/s/x"
 	plainPath  = "/p/x"
 )
 
-// checkLimit lets an endpoint name a limit under more demand than that, and checks
-// that it is kept, and used.
+// checkLimit makes an endpoint signal a limit of rate requests per second, sends more
+// than that, and checks that the limit is neither exceeded nor left unused.
 func checkLimit(t *testing.T, d *engineDeployment, limited *signalingEndpoint, path string, rate float64) {
 	t.Helper()
-	named := time.Now()
+	limitSet := time.Now()
 	limited.signals.Limit(rate)
-	asked := d.sendLoad(path, propagationTimeout+2*limitWindow, 25*time.Millisecond)
-	most := maxInWindow(limited.arrivals(), named.Add(propagationTimeout), limitWindow)
+	sent := d.sendLoad(path, propagationTimeout+2*limitWindow, 25*time.Millisecond)
+	most := maxInWindow(limited.arrivals(), limitSet.Add(propagationTimeout), limitWindow)
 	allowed := int(limitFactor*rate*limitWindow.Seconds()) + limitSlack
-	demand := maxInWindow(asked.requests, named.Add(propagationTimeout), limitWindow)
-	t.Logf("at most %d of %d in %s, allowed %d; %d served", most, demand, limitWindow, allowed, asked.served)
+	demand := maxInWindow(sent.requests, limitSet.Add(propagationTimeout), limitWindow)
+	t.Logf("at most %d of %d in %s, allowed %d; %d served", most, demand, limitWindow, allowed, sent.served)
 	assert.Assert(t, most <= allowed, "%d in %s, allowed %d", most, limitWindow, allowed)
-	// It is not left alone either: the limit is what it takes of all that is asked, if
-	// so much is asked; a process that stands still asks nothing.
+	// The limit must be used, too, as far as there was demand: a stalled test process
+	// sends few requests.
 	least := min(0.5*rate*limitWindow.Seconds(), 0.1*float64(demand))
 	assert.Assert(t, float64(most) >= least, "%d of %d in %s", most, demand, limitWindow)
 }
 
-// sendLoad sends a request to each gateway each time that every has passed, for so
-// long, and waits for the answers.
-// It returns what it sent, and how much of it was served.
-func (d *engineDeployment) sendLoad(path string, long, every time.Duration) (asked loadResult) {
-	var answers sync.WaitGroup
+// sendLoad sends a request to each gateway at an interval, for a duration, and waits
+// for the responses.
+func (d *engineDeployment) sendLoad(path string, duration, interval time.Duration) (sent loadResult) {
+	var responses sync.WaitGroup
 	var served atomic.Int64
-	for began, try := time.Now(), 0; time.Since(began) < long; try++ {
+	for began, attempt := time.Now(), 0; time.Since(began) < duration; attempt++ {
 		for n := range d.gateways {
-			answers.Go(func() {
-				if status, _ := d.sendToPath(path, n, fmt.Sprint("text-", try)); status == http.StatusOK {
+			responses.Go(func() {
+				if status, _ := d.sendToPath(path, n, fmt.Sprint("text-", attempt)); status == http.StatusOK {
 					served.Add(1)
 				}
 			})
 		}
 		for range d.gateways {
-			asked.requests = append(asked.requests, arrival{at: time.Now()})
+			sent.requests = append(sent.requests, arrival{at: time.Now()})
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	answers.Wait()
-	asked.served = int(served.Load())
-	return asked
+	responses.Wait()
+	sent.served = int(served.Load())
+	return sent
 }
 
-// loadResult is what press sent, and how much of it was served.
+// loadResult is the result of sendLoad.
 type loadResult struct {
-	requests []arrival
-	served   int
+	requests []arrival // time of sending only
+	served   int       // responses with status 200
 }
 
-// maxInWindow returns the most arrivals in any window that begins at from or later.
+// maxInWindow returns the maximum number of arrivals in any window that starts with an
+// arrival at from or later. The arrivals are in order of time.
 func maxInWindow(arrivals []arrival, from time.Time, window time.Duration) int {
 	most := 0
 	for n, first := range arrivals {
@@ -141,13 +133,14 @@
 // arrival is a request that reached an endpoint.
 type arrival struct {
 	at time.Time
-	// gateway sent it.
+	// gateway is the number of the gateway that sent it.
 	gateway string
-	// status is what it was answered.
+	// status is that of the response.
 	status int
 }
 
-// signalingEndpoint is an endpoint that says something of itself in its answers.
+// signalingEndpoint is an endpoint that sends signals in its responses: a rate limit,
+// draining or backoff.
 type signalingEndpoint struct {
 	deployment *engineDeployment
 	id         string
@@ -160,16 +153,17 @@
 	seen []arrival
 }
 
-// startSignalingEngines starts gateways and engines that say nothing yet.
+// startSignalingEngines starts gateways and engines without signals.
 func startSignalingEngines(t *testing.T, gateways, count int) (*engineDeployment, []*signalingEndpoint) {
 	t.Helper()
-	var talkers []*signalingEndpoint
+	var started []*signalingEndpoint
 	d := startEnginesWith(t, gateways, count, func(d *engineDeployment, t *testing.T, ip, store string) {
-		talkers = append(talkers, startSignalingEngine(t, d, ip, store))
+		started = append(started, startSignalingEngine(t, d, ip, store))
 	})
-	return d, talkers
+	return d, started
 }
 
+// startSignalingEngine starts an engine without signals, and its sidecar.
 func startSignalingEngine(t *testing.T, d *engineDeployment, ip, store string) *signalingEndpoint {
 	t.Helper()
 	e := serveEndpoint(t, &signalingEndpoint{deployment: d, service: "e", address: net.JoinHostPort(ip, "8320")})
@@ -177,13 +171,14 @@
 	return e
 }
 
-// startPlainEndpoint starts an endpoint beside which no sidecar is.
+// startPlainEndpoint starts an endpoint without a sidecar.
 func startPlainEndpoint(t *testing.T, d *engineDeployment) *signalingEndpoint {
 	t.Helper()
 	return serveEndpoint(t, &signalingEndpoint{deployment: d, service: "p", address: "127.0.0.1:0"})
 }
 
-// serveEndpoint starts a talker that says nothing yet, and lists it.
+// serveEndpoint starts an endpoint at its address, without signals, and adds it to the
+// endpoint list.
 func serveEndpoint(t *testing.T, e *signalingEndpoint) *signalingEndpoint {
 	t.Helper()
 	e.id = e.deployment.newIncarnationID()
@@ -197,7 +192,7 @@
 	return e
 }
 
-// writeEntry writes the endpoint's entry into the list.
+// writeEntry writes the endpoint's entry in the endpoint list.
 func (e *signalingEndpoint) writeEntry(state string) {
 	models := ""
 	if e.service == "e" {
@@ -207,20 +202,21 @@
 		`{"service":%q,"address":%q,"zone":"z","version":"v1","slots":16,"state":%q,"cold_remaining_ms":0%s,"sequence":1}`, e.service, e.address, state, models))
 }
 
+// arrivals returns the requests that arrived so far, in order.
 func (e *signalingEndpoint) arrivals() []arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]arrival(nil), e.seen...)
 }
 
-// ServeHTTP implements http.Handler. What the engine says stands in answers to
-// callers' requests alone, not in its report.
+// ServeHTTP implements http.Handler. The signals are in responses to callers' requests
+// only, not in the engine's report.
 func (e *signalingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/report" {
 		_, _ = io.WriteString(w, `{"stage":"unified","models":[{"name":"m","version":1,"adapters":[]}],"busy":false,"sequence":1,"queued":0,"running":0}`)
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // a caller that leaves ends the answer too
+	_, _ = io.Copy(io.Discard, r.Body) // an aborted request ends the response, too
 	id := r.Header.Get(platform.Headers().RequestID)
 	h := w.Header()
 	h.Set(platform.Headers().RequestID, id)
@@ -242,7 +238,8 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: token\n\n")
 }
 
-// gatewayFromID returns the gateway to which engines.try sent the request of an id.
+// gatewayFromID returns the number of the gateway from a request ID that
+// engineDeployment.sendToPath made.
 func gatewayFromID(id string) string {
 	parts := strings.SplitN(id, "-", 3)
 	return parts[1]
--- a/cmd/mintlift/main_test.go
+++ b/cmd/mintlift/main_test.go
@@ -17,7 +17,7 @@
 	"github.com/mintlift/mintlift/examples"
 )
 
-// runCLI runs a command line.
+// runCLI runs a command line, and returns the exit code and the output.
 func runCLI(args ...string) (int, string) {
 	var out bytes.Buffer
 	code := run(context.Background(), append([]string{"mintlift"}, args...), &out, &out)
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestSettingsMistakes has five mistakes of different kinds in one file.
+// Checks that all errors of a settings file are reported, of different kinds.
 func TestSettingsMistakes(t *testing.T) {
 	b, err := examples.Files.ReadFile("anuario-celeste-gateway.json")
 	assert.NilError(t, err)
@@ -59,7 +59,7 @@
 	assert.Equal(t, code, exitUsage)
 	t.Log("\n" + out)
 	for _, path := range []string{"platform.log", "max_in_flight", "queue", "drain_timeout", "weighing", "links.orgin_bytes_per_second"} {
-		assert.Assert(t, strings.Contains(out, path), "%s is not named in\n%s", path, out)
+		assert.Assert(t, strings.Contains(out, path), "%s is missing in\n%s", path, out)
 	}
 }
 
--- a/cmd/mintlift/malformed_test.go
+++ b/cmd/mintlift/malformed_test.go
@@ -34,12 +34,12 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":4194304,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"w","api_keys":["k1"],"priority":2}]}`
 
-// invalidValues returns values that no operator should write.
+// invalidValues returns values that are invalid or extreme in most fields.
 func invalidValues() []any {
 	return []any{0.0, -1.0, 1e18, -1e18, 1e308, 0.5, "", "text", nil, true, []any{}, map[string]any{}, []any{nil}, []any{[]any{}}}
 }
 
-// mutate replaces one value somewhere within v.
+// mutate replaces one value within v, at any depth, and returns the result.
 func mutate(t *rapid.T, v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -61,9 +61,9 @@
 	return values[rapid.IntRange(0, len(values)-1).Draw(t, "value")]
 }
 
-// A configuration stands in the store: one that ended a process would end each
-// that reads it, again after each start. Whatever it says, gateways and sidecars
-// take it or pass it over, and go on.
+// Guards against a configuration that crashes the processes that read it, again after
+// each restart since it stays in the store: gateways and sidecars must apply or reject
+// any content without a panic.
 func TestMalformedConfigurationDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -76,7 +76,7 @@
 		assert.NilError(t, err)
 		c, err := platform.ParseConfig(text)
 		if err != nil {
-			return // passed over: the last one stays
+			return // rejected: the configuration in force stays
 		}
 		server := ingress.New(ingress.Settings{
 			Headers: platform.Headers(), Budget: retrybudget.Params{Ratio: 0.2, Slack: 200, Window: 10 * time.Second, Gateways: 1}, VersionDeadline: time.Second,
@@ -92,24 +92,24 @@
 			r.Header.Set(platform.Headers().Deadline, "30")
 			server.ServeHTTP(httptest.NewRecorder(), r)
 		}
-		view := &sidecarState{settings: settings}
-		view.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
-		view.Configured(c)
-		for _, a := range subscriptionGroups(settings, server, operatorProgress{}, time.Now()) {
-			view.handleNotice(a.Notice)
+		state := &sidecarState{settings: settings}
+		state.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
+		state.Configured(c)
+		for _, g := range subscriptionGroups(settings, server, operatorProgress{}, time.Now()) {
+			state.handleNotice(g.Notice)
 		}
 	})
 }
 
-// What comes in a datagram from anybody ends no process either.
+// Guards against notices, datagrams from any sender, that crash a sidecar or a gateway.
 func TestMalformedNoticeDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
-	whole := `{"model":"m","region":"r","named":[{"version":2,"age_ms":5,"overdue":true}],"read":4,"demand":3.5,
+	valid := `{"model":"m","region":"r","named":[{"version":2,"age_ms":5,"overdue":true}],"read":4,"demand":3.5,
 		"weights":{"version":3,"model":"m","layers":4,"chunks":8,"chunk_bytes":64,"origin":"127.0.0.1:9","origin_zone":"z","origin_rate":1e6},
 		"suspects":[{"i":"00112233445566778899aabbccddeeff","e":1,"c":[{"k":1,"a":5,"r":6}]}]}`
 	rapid.Check(t, func(t *rapid.T) {
 		var notice any
-		assert.NilError(t, json.Unmarshal([]byte(whole), &notice))
+		assert.NilError(t, json.Unmarshal([]byte(valid), &notice))
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
 			notice = mutate(t, notice)
 		}
@@ -119,9 +119,9 @@
 		if json.Unmarshal(text, &n) != nil {
 			return
 		}
-		view := &sidecarState{settings: settings}
-		view.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
-		view.handleNotice(n)
+		state := &sidecarState{settings: settings}
+		state.installer = installer.New(installer.Settings{Box: "127.0.0.1", LinkRate: 1e6}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
+		state.handleNotice(n)
 		server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 		server.HeardSuspects(n.Suspects, time.Now())
 		_ = server.Suspects(time.Now())
--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -22,30 +22,17 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// configApplyTimeout is how long after the store took it a configuration may take
-// to be in force at a gateway that reaches the store.
+// configApplyTimeout is the time after a configuration was written to the store within
+// which a gateway that reaches the store must apply it.
 const configApplyTimeout = 2 * time.Second
 
-// Seen: all gateways served a configuration 5.3 s after a newer one had been
-// acknowledged, while they read the list of endpoints from the same store each
-// second; none had heard of the newer one, so none could tell the others.
-//
-// How it came about: the topic of the configuration answered nothing for a
-// while, the other topics did. The read that waited there ended in the silence,
-// and so did the next; both were given up only after 5.5 s, the second one 5 s
-// after the topic answered again.
-//
-// Cause: a read waited 4 s and had 1.5 s more for its answer, also right after
-// one that had failed, though a change must be in force in 2 s. Nothing held
-// the sum of the steps under that bound.
-//
-// Shown by the calls that the store counted (none for 5.5 s, twice, at each
-// gateway), the lines "store lost" and "store still lost" (ms=5501) of the same
-// outage brought about on purpose, and by this test.
+// Guards against reads of the configuration's topic whose timeouts are longer than the
+// time within which a change must be applied: during an outage of this topic alone they
+// delayed the read that gets the change.
 func TestConfigurationAppliedAfterTopicOutage(t *testing.T) {
 	t.Parallel()
 	d := startRouteDeployment(t, "127.77.1")
-	time.Sleep(3500 * time.Millisecond) // into the wait of a read
+	time.Sleep(3500 * time.Millisecond) // into a long poll
 	d.setUnresponsive(storetest.Operator)
 	time.Sleep(3 * time.Second)
 	d.setUnresponsive()
@@ -53,36 +40,36 @@
 	d.checkRouteChange(t)
 }
 
-// The same with a single call: the read that begins after a change was heard
-// is never answered. A store that was silent for some milliseconds only does
-// this to whoever read in them.
+// Checks a single unanswered call: the read that starts after a record was received
+// gets no response, as after an outage of the store of a few milliseconds.
 func TestConfigurationAppliedDespiteUnansweredRead(t *testing.T) {
 	t.Parallel()
 	d := startRouteDeployment(t, "127.77.2")
 	d.setUnresponsive(storetest.Operator)
-	d.store.Put(storetest.Operator, "version/none", `{"model":"none","version":2}`) // ends the wait of the read in progress
+	d.store.Put(storetest.Operator, "version/none", `{"model":"none","version":2}`) // completes the long poll in progress
 	time.Sleep(100 * time.Millisecond)
 	d.setUnresponsive()
 	d.checkRouteChange(t)
 }
 
-// routeDeployment is a gateway with a stand-in of the store and two services of
-// one endpoint each.
+// routeDeployment is a gateway with a stand-in for the store, and two services of one
+// endpoint each.
 type routeDeployment struct {
 	store *storetest.Store
-	front string
+	front string // IP:PORT of the gateway's listener for callers
 }
 
-// setUnresponsive makes these topics answer nothing, and all others again.
+// setUnresponsive makes the store answer no calls for these topics, or for any with the
+// topic "", and all others normally.
 func (d *routeDeployment) setUnresponsive(topics ...string) {
-	silent := make(map[string]bool)
+	unresponsive := make(map[string]bool)
 	for _, topic := range topics {
-		silent[topic] = true
+		unresponsive[topic] = true
 	}
-	d.store.Change(func(f *storetest.Faults) { f.Silent = silent })
+	d.store.Change(func(f *storetest.Faults) { f.Silent = unresponsive })
 }
 
-// configure writes a configuration whose only route leads to a service.
+// configure writes a configuration of one route to a service.
 func (d *routeDeployment) configure(version int, service string) {
 	d.store.Put(storetest.Operator, "config", fmt.Sprintf(`{"version":%d,
 		"routes":[{"name":"r","host":"h.example","path_prefix":"/r/","kind":"safe","timeout_ms":1000,"target_latency_ms":300,"service":%q,"max_attempts":1,"public":true}],
@@ -90,21 +77,21 @@
 		"limits":{"max_body_bytes":1048576,"idle_timeout_ms":15000}}`, version, service))
 }
 
-// checkRouteChange writes a configuration that moves the route, and checks that the
-// gateway serves it in time.
+// checkRouteChange writes a configuration that routes to the other service, and checks
+// that the gateway applies it within configApplyTimeout.
 func (d *routeDeployment) checkRouteChange(t *testing.T) {
 	t.Helper()
 	written := time.Now()
 	d.configure(2, "after")
 	for d.request() != "after" {
-		assert.Assert(t, time.Since(written) < configApplyTimeout, "the route has not moved %s after it was written", configApplyTimeout)
+		assert.Assert(t, time.Since(written) < configApplyTimeout, "the route has not changed %s after the configuration was written", configApplyTimeout)
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Logf("in force after %s", time.Since(written))
+	t.Logf("applied after %s", time.Since(written))
 }
 
-// request sends a request along the route; the answer is the name of the service
-// that ran it, or empty.
+// request sends a request and returns the name of the service that ran it, or "" if
+// none did.
 func (d *routeDeployment) request() string {
 	r, err := http.NewRequest(http.MethodGet, "http://"+d.front+"/r/x", nil)
 	if err != nil {
@@ -125,7 +112,8 @@
 	return string(body)
 }
 
-// startEndpoint starts an endpoint of a service; its answers name the service.
+// startEndpoint starts an endpoint of a service. The body of its responses is the
+// service's name.
 func startEndpoint(t *testing.T, service string) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -137,8 +125,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startRouteDeployment starts a gateway at the first address of a loopback net, and
-// waits until it serves.
+// startRouteDeployment starts a gateway at the first address of a loopback network,
+// the first three numbers of which are given, and waits until it serves.
 func startRouteDeployment(t *testing.T, network string) *routeDeployment {
 	t.Helper()
 	d := &routeDeployment{store: storetest.New(), front: net.JoinHostPort(network+".1", "8005")}
@@ -159,8 +147,8 @@
 	return d
 }
 
-// newPlatformProcess returns a process of the platform at an address of the loopback
-// net; extra are further settings.
+// newPlatformProcess returns the process state of a daemon at a loopback address.
+// Further settings are in extra: JSON fields, each after a comma.
 func newPlatformProcess(t *testing.T, ip, store, extra string) *platformProcess {
 	t.Helper()
 	settings, err := platform.ParseSettings(fmt.Appendf(nil, `{"node_name":"%[1]s","ip":"%[1]s","zone":"z","region":"r","zones":{"z":"r"},
@@ -175,29 +163,29 @@
 	}
 }
 
-// startGateway starts a gateway at an address of the loopback net.
+// startGateway starts a gateway at a loopback address. It is closed when the test ends.
 func startGateway(t *testing.T, ip, store string) *taskGroup {
 	t.Helper()
-	all, err := startPlatformGateway(context.Background(), newPlatformProcess(t, ip, store, ""))
+	group, err := startPlatformGateway(context.Background(), newPlatformProcess(t, ip, store, ""))
 	assert.NilError(t, err)
-	t.Cleanup(func() { closeNow(all) })
-	return all
+	t.Cleanup(func() { closeNow(group) })
+	return group
 }
 
-// closeNow ends a daemon without a grace for requests in progress, and waits until
-// it has ended.
-func closeNow(all *taskGroup) {
-	const endWait = 5 * time.Second
-	ending, cancel := context.WithTimeout(context.Background(), endWait)
+// closeNow closes a daemon without draining, and waits until its goroutines have
+// returned, up to 5 s.
+func closeNow(group *taskGroup) {
+	const closeTimeout = 5 * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	all.close(ending)
+	group.close(ctx)
 }
 
-// A configuration that was confirmed before a suspension may be too old: what it
-// does not know is refused as not run, not denied, until the store has answered.
+// Guards against trust in a configuration confirmed before a suspension: a request for
+// a route that it does not contain gets 503, not 404, until the store confirms it.
 func TestConfigurationExpiresWhileSuspended(t *testing.T) {
 	d := startRouteDeployment(t, "127.77.3")
-	ask := func(path string) int {
+	requestStatus := func(path string) int {
 		r, err := http.NewRequest(http.MethodGet, "http://"+d.front+path, nil)
 		assert.NilError(t, err)
 		r.Host = "h.example"
@@ -206,12 +194,12 @@
 		assert.NilError(t, response.Body.Close())
 		return response.StatusCode
 	}
-	assert.Equal(t, ask("/none/"), http.StatusNotFound)
+	assert.Equal(t, requestStatus("/none/"), http.StatusNotFound)
 	d.setUnresponsive("")
 	clock.SuspendForTest(t, configApplyTimeout)
-	assert.Equal(t, ask("/none/"), http.StatusServiceUnavailable)
+	assert.Equal(t, requestStatus("/none/"), http.StatusServiceUnavailable)
 	d.setUnresponsive()
-	for began := time.Now(); ask("/none/") != http.StatusNotFound; time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < configApplyTimeout+propagationTimeout, "it is not confirmed again")
+	for began := time.Now(); requestStatus("/none/") != http.StatusNotFound; time.Sleep(20 * time.Millisecond) {
+		assert.Assert(t, time.Since(began) < configApplyTimeout+propagationTimeout, "the configuration is not confirmed again")
 	}
 }
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -27,13 +27,13 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// discardOperator takes what the operator wrote.
+// discardOperator discards the operator's records.
 type discardOperator struct{}
 
 func (discardOperator) Configured(*routing.Configuration) {}
 func (discardOperator) Named(platform.Naming, bool)       {}
 
-// discardReports takes what sidecars send.
+// discardReports discards the sidecars' messages.
 type discardReports struct{}
 
 func (discardReports) Heard(fleet.Report, *loadreport.Echo) {}
@@ -41,8 +41,8 @@
 func (discardReports) HeardEndpoints([]backpressure.Record) {}
 func (discardReports) HeardSuspects([]quarantine.Record)    {}
 
-// A sidecar that gateways speak to reads nothing from the store; one that
-// hears none reads on its own, all once and then what is new.
+// Checks that a sidecar reads nothing from the store while a gateway sends notices, and
+// otherwise the newest records once and then only new ones.
 func TestSidecarReadsStoreOnlyWithoutGateways(t *testing.T) {
 	var newest, reads atomic.Int32
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -63,9 +63,9 @@
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	speaking, silence := context.WithCancel(ctx)
-	audience := loadreport.Audience{Sidecars: []string{"127.0.0.1:17701"}}
-	go subscriber.Run(speaking, func() []loadreport.Audience { return []loadreport.Audience{audience} }, nil, discardReports{})
+	subscribing, stopNotices := context.WithCancel(ctx)
+	group := loadreport.Audience{Sidecars: []string{"127.0.0.1:17701"}}
+	go subscriber.Run(subscribing, func() []loadreport.Audience { return []loadreport.Audience{group} }, nil, discardReports{})
 	for publisher.Asked().IsZero() {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -76,15 +76,15 @@
 	go p.watchOperatorFallback(ctx, discardOperator{}, publisher)
 	time.Sleep(gatewayTimeout + gatewayTimeoutJitter + time.Second)
 	assert.Equal(t, newest.Load()+reads.Load(), int32(0))
-	silence()
+	stopNotices()
 	for began := time.Now(); reads.Load() < 2; time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 20*time.Second, "it does not read on its own")
+		assert.Assert(t, time.Since(began) < 20*time.Second, "the sidecar does not read the store")
 	}
 	assert.Equal(t, newest.Load(), int32(1))
 }
 
-// A sidecar learns from a gateway all that it needs: how weights come, and
-// the named versions; its reports show that it need not be told again.
+// Checks that a sidecar gets the weights configuration and the named versions from a
+// gateway, and that the gateway leaves out a configuration that its reports confirm.
 func TestSidecarConfiguredByGateway(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "s", InternalPorts: [2]int{17710, 17720}}
 	c := routing.New(5, nil, []*routing.Service{
@@ -101,35 +101,35 @@
 	select {
 	case <-server.TellSoon():
 	default:
-		t.Fatal("a named version is not told at once")
+		t.Fatal("no notice is due after a version was named")
 	}
 
 	notice := func() loadreport.Notice {
-		for _, a := range subscriptionGroups(settings, server, operatorProgress{position: history.Unread}, now) {
-			if len(a.Sidecars) > 0 {
-				assert.DeepEqual(t, a.Sidecars, []string{"127.0.0.1:17711"})
-				return a.Notice
+		for _, g := range subscriptionGroups(settings, server, operatorProgress{position: history.Unread}, now) {
+			if len(g.Sidecars) > 0 {
+				assert.DeepEqual(t, g.Sidecars, []string{"127.0.0.1:17711"})
+				return g.Notice
 			}
 		}
-		t.Fatal("nobody is told")
+		t.Fatal("no sidecar gets a notice")
 		return loadreport.Notice{}
 	}
-	view := &sidecarState{settings: settings}
-	view.installer = installer.New(installer.Settings{Box: "127.0.0.1"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
-	told := notice()
-	assert.DeepEqual(t, told.Named, []loadreport.Named{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
-	view.handleNotice(told)
+	state := &sidecarState{settings: settings}
+	state.installer = installer.New(installer.Settings{Box: "127.0.0.1"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
+	first := notice()
+	assert.DeepEqual(t, first.Named, []loadreport.Named{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
+	state.handleNotice(first)
 	want, _ := c.Weights("s")
-	assert.DeepEqual(t, view.weightsConfig(), want)
-	assert.Equal(t, view.layers("s"), 2)
-	assert.Equal(t, view.layers("plain"), 0)
+	assert.DeepEqual(t, state.weightsConfig(), want)
+	assert.Equal(t, state.layers("s"), 2)
+	assert.Equal(t, state.layers("plain"), 0)
 
-	server.Heard(fleet.Report{Address: "127.0.0.1:9", Weights: view.weightsChecksum()}, -1)
-	assert.Assert(t, notice().Weights == nil, "it knows them")
+	server.Heard(fleet.Report{Address: "127.0.0.1:9", Weights: state.weightsChecksum()}, -1)
+	assert.Assert(t, notice().Weights == nil, "the sidecar has the weights configuration")
 	newer := routing.New(6, nil, []*routing.Service{{Name: "s", Engine: &routing.Engine{Model: "m", Chunks: 8, ChunkBytes: 64, Layers: 2}}}, nil, routing.Limits{})
 	server.Apply(newer)
-	assert.Equal(t, notice().Weights.Chunks, 8, "they have changed")
-	view.handleNotice(notice())
-	view.handleNotice(told)
-	assert.Equal(t, view.weightsConfig().Chunks, 8, "an older gateway's word takes nothing back")
+	assert.Equal(t, notice().Weights.Chunks, 8, "the weights configuration has changed")
+	state.handleNotice(notice())
+	state.handleNotice(first)
+	assert.Equal(t, state.weightsConfig().Chunks, 8, "a notice with an older configuration does not replace a newer one")
 }
--- a/cmd/mintlift/process_test.go
+++ b/cmd/mintlift/process_test.go
@@ -30,7 +30,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// runEnv makes the test binary act as mintlift itself.
+// runEnv is the environment variable that makes the test binary run as mintlift.
 const runEnv = "MINTLIFT_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -46,11 +46,11 @@
 type process struct {
 	cmd    *exec.Cmd
 	stderr *bytes.Buffer
-	ended  chan struct{}
+	ended  chan struct{} // closed once the process has ended
 }
 
-// launch starts mintlift with the given arguments; the first line of its
-// output goes to firstLine, if set.
+// launch starts mintlift with the given arguments, and stores the first line of its
+// output in firstLine unless that is nil. The process is killed when the test ends.
 func launch(t *testing.T, firstLine *string, args ...string) *process {
 	t.Helper()
 	exe, err := os.Executable()
@@ -79,17 +79,18 @@
 	return p
 }
 
-// exitWithin waits for the process to end and returns its code.
-func (p *process) exitWithin(t *testing.T, bound time.Duration) int {
+// exitWithin waits for the process to end, up to timeout, and returns its exit code.
+func (p *process) exitWithin(t *testing.T, timeout time.Duration) int {
 	t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(bound):
-		t.Fatalf("process did not end within %v: %s", bound, p.stderr)
+	case <-time.After(timeout):
+		t.Fatalf("process did not end within %v: %s", timeout, p.stderr)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
+// freeAddress returns a loopback address that was free at the time of the call.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,13 +104,14 @@
 	t        *testing.T
 	dir      string
 	platform settings.Platform
-	sample   float64 // share of requests traced
+	sample   float64 // fraction of requests traced
 	gateways []settings.Gateway
 	sidecars []settings.Sidecar
-	engines  []string
-	procs    map[string]*process
+	engines  []string            // addresses
+	procs    map[string]*process // by name: the box of a daemon, or the kind of stand-in
 }
 
+// newSystem starts stand-ins, gateways and sidecars, each sidecar with an engine.
 func newSystem(t *testing.T, gateways, sidecars int, sample float64) *system {
 	s := &system{t: t, dir: t.TempDir(), sample: sample, procs: make(map[string]*process)}
 	assert.NilError(t, os.WriteFile(s.path("operator.key"), []byte(testKey+"\n"), 0o600))
@@ -128,14 +130,16 @@
 	return s
 }
 
+// path returns the path of a file in the directory of the test.
 func (s *system) path(name string) string { return filepath.Join(s.dir, name) }
 
+// write writes v as a settings file, and returns its path.
 func (s *system) write(name string, v any) string {
 	b, err := json.Marshal(v)
 	assert.NilError(s.t, err)
 	var fields map[string]any
 	assert.NilError(s.t, json.Unmarshal(b, &fields))
-	for k, f := range fields { // durations are written as text
+	for k, f := range fields { // settings files have durations as text
 		if n, ok := f.(float64); ok && (strings.HasSuffix(k, "_timeout") || k == "plan_ttl") {
 			fields[k] = time.Duration(n).String()
 		}
@@ -146,6 +150,7 @@
 	return s.path(name)
 }
 
+// listBox adds a box to the box list, or replaces it.
 func (s *system) listBox(b membership.Box) {
 	raw, err := json.Marshal(b)
 	assert.NilError(s.t, err)
@@ -190,7 +195,8 @@
 	s.listBox(membership.Box{ID: c.Node.Box, Zone: c.Node.AvailabilityZone(), Role: membership.Endpoint, Address: c.PeerListen, State: membership.Live})
 }
 
-// runCLI runs an operator's command and returns its code and output.
+// runCLI runs an operator's command at the first gateway, and returns the exit code and
+// the output.
 func (s *system) runCLI(args ...string) (int, string) {
 	s.t.Helper()
 	args = append(append([]string{"mintlift"}, args...), "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("operator.key"))
@@ -199,6 +205,8 @@
 	return code, out.String()
 }
 
+// mustRunCLI runs a command until it succeeds, and returns its output. Exit codes other
+// than exitUnavailable and exitInvalid fail the test.
 func (s *system) mustRunCLI(args ...string) string {
 	s.t.Helper()
 	for {
@@ -216,12 +224,14 @@
 	}
 }
 
+// expired reports whether less than 10 s remain until the test's deadline.
 func (s *system) expired() bool {
 	deadline, ok := s.t.Deadline()
 	return ok && time.Until(deadline) < 10*time.Second
 }
 
-// deploy brings draft@version to all boxes for workspace liceo.
+// deploy rolls draft@version out to all boxes for the workspace liceo, and waits until
+// that is done.
 func (s *system) deploy(version string) {
 	s.t.Helper()
 	var plan struct{ ID string }
@@ -231,6 +241,8 @@
 	s.mustRunCLI("plan", "watch", plan.ID, "--timeout", "60s", "--every", "100ms")
 }
 
+// prepare creates the workspace liceo, and waits until all sidecars report their
+// engines.
 func (s *system) prepare() {
 	s.t.Helper()
 	assert.NilError(s.t, os.WriteFile(s.path("liceo.key"), []byte("workspace-key-liceo-1"), 0o600))
@@ -247,12 +259,13 @@
 		if err == nil && reached == len(s.sidecars) {
 			return
 		}
-		assert.Assert(s.t, !s.expired(), "boxes do not answer")
+		assert.Assert(s.t, !s.expired(), "not all boxes report their engines")
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// chat opens a stream through a gateway; the caller closes it.
+// chat starts a streaming request through a gateway. The caller must close the body of
+// the response.
 func (s *system) chat(gateway, tokens int, header http.Header) (*http.Response, error) {
 	body := fmt.Sprintf(`{"model":"draft","stream":true,"max_tokens":%d,"messages":[]}`, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.gateways[gateway].CallerListen+"/v1/chat/completions", strings.NewReader(body))
@@ -266,6 +279,7 @@
 	return http.DefaultClient.Do(req)
 }
 
+// awaitChat waits until requests through a gateway succeed.
 func (s *system) awaitChat(gateway int) {
 	s.t.Helper()
 	for {
@@ -277,12 +291,12 @@
 				return
 			}
 		}
-		assert.Assert(s.t, !s.expired(), "no answer through gateway %d", gateway)
+		assert.Assert(s.t, !s.expired(), "no response through gateway %d", gateway)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// residentMB reads a process's resident memory.
+// residentMB returns a process's resident memory in MiB.
 func (p *process) residentMB(t *testing.T) float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	assert.NilError(t, err)
@@ -298,9 +312,9 @@
 	return 0
 }
 
-// TestProcesses runs 2 gateways, 6 sidecars and the stand-ins as processes
-// of their own: the whole path, a planned stop under load, a crash, a
-// paused sidecar, and one trace.
+// TestProcesses runs 2 gateways, 6 sidecars and the stand-ins as separate processes, and
+// checks the request path with its trace, exit codes, memory, a planned stop under
+// load, crashes and a paused sidecar.
 func TestProcesses(t *testing.T) {
 	s := newSystem(t, 2, 6, 1)
 	s.prepare()
@@ -316,8 +330,8 @@
 	t.Run("pause", s.testPause)
 }
 
-// testErrors makes an operator's mistakes on the command line: each ends
-// with its documented exit code, and nothing moves.
+// testErrors checks that invalid commands return their documented exit codes, and that
+// requests are served afterwards.
 func (s *system) testErrors(t *testing.T) {
 	plan := func() string {
 		var p struct{ ID string }
@@ -338,7 +352,7 @@
 		{"first plan", exitOK, []string{"plan", "confirm", first}},
 		{"confirmed twice", exitConflict, []string{"plan", "confirm", first}},
 		{"confirmed after a conflicting one", exitConflict, []string{"plan", "confirm", second}},
-		{"taken back", exitOK, []string{"plan", "cancel", first}},
+		{"canceled", exitOK, []string{"plan", "cancel", first}},
 		{"wrong key", exitRefused, []string{"status", "--key-file", s.path("liceo.key")}},
 	} {
 		code, out := s.runCLI(c.args...)
@@ -353,8 +367,8 @@
 	s.awaitChat(0)
 }
 
-// testTrace follows one request from the caller's traceparent to the
-// sidecar's call of the engine.
+// testTrace checks that the spans of a request, from the caller's traceparent to the
+// sidecar's call of the engine, have one trace ID.
 func (s *system) testTrace(t *testing.T) {
 	const traceID = "0af7651916cd43dd8448eb211c80319c"
 	resp, err := s.chat(0, 3, http.Header{"Traceparent": {"00-" + traceID + "-b7ad6b7169203331-01"}})
@@ -382,6 +396,7 @@
 	}
 }
 
+// spansOf returns the spans of a trace in an export file, as text.
 func spansOf(t *testing.T, file, traceID string) []string {
 	f, err := os.Open(file)
 	assert.NilError(t, err)
@@ -403,43 +418,44 @@
 	}
 }
 
+// testMemory checks that an idle gateway and an idle sidecar use little memory.
 func (s *system) testMemory(t *testing.T) {
-	const bound = 64
+	const maxMB = 64
 	for _, name := range []string{"entry-0", "engine-0"} {
 		mb := s.procs[name].residentMB(t)
 		t.Logf("%s: %.1f MB resident", name, mb)
-		assert.Assert(t, mb < bound, "%s takes %.1f MB", name, mb)
+		assert.Assert(t, mb < maxMB, "%s uses %.1f MB", name, mb)
 	}
 }
 
-// testPlannedStop sends SIGTERM to a gateway and a sidecar under streaming
-// load.
+// testPlannedStop checks that SIGTERM to a gateway and a sidecar under streaming load
+// interrupts no stream.
 func (s *system) testPlannedStop(t *testing.T) {
 	const streams, tokens = 12, 400
-	ends, begun := make(chan error, streams), make(chan struct{}, streams)
+	ends, started := make(chan error, streams), make(chan struct{}, streams)
 	for i := range streams {
-		go func() { ends <- s.readStream(i%2, tokens, begun) }()
+		go func() { ends <- s.readStream(i%2, tokens, started) }()
 	}
 	for range streams {
-		<-begun
+		<-started
 	}
 	assert.Assert(t, len(ends) <= streams/2, "%d streams have ended before the stop", len(ends))
 	for _, name := range []string{"entry-1", "engine-2"} {
 		assert.NilError(t, s.procs[name].cmd.Process.Signal(syscall.SIGTERM))
 	}
 	for range streams {
-		assert.NilError(t, <-ends, "a planned stop cut a stream")
+		assert.NilError(t, <-ends, "a planned stop interrupted a stream")
 	}
 	for _, name := range []string{"entry-1", "engine-2"} {
 		assert.Equal(t, s.procs[name].exitWithin(t, 25*time.Second), exitOK, s.procs[name].stderr.String())
 	}
 }
 
-// readStream reads a stream to its end, and tells begun when its head has
-// come.
-func (s *system) readStream(gateway, tokens int, begun chan<- struct{}) error {
+// readStream reads a stream to its end and checks that it is complete. It sends to
+// started when the header of the response was received, or the request failed.
+func (s *system) readStream(gateway, tokens int, started chan<- struct{}) error {
 	resp, err := s.chat(gateway, tokens, nil)
-	begun <- struct{}{}
+	started <- struct{}{}
 	if err != nil {
 		return err
 	}
@@ -455,7 +471,8 @@
 	return nil
 }
 
-// testCrash kills a gateway and a sidecar and starts them on other ports.
+// testCrash kills a gateway and a sidecar, restarts them on other ports, and checks
+// that a rollout succeeds.
 func (s *system) testCrash(t *testing.T) {
 	assert.NilError(t, s.procs["engine-3"].cmd.Process.Kill())
 	assert.NilError(t, s.procs["entry-0"].cmd.Process.Kill())
@@ -473,15 +490,15 @@
 	s.awaitChat(0)
 }
 
-// testPause stops a sidecar with SIGSTOP, starts another for the same box
-// and engine, and wakes the first: the engine must not follow it.
+// testPause stops a sidecar with SIGSTOP, starts another for the same box and engine,
+// and resumes the first: the engine must reject its orders.
 func (s *system) testPause(t *testing.T) {
-	old := s.procs["engine-4"]
-	assert.NilError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
+	paused := s.procs["engine-4"]
+	assert.NilError(t, paused.cmd.Process.Signal(syscall.SIGSTOP))
 	s.sidecars[4].PeerListen = freeAddress(t)
 	s.startSidecar(4)
-	s.deploy("v1") // back to v1 while the old holder knows v2 only
-	assert.NilError(t, old.cmd.Process.Signal(syscall.SIGCONT))
+	s.deploy("v1") // back to v1; the paused sidecar has v2
+	assert.NilError(t, paused.cmd.Process.Signal(syscall.SIGCONT))
 	time.Sleep(4 * time.Second)
 	var state struct {
 		Epoch  int64
@@ -491,7 +508,7 @@
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	assert.NilError(t, json.NewDecoder(resp.Body).Decode(&state))
-	assert.Equal(t, state.Epoch, int64(2), "the woken holder claimed the engine again")
+	assert.Equal(t, state.Epoch, int64(2), "the resumed sidecar claimed the engine again")
 	versions := map[string]bool{}
 	for _, l := range state.Loaded {
 		versions[l.Version] = true
--- a/cmd/mintlift/requests_test.go
+++ b/cmd/mintlift/requests_test.go
@@ -15,15 +15,15 @@
 	"github.com/mintlift/mintlift/outcome"
 )
 
-// measureRequestsEnv turns on the measurement of what a request costs; CI
-// does not run it.
+// measureRequestsEnv is the environment variable that enables the measurement of the
+// cost of requests. CI does not set it.
 const measureRequestsEnv = "MINTLIFT_MEASURE_REQUESTS"
 
-// requestRow is what requests cost at one rate.
+// requestRow is the cost of requests at one rate and number of tokens.
 type requestRow struct {
 	Rate   float64 `json:"requests_a_second"`
 	Tokens float64 `json:"tokens_a_request"`
-	// GatewayMS and SidecarMS are processor time a request, summed over the
+	// GatewayMS and SidecarMS are the processor time per request, summed over the
 	// processes of the role.
 	GatewayMS float64 `json:"gateway_cpu_ms_a_request"`
 	SidecarMS float64 `json:"sidecar_cpu_ms_a_request"`
@@ -31,6 +31,7 @@
 	SidecarMB float64 `json:"sidecar_resident_mb"`
 }
 
+// TestMeasureRequests measures the processor time and memory that requests cost.
 func TestMeasureRequests(t *testing.T) {
 	if os.Getenv(measureRequestsEnv) == "" {
 		t.Skip("set " + measureRequestsEnv + "=1 to measure")
@@ -67,7 +68,7 @@
 	t.Logf("requests\n%s", b)
 }
 
-// sidecarTime sums the processor time of all sidecars.
+// sidecarTime returns the processor time of all sidecars together.
 func (s *system) sidecarTime(t *testing.T) time.Duration {
 	var sum time.Duration
 	for _, c := range s.sidecars {
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -18,15 +18,16 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// configureKey writes a configuration of one route, whose callers need a key.
+// configureKey writes a configuration of one route that requires a key.
 func (d *weightsDeployment) configureKey(version int, key string) {
 	text := fmt.Sprintf(`{"version":%d,"tenants":[{"name":"w","api_keys":[%q],"priority":1}],`, version, key)
 	d.store.Put(storetest.Operator, "config", strings.Replace(strings.Replace(d.config, `{"version":1,`, text, 1), `"public":true,`, "", 1))
 }
 
-// requestWithKey sends a request with a key to a gateway, and returns the status.
-func (d *weightsDeployment) requestWithKey(front, key string) int {
-	r, err := http.NewRequest(http.MethodPost, "http://"+front+"/s/x", strings.NewReader("text"))
+// requestWithKey sends a request with a key to a gateway, and returns the status of the
+// response, or 0 without one.
+func (d *weightsDeployment) requestWithKey(gateway, key string) int {
+	r, err := http.NewRequest(http.MethodPost, "http://"+gateway+"/s/x", strings.NewReader("text"))
 	if err != nil {
 		return 0
 	}
@@ -43,21 +44,21 @@
 	return response.StatusCode
 }
 
-// awaitStatus waits until each gateway answers requests with a key so.
-func (d *weightsDeployment) awaitStatus(t *testing.T, key string, status int, within time.Duration) {
+// awaitStatus waits until each gateway answers requests with a key with a status.
+func (d *weightsDeployment) awaitStatus(t *testing.T, key string, status int, timeout time.Duration) {
 	t.Helper()
 	began := time.Now()
-	for _, front := range d.gateways {
+	for _, gateway := range d.gateways {
 		for got := 0; got != status; time.Sleep(10 * time.Millisecond) {
-			assert.Assert(t, time.Since(began) < within, "%s answers %d, not %d, to %s", front, got, status, key)
-			got = d.requestWithKey(front, key)
+			assert.Assert(t, time.Since(began) < timeout, "%s answers %d, not %d, to %s", gateway, got, status, key)
+			got = d.requestWithKey(gateway, key)
 		}
 	}
 }
 
-// A store that comes back from an older copy holds a key that was taken away, and
-// not yet the configuration without it. Gateways that knew go on refusing the key;
-// one that starts in between learns from them.
+// Guards against a store rollback that restores a revoked key: gateways that applied the
+// revocation must keep rejecting the key, and one that starts after the rollback must
+// get the revocation from them.
 func TestRevokedKeyAfterStoreRollback(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -66,11 +67,11 @@
 	}
 	d.configureKey(2, "before")
 	d.awaitStatus(t, "before", http.StatusOK, 10*time.Second)
-	copied := d.store.Copy()
+	backup := d.store.Copy()
 	d.configureKey(3, "after")
 	d.awaitStatus(t, "after", http.StatusOK, 5*time.Second)
 	d.awaitStatus(t, "before", http.StatusUnauthorized, 5*time.Second)
-	d.store.GoBack(copied)
+	d.store.GoBack(backup)
 	for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) {
 		status := d.requestWithKey(d.gateways[0], "before")
 		assert.Assert(t, status == http.StatusUnauthorized || status == http.StatusServiceUnavailable, "status %d", status)
@@ -82,20 +83,20 @@
 	d.awaitStatus(t, "after", http.StatusOK, 5*time.Second)
 }
 
-// The same with a version of weights: a gateway that starts in between brings no
-// older one back.
+// Guards against a store rollback that restores an older named version: a gateway that
+// starts after it must not cause engines to load that version.
 func TestNamedVersionAfterStoreRollback(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
 		b.engine.Hold(1)
 	}
-	copied := d.store.Copy()
+	backup := d.store.Copy()
 	d.nameVersion(2)
 	for began := time.Now(); d.boxes[0].engine.State().Version != 2 || d.boxes[1].engine.State().Version != 2; time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 15*time.Second, "version 2 does not come")
+		assert.Assert(t, time.Since(began) < 15*time.Second, "version 2 is not loaded")
 	}
-	d.store.GoBack(copied)
+	d.store.GoBack(backup)
 	time.Sleep(time.Second)
 	d.startGateway(t)
 	d.sendRequestsFor(4 * time.Second)
@@ -107,11 +108,12 @@
 	}
 }
 
-// gatewaysEnv chooses how many gateways the test of calls starts.
+// gatewaysEnv is the environment variable that overrides the number of gateways of
+// TestStoreCallsAfterRollback.
 const gatewaysEnv = "RETURN_GATEWAYS"
 
-// The return costs each gateway a few calls, spread, and no gateway reads anew for
-// ever since another one once knew a higher offset.
+// Guards against a burst of store calls after a store rollback, and against gateways
+// that repeat reads forever because others have read a higher offset before it.
 func TestStoreCallsAfterRollback(t *testing.T) {
 	t.Parallel()
 	gateways := 5
@@ -126,29 +128,29 @@
 		d.startGateway(t)
 	}
 	d.awaitStatus(t, "", http.StatusOK, 20*time.Second)
-	copied := d.store.Copy()
+	backup := d.store.Copy()
 	for n := range 20 {
 		d.store.Put(storetest.Operator, "other", strconv.Itoa(n))
 		d.store.Put(storetest.Endpoints, "gone", "")
 	}
 	time.Sleep(4 * time.Second)
-	calls := func(long time.Duration) (operator, list int) {
+	calls := func(duration time.Duration) (operator, list int) {
 		operator, list = d.store.CallsFor(storetest.Operator), d.store.CallsFor(storetest.Endpoints)
-		time.Sleep(long)
+		time.Sleep(duration)
 		return d.store.CallsFor(storetest.Operator) - operator, d.store.CallsFor(storetest.Endpoints) - list
 	}
-	operatorCalm, listCalm := calls(4 * time.Second)
-	d.store.GoBack(copied)
-	operatorBack, listBack := calls(2 * time.Second)
+	operatorBefore, listBefore := calls(4 * time.Second)
+	d.store.GoBack(backup)
+	operatorFirst, listFirst := calls(2 * time.Second)
 	time.Sleep(4 * time.Second)
 	operatorAfter, listAfter := calls(4 * time.Second)
 	t.Logf("%d gateways, calls for operator's records, and for the list: 4 s before %d, %d; first 2 s %d, %d; 6 to 10 s after %d, %d",
-		gateways, operatorCalm, listCalm, operatorBack, listBack, operatorAfter, listAfter)
-	assert.Assert(t, operatorBack <= operatorCalm/2+3*gateways && listBack <= listCalm/2+3*gateways, "calls in the first 2 s")
-	assert.Assert(t, operatorAfter <= operatorCalm+gateways && listAfter <= listCalm+gateways, "calls later")
+		gateways, operatorBefore, listBefore, operatorFirst, listFirst, operatorAfter, listAfter)
+	assert.Assert(t, operatorFirst <= operatorBefore/2+3*gateways && listFirst <= listBefore/2+3*gateways, "calls in the first 2 s")
+	assert.Assert(t, operatorAfter <= operatorBefore+gateways && listAfter <= listBefore+gateways, "calls later")
 }
 
-// startGateway starts one more gateway.
+// startGateway starts another gateway.
 func (d *weightsDeployment) startGateway(t *testing.T) {
 	t.Helper()
 	ip := fmt.Sprintf("%s.%d", d.network, 1+len(d.gateways))
--- a/cmd/mintlift/taskgroup_test.go
+++ b/cmd/mintlift/taskgroup_test.go
@@ -15,7 +15,8 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// moduleGoroutines returns the goroutines that run code of this module beside the caller's.
+// moduleGoroutines returns the stacks of the goroutines that run code of this module,
+// without the caller's and those of test helpers.
 func moduleGoroutines(t *testing.T) []string {
 	t.Helper()
 	var text strings.Builder
@@ -23,33 +24,32 @@
 	var out []string
 	for _, stack := range strings.Split(text.String(), "\n\n") {
 		own := strings.Contains(stack, "github.com/mintlift/mintlift/")
-		if own && !strings.Contains(stack, "main.left(") && !strings.Contains(stack, "storetest") && !strings.Contains(stack, "_test.go") {
+		if own && !strings.Contains(stack, "main.moduleGoroutines(") && !strings.Contains(stack, "storetest") && !strings.Contains(stack, "_test.go") {
 			out = append(out, stack)
 		}
 	}
 	return out
 }
 
-// A daemon that has ended leaves nothing behind: no goroutine, and each of its
-// addresses can be listened on again. Other tests of the package must not run
-// beside this one.
+// Checks that a closed daemon has no goroutines left, and that its addresses can be
+// bound again. Must not run in parallel with other tests of the package.
 func TestClosedDaemonReleasesResources(t *testing.T) {
 	before := len(moduleGoroutines(t))
 	for range 2 {
 		d := startWeights(t, 1)
 		d.boxes[0].engine.Hold(1)
 		for began := time.Now(); d.request() != 1; time.Sleep(20 * time.Millisecond) {
-			assert.Assert(t, time.Since(began) < 15*time.Second, "it does not serve")
+			assert.Assert(t, time.Since(began) < 15*time.Second, "the gateway does not serve")
 		}
-		d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} }) // a read is under way
+		d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} }) // so that a read is in progress
 		time.Sleep(100 * time.Millisecond)
-		ending, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		began := time.Now()
-		for _, all := range d.daemons {
-			all.close(ending)
+		for _, group := range d.daemons {
+			group.close(ctx)
 		}
 		cancel()
-		assert.Assert(t, time.Since(began) < time.Second, "ended after %s", time.Since(began))
+		assert.Assert(t, time.Since(began) < time.Second, "closed after %s", time.Since(began))
 		var stacks []string
 		for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) {
 			if stacks = moduleGoroutines(t); len(stacks) <= before {
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -24,22 +24,8 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// Seen: an engine answered two requests as version 2 with weights of which at
-// least one chunk was missing, spoilt or of another version.
-//
-// How it came about: the sidecar ordered a newly added engine to take version 2
-// and got no answer. It gave the order up after 2 s, brought the engine to version
-// 3, and laid the chunks of version 4 beside it as they came. Then the engine took
-// the first order: it is carried out when it is, with what lies there by then.
-//
-// Cause: an order without an answer was taken for one that was refused. Nothing
-// tied it to what had been checked, nothing kept the place beside the engine for
-// it, and nobody looked at what the engine had taken, nor asked how it came by a
-// version that nobody was waiting for; gateways sent requests to whatever version
-// it told.
-//
-// Shown by 13 engines of one day that went back to an older version, 2.7 to 11 s
-// after they had been ordered to take it, and by this test.
+// Guards against wrong weights when an engine accepts a start order late: the order has
+// no response, and chunks of other versions are staged before it is carried out.
 func TestStartAcceptedLate(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 4)
@@ -65,8 +51,8 @@
 	d.checkVersions(t, 3)
 }
 
-// A chunk that has turned bad since it was read is taken with the others: its
-// box stood still meanwhile.
+// Guards against a staged chunk that was corrupted between its verification and the
+// load.
 func TestChunkCorruptedAfterRead(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -78,8 +64,8 @@
 	d.checkVersions(t, 3)
 }
 
-// The same when nothing newer is named: the engine says that it holds the
-// version, and takes it only by way of another.
+// Checks a corrupted chunk when no newer version is named: the engine reports the
+// version as loaded, and loads it again only after another version.
 func TestCorruptNewestVersionIsReloaded(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -92,8 +78,8 @@
 	d.checkVersions(t, 2)
 }
 
-// An engine begins anew between the check and the order, and what lay ready is
-// lost with it: the order fits the new life's count.
+// Guards against an engine that restarts between verification and start order and loses
+// the staged chunks, while the order's sequence number fits the new incarnation.
 func TestEngineRestartBeforeStart(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -103,8 +89,8 @@
 	d.checkVersions(t, 2)
 }
 
-// A chunk of an older version is written late, while the newer one is checked
-// and taken, by engines that read at once and by engines that read slowly.
+// Guards against a chunk of an older version that is written while a newer one is
+// verified and loaded, with engines that read all chunks at once or one by one.
 func TestChunkWrittenLate(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 8)
@@ -127,7 +113,8 @@
 	d.checkVersions(t, 3)
 }
 
-// onFirstStart does something when the first start of a version comes to each engine.
+// onFirstStart makes each engine call do before it accepts its first start order for a
+// version.
 func (d *weightsDeployment) onFirstStart(version int, do func(*weightsBox)) {
 	for _, b := range d.boxes {
 		var once sync.Once
@@ -141,22 +128,22 @@
 	}
 }
 
-// weightsModel is small, so that a rollout takes its turns and nothing else.
+// weightsModel is small, so that transfers add little to the time of a rollout.
 var weightsModel = enginetest.Weights{Model: "m", Chunks: 16, ChunkBytes: 4096, Layers: 4}
 
-// weightsDeployment is a gateway before engines with their sidecars.
+// weightsDeployment is a set of gateways, and engines with sidecars, on loopback
+// addresses.
 type weightsDeployment struct {
 	network string // the first three numbers of all addresses
 	store   *storetest.Store
-	// storeAddress is where the store answers, and config its first
-	// configuration.
+	// storeAddress is the IP:PORT of the store, and config its first configuration.
 	storeAddress, config string
 	boxes                []*weightsBox
 	daemons              []*taskGroup
-	gateways             []string // IP:PORT of the gateways' callers' listeners
+	gateways             []string // IP:PORT of the gateways' listeners for callers
 
 	mu sync.Mutex
-	// served counts answers by the version that gave them.
+	// served counts requests by the version that served them; 0 counts the others.
 	served map[int]int
 }
 
@@ -167,8 +154,8 @@
 	address string
 }
 
-// startWeights starts a deployment of so many engines, which hold nothing, on a
-// loopback net of its own.
+// startWeights starts a deployment of one gateway and count engines without weights, on
+// a loopback network of its own.
 func startWeights(t *testing.T, count int) *weightsDeployment {
 	t.Helper()
 	network := fmt.Sprintf("127.78.%d", loopbackNetworks.Add(1))
@@ -188,6 +175,7 @@
 	return d
 }
 
+// startBox starts an engine and its sidecar.
 func (d *weightsDeployment) startBox(t *testing.T, ip, store string) {
 	t.Helper()
 	b := &weightsBox{store: d.store, address: net.JoinHostPort(ip, "8320")}
@@ -198,8 +186,8 @@
 	d.daemons = append(d.daemons, startSidecar(t, ip, store, b.address))
 }
 
-// serveAt serves at an address of the loopback net until the test ends, and
-// returns it.
+// serveAt serves at a loopback address, and returns the address with the actual port.
+// When the test ends it calls end, then closes the server.
 func serveAt(t *testing.T, address string, h http.Handler, end func()) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", address)
@@ -216,7 +204,7 @@
 	return listener.Addr().String()
 }
 
-// writeEntry writes the engine's entry.
+// writeEntry writes the engine's entry in the endpoint list.
 func (b *weightsBox) writeEntry() {
 	state := b.engine.State()
 	entry, err := json.Marshal(map[string]any{
@@ -229,7 +217,7 @@
 	b.store.Put(storetest.Endpoints, "i-"+b.address, string(entry))
 }
 
-// serve is the engine's part towards gateways and its sidecar.
+// serve handles requests of gateways and of the sidecar.
 func (b *weightsBox) serve(w http.ResponseWriter, r *http.Request) {
 	if enginetest.Serves(r) {
 		b.engine.ServeHTTP(w, r)
@@ -248,20 +236,21 @@
 	_, _ = fmt.Fprintf(w, "id: 1\ndata: %d\n\n", version)
 }
 
-// nameVersion names a version.
+// nameVersion writes the operator's record that names a version.
 func (d *weightsDeployment) nameVersion(version int) {
 	d.store.Put(storetest.Operator, "version/m", fmt.Sprintf(`{"model":"m","version":%d}`, version))
 }
 
-// concurrentCallers send requests at the same time.
+// concurrentCallers is the number of callers of sendRequestsFor.
 const concurrentCallers = 8
 
-// sendRequestsFor sends requests for so long.
-func (d *weightsDeployment) sendRequestsFor(long time.Duration) {
+// sendRequestsFor sends requests from concurrentCallers callers for a duration, and
+// counts them in served.
+func (d *weightsDeployment) sendRequestsFor(duration time.Duration) {
 	var group sync.WaitGroup
 	for range concurrentCallers {
 		group.Go(func() {
-			for began := time.Now(); time.Since(began) < long; time.Sleep(10 * time.Millisecond) {
+			for began := time.Now(); time.Since(began) < duration; time.Sleep(10 * time.Millisecond) {
 				version := d.request()
 				d.mu.Lock()
 				d.served[version]++
@@ -272,7 +261,8 @@
 	group.Wait()
 }
 
-// request sends a request, and returns the version that answered it, or 0.
+// request sends a request to a random gateway, and returns the version that served it,
+// or 0 if none did.
 func (d *weightsDeployment) request() int {
 	r, err := http.NewRequest(http.MethodPost, "http://"+d.gateways[rand.IntN(len(d.gateways))]+"/s/x", strings.NewReader("text"))
 	if err != nil {
@@ -296,8 +286,8 @@
 	return version
 }
 
-// checkVersions checks that no token was made with wrong weights, and that the version
-// named last is served.
+// checkVersions checks that no token was computed with wrong weights, and that the
+// newest version has served requests.
 func (d *weightsDeployment) checkVersions(t *testing.T, newest int) {
 	t.Helper()
 	var wrong []string
@@ -305,7 +295,7 @@
 		t.Logf("%s: starts %v", b.address, b.engine.Starts())
 		wrong = append(wrong, b.engine.Wrong()...)
 	}
-	t.Logf("answers by version (0: none): %v", d.served)
+	t.Logf("requests by version (0: not served): %v", d.served)
 	if len(wrong) > 0 {
 		t.Errorf("%d tokens with wrong weights, the first: %s", len(wrong), wrong[0])
 	}
