--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -178,7 +178,7 @@
 	const closeTimeout = 5 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	group.close(ctx)
+	group.closeAll(ctx)
 }
 
 // Guards against trust in a configuration confirmed before a suspension: a request for
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -78,19 +78,19 @@
 	sink := telemetry.NewSink(os.Stdout)
 	defer sink.Close(shutdownMargin / 2)
 	level := telemetry.LogSettings{Level: telemetry.LevelInfo}
-	events := telemetry.Part(telemetry.NewLogger(sink.Rare(), level), component)
+	log := telemetry.Part(telemetry.NewLogger(sink.Rare(), level), component)
 	settings, err := platform.LoadSettings()
 	if err != nil {
-		events.Error(err, "cannot load settings")
+		log.Error(err, "cannot load settings")
 		return err
 	}
 	metrics := telemetry.NewMetrics()
 	p := &platformProcess{
 		settings:   settings,
 		requestLog: telemetry.Part(telemetry.NewLogger(sink, level), component),
-		log:        events,
+		log:        log,
 		metrics:    metrics,
-		watcher:    platform.NewWatcher(platform.NewStore(settings.Store.Address), events, metrics),
+		watcher:    platform.NewWatcher(platform.NewStore(settings.Store.Address), log, metrics),
 	}
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -98,27 +98,27 @@
 	defer cancel()
 	group, err := start(ctx, p)
 	if err != nil {
-		events.Error(err, "start failed")
+		log.Error(err, "start failed")
 		return err
 	}
 	go clock.Watch(ctx, func(suspended time.Duration) {
-		events.Info("resumed after suspension", "suspended_ms", suspended.Milliseconds())
+		log.Info("resumed after suspension", "suspended_ms", suspended.Milliseconds())
 	})
-	events.Info("started", "release", version, "node", settings.Node, "zone", settings.Zone, "ip", settings.IP)
+	log.Info("started", "release", version, "node", settings.Node, "zone", settings.Zone, "ip", settings.IP)
 	for {
 		s := <-signals
 		if s != syscall.SIGHUP {
 			break
 		}
 		// Settings are read at the start only.
-		events.Info("reload signal ignored")
+		log.Info("reload signal ignored")
 	}
 	grace := settings.Grace() - shutdownMargin
-	events.Info("stopping", "grace_ms", grace.Milliseconds())
+	log.Info("stopping", "grace_ms", grace.Milliseconds())
 	stopCtx, cancelStop := context.WithTimeout(context.WithoutCancel(ctx), grace)
 	defer cancelStop()
 	group.stop(stopCtx)
-	events.Info("stopped")
+	log.Info("stopped")
 	return nil
 }
 
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -104,7 +104,7 @@
 	ctx = group.ctx
 	defer func() {
 		if err != nil {
-			group.close(ctx)
+			group.closeAll(ctx)
 		}
 	}()
 	s := p.settings
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -206,7 +206,7 @@
 	ctx = group.ctx
 	defer func() {
 		if err != nil {
-			group.close(ctx)
+			group.closeAll(ctx)
 		}
 	}()
 	s := p.settings
--- a/cmd/mintlift/process_test.go
+++ b/cmd/mintlift/process_test.go
@@ -195,9 +195,9 @@
 	s.listBox(membership.Box{ID: c.Node.Box, Zone: c.Node.AvailabilityZone(), Role: membership.Endpoint, Address: c.PeerListen, State: membership.Live})
 }
 
-// runCLI runs an operator's command at the first gateway, and returns the exit code and
+// runOperatorCommand runs an operator's command at the first gateway, and returns the exit code and
 // the output.
-func (s *system) runCLI(args ...string) (int, string) {
+func (s *system) runOperatorCommand(args ...string) (int, string) {
 	s.t.Helper()
 	args = append(append([]string{"mintlift"}, args...), "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("operator.key"))
 	var out bytes.Buffer
@@ -205,12 +205,12 @@
 	return code, out.String()
 }
 
-// mustRunCLI runs a command until it succeeds, and returns its output. Exit codes other
+// mustRunOperatorCommand runs a command until it succeeds, and returns its output. Exit codes other
 // than exitUnavailable and exitInvalid fail the test.
-func (s *system) mustRunCLI(args ...string) string {
+func (s *system) mustRunOperatorCommand(args ...string) string {
 	s.t.Helper()
 	for {
-		code, out := s.runCLI(args...)
+		code, out := s.runOperatorCommand(args...)
 		if code == exitOK {
 			return out
 		}
@@ -235,10 +235,10 @@
 func (s *system) deploy(version string) {
 	s.t.Helper()
 	var plan struct{ ID string }
-	out := s.mustRunCLI("intent", "create", "draft@"+version, "--workspace", "liceo", "--json")
+	out := s.mustRunOperatorCommand("intent", "create", "draft@"+version, "--workspace", "liceo", "--json")
 	assert.NilError(s.t, json.Unmarshal([]byte(out), &plan), out)
-	s.mustRunCLI("plan", "confirm", plan.ID)
-	s.mustRunCLI("plan", "watch", plan.ID, "--timeout", "60s", "--every", "100ms")
+	s.mustRunOperatorCommand("plan", "confirm", plan.ID)
+	s.mustRunOperatorCommand("plan", "watch", plan.ID, "--timeout", "60s", "--every", "100ms")
 }
 
 // prepare creates the workspace liceo, and waits until all sidecars report their
@@ -246,7 +246,7 @@
 func (s *system) prepare() {
 	s.t.Helper()
 	assert.NilError(s.t, os.WriteFile(s.path("liceo.key"), []byte("workspace-key-liceo-1"), 0o600))
-	s.mustRunCLI("workspaces", "set", "liceo", "--workspace-key-file", s.path("liceo.key"), "--priority", "40")
+	s.mustRunOperatorCommand("workspaces", "set", "liceo", "--workspace-key-file", s.path("liceo.key"), "--priority", "40")
 	api := admin.NewClient(s.gateways[0].AdminListen, testKey, call.Options{})
 	for {
 		boxes, err := api.Boxes(context.Background())
@@ -335,7 +335,7 @@
 func (s *system) testErrors(t *testing.T) {
 	plan := func() string {
 		var p struct{ ID string }
-		out := s.mustRunCLI("intent", "create", "draft@v2", "--workspace", "liceo", "--json")
+		out := s.mustRunOperatorCommand("intent", "create", "draft@v2", "--workspace", "liceo", "--json")
 		assert.NilError(t, json.Unmarshal([]byte(out), &p), out)
 		return p.ID
 	}
@@ -355,7 +355,7 @@
 		{"canceled", exitOK, []string{"plan", "cancel", first}},
 		{"wrong key", exitRefused, []string{"status", "--key-file", s.path("liceo.key")}},
 	} {
-		code, out := s.runCLI(c.args...)
+		code, out := s.runOperatorCommand(c.args...)
 		if c.name == "wrong key" {
 			code, out = runCLI("status", "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("liceo.key"))
 		}
--- a/cmd/mintlift/taskgroup.go
+++ b/cmd/mintlift/taskgroup.go
@@ -34,10 +34,10 @@
 // have been called.
 func (g *taskGroup) spawn(f func()) { g.goroutines.Go(f) }
 
-// addCloser registers a function for close to call, in reverse order of registration.
+// addCloser registers a function for closeAll to call, in reverse order of registration.
 func (g *taskGroup) addCloser(f func()) { g.closers = append(g.closers, f) }
 
-// listen listens on a TCP address; close closes the listener.
+// listen listens on a TCP address; closeAll closes the listener.
 func (g *taskGroup) listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err == nil {
@@ -46,23 +46,23 @@
 	return listener, err
 }
 
-// serve serves on a listener in a goroutine; close closes the server.
+// serve serves on a listener in a goroutine; closeAll closes the server.
 func (g *taskGroup) serve(listener net.Listener, server *http.Server) {
 	g.addCloser(func() { _ = server.Close() })
 	g.spawn(func() { _ = server.Serve(listener) })
 }
 
-// stop drains the daemon, then closes it; ctx limits both.
+// stop drains the daemon, then closes the group; ctx limits both.
 func (g *taskGroup) stop(ctx context.Context) {
 	if g.drain != nil {
 		g.drain(ctx)
 	}
-	g.close(ctx)
+	g.closeAll(ctx)
 }
 
-// close cancels the context, calls the closers and waits until all goroutines have
+// closeAll cancels the context, calls the closers and waits until all goroutines have
 // returned or ctx is done.
-func (g *taskGroup) close(ctx context.Context) {
+func (g *taskGroup) closeAll(ctx context.Context) {
 	g.cancel()
 	for n := len(g.closers) - 1; n >= 0; n-- {
 		g.closers[n]()
--- a/cmd/mintlift/taskgroup_test.go
+++ b/cmd/mintlift/taskgroup_test.go
@@ -46,7 +46,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		began := time.Now()
 		for _, group := range d.daemons {
-			group.close(ctx)
+			group.closeAll(ctx)
 		}
 		cancel()
 		assert.Assert(t, time.Since(began) < time.Second, "closed after %s", time.Since(began))
