--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -20,108 +20,100 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// Bounds of a limit that an endpoint names: from contact after it first did so, it
-// gets in any limitWindow at most limitFactor times what it allows, and limitSlack
-// more, from all gateways together.
+// Tolerance for an endpoint's rate limit: from propagationTimeout after its first
+// response with the limit, all gateways together send it at most limitFactor times the
+// allowed requests, plus limitSlack, in any limitWindow.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// Seen: two engines of a zone named a limit of 2 requests a second, and went on
-// getting 3 to 9 a second, 22 in 4 s where 17 were allowed. They turned nothing
-// away.
-//
-// How it came about: an engine in need names its limit in its answers, on each of
-// them. Gateways passed the answers on, and chose by the list of endpoints, the
-// sidecars' reports and what they had in flight.
-//
-// Cause: no part of a gateway read the signal. Shown by the flow, which does not
-// change when the signal comes, at no gateway, and by this test.
+// Guards against gateways that ignore the rate limit in an engine's responses, or that
+// each use the whole of it.
 func TestLimitIsSharedByAllGateways(t *testing.T) {
 	t.Parallel()
-	d, talkers := startTalkers(t, 3, 3)
-	keepsLimit(t, d, talkers[0], enginePath, 2)
+	d, engines := startSignalingEngines(t, 3, 3)
+	checkLimit(t, d, engines[0], enginePath, 2)
 }
 
-// The same at other limits, one of which lets nothing through.
-func TestOtherLimitsAreShared(t *testing.T) {
+// Checks other rates, among them 0, which allows no requests.
+func TestLimitIsSharedAtOtherRates(t *testing.T) {
 	for _, rate := range []float64{0, 0.4, 20} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			t.Parallel()
-			d, talkers := startTalkers(t, 5, 2)
-			keepsLimit(t, d, talkers[0], enginePath, rate)
+			d, engines := startSignalingEngines(t, 5, 2)
+			checkLimit(t, d, engines[0], enginePath, rate)
 		})
 	}
 }
 
-// The same at an endpoint beside which no sidecar is: that of an engine deals its
-// limit out.
-func TestLimitOfAPlainEndpointIsShared(t *testing.T) {
+// Checks an endpoint without a sidecar: the sidecar of an engine allocates the permits
+// for it.
+func TestLimitOfPlainEndpointIsShared(t *testing.T) {
 	t.Parallel()
-	d, _ := startTalkers(t, 3, 2)
-	limited := startPlain(t, d)
-	startPlain(t, d)
-	keepsLimit(t, d, limited, plainPath, 2)
+	d, _ := startSignalingEngines(t, 3, 2)
+	limited := startPlainEndpoint(t, d)
+	startPlainEndpoint(t, d)
+	checkLimit(t, d, limited, plainPath, 2)
 }
 
-// Paths of requests for engines, and for endpoints beside which no sidecar is.
+// Paths of requests for engines, and for endpoints without a sidecar.
 const (
 	enginePath = "/s/x"
 	plainPath  = "/p/x"
 )
 
-// keepsLimit lets an endpoint name a limit under more demand than that, and checks
-// that it is kept, and used.
-func keepsLimit(t *testing.T, d *engines, limited *talker, path string, rate float64) {
+// checkLimit makes an endpoint signal a limit of rate requests per second, sends more
+// than that, and checks that the limit is neither exceeded nor left unused.
+func checkLimit(t *testing.T, d *engineDeployment, limited *signalingEndpoint, path string, rate float64) {
 	t.Helper()
-	named := time.Now()
+	limitSet := time.Now()
 	limited.signals.Limit(rate)
-	asked := d.press(path, contact+2*limitWindow, 25*time.Millisecond)
-	most := mostIn(limited.arrivals(), named.Add(contact), limitWindow)
+	sent := d.sendLoad(path, propagationTimeout+2*limitWindow, 25*time.Millisecond)
+	most := maxInWindow(limited.arrivals(), limitSet.Add(propagationTimeout), limitWindow)
 	allowed := int(limitFactor*rate*limitWindow.Seconds()) + limitSlack
-	demand := mostIn(asked.requests, named.Add(contact), limitWindow)
-	t.Logf("at most %d of %d in %s, allowed %d; %d served", most, demand, limitWindow, allowed, asked.served)
+	demand := maxInWindow(sent.requests, limitSet.Add(propagationTimeout), limitWindow)
+	t.Logf("at most %d of %d in %s, allowed %d; %d served", most, demand, limitWindow, allowed, sent.served)
 	assert.Assert(t, most <= allowed, "%d in %s, allowed %d", most, limitWindow, allowed)
-	// It is not left alone either: the limit is what it takes of all that is asked, if
-	// so much is asked; a process that stands still asks nothing.
+	// The limit must be used, too, as far as there was demand: a stalled test process
+	// sends few requests.
 	least := min(0.5*rate*limitWindow.Seconds(), 0.1*float64(demand))
 	assert.Assert(t, float64(most) >= least, "%d of %d in %s", most, demand, limitWindow)
 }
 
-// press sends a request to each gateway each time that every has passed, for so
-// long, and waits for the answers.
-// It returns what it sent, and how much of it was served.
-func (d *engines) press(path string, long, every time.Duration) (asked pressed) {
-	var answers sync.WaitGroup
+// sendLoad sends a request to each gateway at an interval, for a duration, and waits
+// for the responses.
+func (d *engineDeployment) sendLoad(path string, duration, interval time.Duration) (sent loadResult) {
+	var responses sync.WaitGroup
 	var served atomic.Int64
-	for began, try := time.Now(), 0; time.Since(began) < long; try++ {
+	for began, attempt := time.Now(), 0; time.Since(began) < duration; attempt++ {
 		for n := range d.gateways {
-			answers.Go(func() {
-				if status, _ := d.answerAt(path, n, fmt.Sprint("text-", try)); status == http.StatusOK {
+			responses.Go(func() {
+				if status, _ := d.sendToPath(path, n, fmt.Sprint("text-", attempt)); status == http.StatusOK {
 					served.Add(1)
 				}
 			})
 		}
 		for range d.gateways {
-			asked.requests = append(asked.requests, arrival{at: time.Now()})
+			sent.requests = append(sent.requests, arrival{at: time.Now()})
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	answers.Wait()
-	asked.served = int(served.Load())
-	return asked
+	responses.Wait()
+	sent.served = int(served.Load())
+	return sent
 }
 
-// pressed is what press sent, and how much of it was served.
-type pressed struct {
-	requests []arrival
-	served   int
+// loadResult is the result of sendLoad.
+type loadResult struct {
+	requests []arrival // time of sending only
+	served   int       // responses with status 200
 }
 
-// mostIn returns the most arrivals in any window that begins at from or later.
-func mostIn(arrivals []arrival, from time.Time, window time.Duration) int {
+// maxInWindow returns the maximum number of arrivals in any window that starts with an
+// arrival at from or later. The arrivals are in order of time.
+func maxInWindow(arrivals []arrival, from time.Time, window time.Duration) int {
 	most := 0
 	for n, first := range arrivals {
 		if first.at.Before(from) {
@@ -141,18 +133,19 @@
 // arrival is a request that reached an endpoint.
 type arrival struct {
 	at time.Time
-	// gateway sent it.
+	// gateway is the number of the gateway that sent it.
 	gateway string
-	// status is what it was answered.
+	// status is that of the response.
 	status int
 }
 
-// talker is an endpoint that says something of itself in its answers.
-type talker struct {
-	engines *engines
-	id      string
-	service string
-	address string
+// signalingEndpoint is an endpoint that sends signals in its responses: a rate limit,
+// draining or backoff.
+type signalingEndpoint struct {
+	deployment *engineDeployment
+	id         string
+	service    string
+	address    string
 
 	signals enginetest.Signals
 
@@ -160,67 +153,70 @@
 	seen []arrival
 }
 
-// startTalkers starts gateways and engines that say nothing yet.
-func startTalkers(t *testing.T, gateways, count int) (*engines, []*talker) {
+// startSignalingEngines starts gateways and engines without signals.
+func startSignalingEngines(t *testing.T, gateways, count int) (*engineDeployment, []*signalingEndpoint) {
 	t.Helper()
-	var talkers []*talker
-	d := startEnginesOf(t, gateways, count, func(d *engines, t *testing.T, ip, store string) {
-		talkers = append(talkers, startTalker(t, d, ip, store))
+	var started []*signalingEndpoint
+	d := startEnginesWith(t, gateways, count, func(d *engineDeployment, t *testing.T, ip, store string) {
+		started = append(started, startSignalingEngine(t, d, ip, store))
 	})
-	return d, talkers
+	return d, started
 }
 
-func startTalker(t *testing.T, d *engines, ip, store string) *talker {
+// startSignalingEngine starts an engine without signals, and its sidecar.
+func startSignalingEngine(t *testing.T, d *engineDeployment, ip, store string) *signalingEndpoint {
 	t.Helper()
-	e := listen(t, &talker{engines: d, service: "e", address: net.JoinHostPort(ip, "8320")})
+	e := serveEndpoint(t, &signalingEndpoint{deployment: d, service: "e", address: net.JoinHostPort(ip, "8320")})
 	startSidecar(t, ip, store, e.address)
 	return e
 }
 
-// startPlain starts an endpoint beside which no sidecar is.
-func startPlain(t *testing.T, d *engines) *talker {
+// startPlainEndpoint starts an endpoint without a sidecar.
+func startPlainEndpoint(t *testing.T, d *engineDeployment) *signalingEndpoint {
 	t.Helper()
-	return listen(t, &talker{engines: d, service: "p", address: "127.0.0.1:0"})
+	return serveEndpoint(t, &signalingEndpoint{deployment: d, service: "p", address: "127.0.0.1:0"})
 }
 
-// listen starts a talker that says nothing yet, and lists it.
-func listen(t *testing.T, e *talker) *talker {
+// serveEndpoint starts an endpoint at its address, without signals, and adds it to the
+// endpoint list.
+func serveEndpoint(t *testing.T, e *signalingEndpoint) *signalingEndpoint {
 	t.Helper()
-	e.id = e.engines.newLife()
+	e.id = e.deployment.newIncarnationID()
 	listener, err := net.Listen("tcp4", e.address)
 	assert.NilError(t, err)
 	e.address = listener.Addr().String()
 	server := &http.Server{Handler: e}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	e.list("ready")
+	e.writeEntry("ready")
 	return e
 }
 
-// list writes the endpoint's entry into the list.
-func (e *talker) list(state string) {
+// writeEntry writes the endpoint's entry in the endpoint list.
+func (e *signalingEndpoint) writeEntry(state string) {
 	models := ""
 	if e.service == "e" {
 		models = `,"models":[{"name":"m","version":1,"adapters":[]}]`
 	}
-	e.engines.store.Put(storetest.Endpoints, e.id, fmt.Sprintf(
+	e.deployment.store.Put(storetest.Endpoints, e.id, fmt.Sprintf(
 		`{"service":%q,"address":%q,"zone":"z","version":"v1","slots":16,"state":%q,"cold_remaining_ms":0%s,"sequence":1}`, e.service, e.address, state, models))
 }
 
-func (e *talker) arrivals() []arrival {
+// arrivals returns the requests that arrived so far, in order.
+func (e *signalingEndpoint) arrivals() []arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]arrival(nil), e.seen...)
 }
 
-// ServeHTTP implements http.Handler. What the engine says stands in answers to
-// callers' requests alone, not in its report.
-func (e *talker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP implements http.Handler. The signals are in responses to callers' requests
+// only, not in the engine's report.
+func (e *signalingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/report" {
 		_, _ = io.WriteString(w, `{"stage":"unified","models":[{"name":"m","version":1,"adapters":[]}],"busy":false,"sequence":1,"queued":0,"running":0}`)
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // a caller that leaves ends the answer too
+	_, _ = io.Copy(io.Discard, r.Body) // an aborted request ends the response, too
 	id := r.Header.Get(platform.Headers().RequestID)
 	h := w.Header()
 	h.Set(platform.Headers().RequestID, id)
@@ -230,7 +226,7 @@
 		status = http.StatusServiceUnavailable
 	}
 	e.mu.Lock()
-	e.seen = append(e.seen, arrival{at: time.Now(), gateway: gatewayOf(id), status: status})
+	e.seen = append(e.seen, arrival{at: time.Now(), gateway: gatewayFromID(id), status: status})
 	e.mu.Unlock()
 	if status != http.StatusOK {
 		h.Set(platform.Headers().NotRun, "1")
@@ -242,8 +238,9 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: token\n\n")
 }
 
-// gatewayOf returns the gateway to which engines.try sent the request of an id.
-func gatewayOf(id string) string {
+// gatewayFromID returns the number of the gateway from a request ID that
+// engineDeployment.sendToPath made.
+func gatewayFromID(id string) string {
 	parts := strings.SplitN(id, "-", 3)
 	return parts[1]
 }
--- a/cmd/mintlift/plans.go
+++ b/cmd/mintlift/plans.go
@@ -23,65 +23,65 @@
 func intentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "intent",
-		Usage: "say what should serve whom; the answer is a plan",
+		Usage: "request that a version serve workspaces; the result is a plan",
 		Commands: []*cli.Command{
 			{
-				Name: "create", Usage: "ask for a plan; nothing moves before it is confirmed", ArgsUsage: "MODEL@VERSION",
+				Name: "create", Usage: "request a plan; nothing changes until it is confirmed", ArgsUsage: "MODEL@VERSION",
 				Description: "Example: mintlift intent create celeste-draft@v7 --workspace liceo-salto --zone salto",
 				Flags: clientFlags(
-					&cli.StringSliceFlag{Name: "workspace", Usage: "workspace to serve; may be given again", Required: true},
-					&cli.StringSliceFlag{Name: "zone", Usage: "availability zone; may be given again; none means all"},
-					&cli.StringSliceFlag{Name: "box", Usage: "box; may be given again; none means all"},
+					&cli.StringSliceFlag{Name: "workspace", Usage: "workspace to serve; repeatable", Required: true},
+					&cli.StringSliceFlag{Name: "zone", Usage: "availability zone; repeatable; default all"},
+					&cli.StringSliceFlag{Name: "box", Usage: "box; repeatable; default all"},
 					&cli.IntFlag{Name: "replicas", Usage: "number of boxes, 0 for all that match"},
-					&cli.IntFlag{Name: "priority", Usage: "override the workspaces' own priority"},
-					&cli.StringFlag{Name: "weighing", Usage: "time_to_replicas or origin_bytes; empty for the deployment's"},
+					&cli.IntFlag{Name: "priority", Usage: "override the workspaces' priority"},
+					&cli.StringFlag{Name: "weighing", Usage: "time_to_replicas or origin_bytes; default is the deployment's setting"},
 				),
-				Action: action(createIntent),
+				Action: clientAction(createIntent),
 			},
-			{Name: "list", Usage: "list the intents and their plans", Flags: clientFlags(), Action: action(listPlans)},
+			{Name: "list", Usage: "list the intents and their plans", Flags: clientFlags(), Action: clientAction(listPlans)},
 			{
-				Name: "show", Usage: "show the plan that answers an intent", ArgsUsage: "INTENT", Flags: clientFlags(),
-				Action: action(showIntent),
+				Name: "show", Usage: "show the plan of an intent", ArgsUsage: "INTENT", Flags: clientFlags(),
+				Action: clientAction(showIntent),
 			},
 		},
 	}
 }
 
 func planCommand() *cli.Command {
-	one := func(do func(*admin.Client, context.Context, string) (*intent.Plan, error)) cli.ActionFunc {
-		return action(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
-			id, err := arg(c, "plan")
+	planAction := func(call func(*admin.Client, context.Context, string) (*intent.Plan, error)) cli.ActionFunc {
+		return clientAction(func(ctx context.Context, c *cli.Command, api *admin.Client) error {
+			id, err := singleArg(c, "plan")
 			if err != nil {
 				return err
 			}
-			p, err := do(api, ctx, id)
+			p, err := call(api, ctx, id)
 			if err != nil {
 				return err
 			}
-			return showPlan(c, p)
+			return printPlan(c, p)
 		})
 	}
 	return &cli.Command{
 		Name:  "plan",
-		Usage: "look at plans, confirm and watch them",
+		Usage: "show, confirm, end and watch plans",
 		Commands: []*cli.Command{
-			{Name: "list", Usage: "list the plans", Flags: clientFlags(), Action: action(listPlans)},
-			{Name: "show", Usage: "show a plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Plan)},
-			{Name: "confirm", Usage: "put a plan in force", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Confirm)},
-			{Name: "reject", Usage: "end a proposed plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Reject)},
-			{Name: "cancel", Usage: "take a confirmed plan back; the one before it is in force again", ArgsUsage: "PLAN", Flags: clientFlags(), Action: one((*admin.Client).Cancel)},
+			{Name: "list", Usage: "list the plans", Flags: clientFlags(), Action: clientAction(listPlans)},
+			{Name: "show", Usage: "show a plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Plan)},
+			{Name: "confirm", Usage: "confirm a proposed plan, so that it is carried out", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Confirm)},
+			{Name: "reject", Usage: "reject a proposed plan", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Reject)},
+			{Name: "cancel", Usage: "cancel a confirmed plan; the one before it takes effect again", ArgsUsage: "PLAN", Flags: clientFlags(), Action: planAction((*admin.Client).Cancel)},
 			{
 				Name: "watch", Usage: "show a plan's progress until it is done", ArgsUsage: "PLAN",
 				Description: "Example: mintlift plan watch 5f0c... --timeout 10m",
-				Flags:       clientFlags(&cli.DurationFlag{Name: "timeout", Value: 30 * time.Minute, Usage: "give up after"}, &cli.DurationFlag{Name: "every", Value: time.Second, Usage: "time between two looks"}),
-				Action:      action(watchPlan),
+				Flags:       clientFlags(&cli.DurationFlag{Name: "timeout", Value: 30 * time.Minute, Usage: "maximum time to wait"}, &cli.DurationFlag{Name: "every", Value: time.Second, Usage: "polling interval"}),
+				Action:      clientAction(watchPlan),
 			},
 		},
 	}
 }
 
 func createIntent(ctx context.Context, c *cli.Command, api *admin.Client) error {
-	name, err := arg(c, "model@version")
+	name, err := singleArg(c, "model@version")
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	return showPlan(c, p)
+	return printPlan(c, p)
 }
 
 func listPlans(ctx context.Context, c *cli.Command, api *admin.Client) error {
@@ -109,16 +109,16 @@
 	if err != nil {
 		return err
 	}
-	return show(c, plans, func(w io.Writer) {
-		row(w, "PLAN", "INTENT", "VERSION", "WORKSPACES", "BOXES", "PRIORITY", "STATUS", "REASON")
+	return printResult(c, plans, func(w io.Writer) {
+		printRow(w, "PLAN", "INTENT", "VERSION", "WORKSPACES", "BOXES", "PRIORITY", "STATUS", "REASON")
 		for _, p := range plans {
-			row(w, p.ID, p.Intent.ID, p.Intent.Ref, strings.Join(p.Intent.Workspaces, ","), len(p.Steps), p.Priority, p.Status, p.Reason)
+			printRow(w, p.ID, p.Intent.ID, p.Intent.Ref, strings.Join(p.Intent.Workspaces, ","), len(p.Steps), p.Priority, p.Status, p.Reason)
 		}
 	})
 }
 
 func showIntent(ctx context.Context, c *cli.Command, api *admin.Client) error {
-	id, err := arg(c, "intent")
+	id, err := singleArg(c, "intent")
 	if err != nil {
 		return err
 	}
@@ -128,51 +128,53 @@
 	}
 	for _, p := range slices.Backward(plans) {
 		if p.Intent.ID == id {
-			return showPlan(c, p)
+			return printPlan(c, p)
 		}
 	}
 	return admin.Errorf(admin.CodeNotFound, "intent %q does not exist", id)
 }
 
-func showPlan(c *cli.Command, p *intent.Plan) error {
-	return show(c, p, func(w io.Writer) {
-		row(w, "plan", p.ID)
-		row(w, "status", strings.TrimSpace(string(p.Status)+" "+p.Reason))
-		row(w, "version", p.Intent.Ref)
-		row(w, "manifest", fmt.Sprintf("%.12s", p.ManifestDigest))
-		row(w, "size", fmt.Sprintf("%d bytes in %d chunks", p.Bytes, p.Chunks))
-		row(w, "workspaces", strings.Join(p.Intent.Workspaces, ", "))
-		row(w, "priority", p.Priority)
-		row(w, "made from offset", p.Base)
-		row(w, "expires", time.UnixMilli(p.ExpiresAt).UTC().Format(time.RFC3339))
+func printPlan(c *cli.Command, p *intent.Plan) error {
+	return printResult(c, p, func(w io.Writer) {
+		printRow(w, "plan", p.ID)
+		printRow(w, "status", strings.TrimSpace(string(p.Status)+" "+p.Reason))
+		printRow(w, "version", p.Intent.Ref)
+		printRow(w, "manifest", fmt.Sprintf("%.12s", p.ManifestDigest))
+		printRow(w, "size", fmt.Sprintf("%d bytes in %d chunks", p.Bytes, p.Chunks))
+		printRow(w, "workspaces", strings.Join(p.Intent.Workspaces, ", "))
+		printRow(w, "priority", p.Priority)
+		printRow(w, "made from offset", p.Base)
+		printRow(w, "expires", time.UnixMilli(p.ExpiresAt).UTC().Format(time.RFC3339))
 		for _, f := range p.Forecasts {
 			mark := ""
 			if f.Weighing == p.Weighing {
 				mark = " (chosen)"
 			}
-			row(w, "forecast "+string(f.Weighing), fmt.Sprintf("%v to all replicas, %d bytes from the origin%s", f.TimeToReplicas.Round(time.Millisecond), f.OriginBytes, mark))
+			printRow(w, "forecast "+string(f.Weighing), fmt.Sprintf("%v to all replicas, %d bytes from the origin%s", f.TimeToReplicas.Round(time.Millisecond), f.OriginBytes, mark))
 		}
 		for _, cap := range p.Capacities {
-			row(w, "capacity "+cap.Workspace, fmt.Sprintf("%d boxes now, %d at the lowest, floor %d", cap.Now, cap.Lowest, cap.Floor))
+			printRow(w, "capacity "+cap.Workspace, fmt.Sprintf("%d boxes now, %d at the lowest, floor %d", cap.Now, cap.Lowest, cap.Floor))
 		}
 		for i, s := range p.Steps {
 			evicts := ""
 			for _, e := range s.Evicts {
 				evicts += " evicts " + e.String()
 			}
-			row(w, fmt.Sprintf("box %d", i+1), fmt.Sprintf("%s in %s, first copy from %s, wave %d%s", s.Box, s.Zone, s.Source, s.Wave, evicts))
+			printRow(w, fmt.Sprintf("box %d", i+1), fmt.Sprintf("%s in %s, first copy from %s, wave %d%s", s.Box, s.Zone, s.Source, s.Wave, evicts))
 		}
 	})
 }
 
-// zoneProgress sums the boxes of one availability zone.
+// zoneProgress is the progress of a plan in one availability zone, summed over its
+// boxes.
 type zoneProgress struct {
-	zone                  string
-	boxes, serving, lost  int
-	chunksHeld, chunksAll int
+	zone                        string
+	boxes, serving, unreachable int
+	chunksHeld, chunksAll       int
 }
 
-func byZone(p *admin.Progress) []zoneProgress {
+// progressByZone returns the progress of each zone, sorted by zone.
+func progressByZone(p *admin.Progress) []zoneProgress {
 	sums := make(map[string]*zoneProgress)
 	for _, b := range p.Boxes {
 		zone := b.Step.Zone.String()
@@ -185,7 +187,7 @@
 		z.chunksAll += p.Plan.Chunks
 		z.chunksHeld += b.Copy.Held
 		if !b.Reached {
-			z.lost++
+			z.unreachable++
 		}
 		if b.Copy.State == weights.Serving {
 			z.serving++
@@ -199,7 +201,8 @@
 	return out
 }
 
-func (z zoneProgress) line() string {
+// format returns a progress bar of the chunks held, with the counts of boxes.
+func (z zoneProgress) format() string {
 	const width = 30
 	share := 0.0
 	if z.chunksAll > 0 {
@@ -208,16 +211,16 @@
 	full := int(share * width)
 	bar := strings.Repeat("#", full) + strings.Repeat(".", width-full)
 	text := fmt.Sprintf("%-24s [%s] %3.0f%%  %d/%d serving", z.zone, bar, 100*share, z.serving, z.boxes)
-	if z.lost > 0 {
-		text += fmt.Sprintf(", %d silent", z.lost)
+	if z.unreachable > 0 {
+		text += fmt.Sprintf(", %d silent", z.unreachable)
 	}
 	return text
 }
 
-// watchPlan shows a bar for each zone on a terminal, and a line a look
-// elsewhere.
+// watchPlan prints a plan's progress until the plan is done: on a terminal, a bar
+// for each zone that is updated in place; otherwise one line for each poll.
 func watchPlan(ctx context.Context, c *cli.Command, api *admin.Client) error {
-	id, err := arg(c, "plan")
+	id, err := singleArg(c, "plan")
 	if err != nil {
 		return err
 	}
@@ -249,15 +252,16 @@
 	}
 }
 
+// printProgress prints the progress once and returns the number of lines printed.
 func printProgress(out io.Writer, p *admin.Progress, terminal bool) int {
 	sum := fmt.Sprintf("%d/%d serving, origin %d bytes, peers %d bytes, bad chunks %d", p.Serving, len(p.Boxes), p.OriginBytes, p.PeerBytes, p.BadChunks)
 	if !terminal {
 		fmt.Fprintln(out, sum)
 		return 1
 	}
-	zones := byZone(p)
+	zones := progressByZone(p)
 	for _, z := range zones {
-		fmt.Fprintf(out, "\x1b[2K%s\n", z.line())
+		fmt.Fprintf(out, "\x1b[2K%s\n", z.format())
 	}
 	fmt.Fprintf(out, "\x1b[2K%s\n", sum)
 	return len(zones) + 1
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -26,82 +26,85 @@
 	"github.com/mintlift/mintlift/storewatch"
 )
 
-// gatewayView gives what the store tells to a gateway.
-type gatewayView struct{ *ingress.Server }
+// gatewayOperator passes the operator's records from the store to a gateway's server.
+type gatewayOperator struct{ *ingress.Server }
 
 // Configured implements platform.Operator.
-func (v gatewayView) HandleConfiguration(c *routing.Configuration) { v.Apply(c) }
+func (o gatewayOperator) HandleConfiguration(c *routing.Configuration) { o.Apply(c) }
 
 // Named implements platform.Operator.
-func (v gatewayView) HandleNamedVersion(n platform.NamedVersion, first bool) {
-	v.NameVersion(n.Model, n.Version, first, clock.Now())
+func (o gatewayOperator) HandleNamedVersion(n platform.NamedVersion, first bool) {
+	o.NameVersion(n.Model, n.Version, first, clock.Now())
 }
 
-// sidecarsView gives what sidecars tell to a gateway.
-type sidecarsView struct {
-	ctx     context.Context // of the process
-	server  *ingress.Server
-	watcher *platform.Watcher
-	readers *storerelay.Readers
-	learner *learner
+// reportHandler passes the sidecars' messages to a gateway's server, and what they
+// relay from other gateways to the watcher, readers and recovery.
+type reportHandler struct {
+	ctx      context.Context // canceled when the daemon is closed
+	server   *ingress.Server
+	watcher  *platform.Watcher
+	readers  *storerelay.Readers
+	recovery *recordRecovery
 }
 
 // Heard implements loadreport.Handler.
-func (v sidecarsView) HandleReport(r fleet.Report, e *loadreport.Echo) {
+func (h reportHandler) HandleReport(r fleet.Report, e *loadreport.Echo) {
 	if e == nil {
-		v.server.HandleReport(r, noRoundTrip)
+		h.server.HandleReport(r, noRoundTrip)
 		return
 	}
 	now := clock.Now()
-	v.watcher.ObservePosition(e.Read, now)
-	v.readers.Add(e.Readers, now)
-	v.learner.heard(v.ctx, e, now)
-	v.server.HandleReport(r, e.RoundTrip)
+	h.watcher.ObservePosition(e.Read, now)
+	h.readers.Add(e.Readers, now)
+	h.recovery.handleEcho(h.ctx, e, now)
+	h.server.HandleReport(r, e.RoundTrip)
 }
 
 // HeardSuspects implements loadreport.Handler.
-func (v sidecarsView) HandleSuspects(suspects []quarantine.Record) {
-	v.server.MergeSuspects(suspects, clock.Now())
+func (h reportHandler) HandleSuspects(suspects []quarantine.Record) {
+	h.server.MergeSuspects(suspects, clock.Now())
 }
 
 // Granted implements loadreport.Handler.
-func (v sidecarsView) HandleGrant(g backpressure.Grant) { v.server.HandleGrant(g) }
+func (h reportHandler) HandleGrant(g backpressure.Grant) { h.server.HandleGrant(g) }
 
 // HeardEndpoints implements loadreport.Handler.
-func (v sidecarsView) HandleEndpoints(records []backpressure.Record) {
-	v.server.MergeEndpointSignals(records)
+func (h reportHandler) HandleEndpoints(records []backpressure.Record) {
+	h.server.MergeEndpointSignals(records)
 }
 
-// current reports whether the configuration in force is known to be the
-// newest.
-func current(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
+// configCurrent reports whether the configuration in force is known to be the
+// newest: confirmed within the budget, with no evidence of newer records.
+func configCurrent(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
 	return !p.Behind && !p.Incomplete && !p.Confirmed.IsZero() && budget.Current(p.Age(now))
 }
 
-// noRoundTrip says that a report measured none.
+// noRoundTrip is the round-trip time passed for a report without a measurement.
 const noRoundTrip = time.Duration(-1)
 
-// assumedGateways divides what all gateways may do together; the settings
-// do not tell how many there are.
+// assumedGateways is the number of gateways among which the retry budget is divided
+// at the start; the settings do not contain their number.
 const assumedGateways = 8
 
-// Limits of the callers' server.
+// Timeouts and limits of the server for callers.
 const (
-	headerTimeout  = 10 * time.Second
-	callerIdle     = 2 * time.Minute
-	maxHeaderBytes = 64 << 10
-	// drainLead is how long a stopping gateway takes new requests, until the
-	// platform has seen that it is not ready.
-	drainLead     = 2500 * time.Millisecond
-	maintainEvery = time.Second
+	headerTimeout     = 10 * time.Second
+	callerIdleTimeout = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	// preDrainDelay is how long a stopping gateway still accepts new requests, so that
+	// the platform's readiness probes can fail first.
+	preDrainDelay    = 2500 * time.Millisecond
+	maintainInterval = time.Second
 )
 
-func startPlatformGateway(ctx context.Context, p *platformProcess) (all *running, err error) {
-	all = newRunning(ctx)
-	ctx = all.ctx
+// startPlatformGateway starts a gateway. The caller must stop or close the group. After
+// an error, what was started is closed already.
+func startPlatformGateway(ctx context.Context, p *platformProcess) (group *taskGroup, err error) {
+	group = newTaskGroup(ctx)
+	ctx = group.ctx
 	defer func() {
 		if err != nil {
-			all.end(ctx)
+			group.closeAll(ctx)
 		}
 	}()
 	s := p.settings
@@ -113,61 +116,62 @@
 		DecodeSignal:    platform.DecodeSignal,
 		Budget:          budget,
 		VersionDeadline: s.VersionDeadline(),
-		Current:         func() bool { return current(p.watcher.Progress(), s.ConfigBudget(), clock.Now()) },
+		Current:         func() bool { return configCurrent(p.watcher.Progress(), s.ConfigBudget(), clock.Now()) },
 		ConfigAge:       func() time.Duration { return p.watcher.Progress().Age(clock.Now()) },
-	}, p.requests, p.events, p.metrics)
-	all.onEnd(server.Close)
+	}, p.requestLog, p.log, p.metrics)
+	group.addCloser(server.Close)
 	front, err := tcpconn.Listen(ctx, s.Listen.Front, tcpconn.ProbeLater)
 	if err != nil {
-		return all, errors.Trace(err)
+		return group, errors.Trace(err)
 	}
-	all.onEnd(func() { _ = front.Close() })
-	ready, err := all.listen(s.Listen.Ready)
+	group.addCloser(func() { _ = front.Close() })
+	ready, err := group.listen(s.Listen.Ready)
 	if err != nil {
-		return all, errors.Trace(err)
+		return group, errors.Trace(err)
 	}
-	relays, err := all.listen(s.InternalAddress(s.IP, portRelay))
+	relays, err := group.listen(s.InternalAddress(s.IP, portRelay))
 	if err != nil {
-		return all, errors.Trace(err)
+		return group, errors.Trace(err)
 	}
 	subscriber, err := loadreport.NewSubscriber(s.InternalAddress(s.IP, portSubscribe))
 	if err != nil {
-		return all, err
+		return group, err
 	}
 	probes := http.NewServeMux()
 	probes.HandleFunc("/ready", server.ServeReady)
-	all.serve(server.WatchAccepts(front), &http.Server{
+	group.serve(server.WatchAccepts(front), &http.Server{
 		Handler: server, ConnContext: ingress.ConnContext,
-		ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: maxHeaderBytes,
+		ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	})
-	all.serve(ready, &http.Server{Handler: probes})
-	all.serve(relays, &http.Server{Handler: storerelay.Handler(server, operatorRecords{p.watcher})})
-	p.serveMetrics(all, func(mux *http.ServeMux) { handleClearSuspect(mux, server) })
+	group.serve(ready, &http.Server{Handler: probes})
+	group.serve(relays, &http.Server{Handler: storerelay.Handler(server, operatorRecords{p.watcher})})
+	p.serveMetrics(group, func(mux *http.ServeMux) { handleClearSuspect(mux, server) })
 
-	view := gatewayView{server}
-	readers := storerelay.NewReaders(s.IP, func(ip string) string { return s.InternalAddress(ip, portRelay) }, p.events)
-	all.onEnd(readers.Close)
-	all.onEnd(p.watcher.Close)
-	all.spawn(func() {
-		p.watcher.WatchOperator(ctx, view, relay(storerelay.NewRecordFollower(readers, s.ConfigBudget(), p.events)), s.ConfigBudget())
+	operator := gatewayOperator{server}
+	readers := storerelay.NewReaders(s.IP, func(ip string) string { return s.InternalAddress(ip, portRelay) }, p.log)
+	group.addCloser(readers.Close)
+	group.addCloser(p.watcher.Close)
+	group.spawn(func() {
+		p.watcher.WatchOperator(ctx, operator, recordRelay(storerelay.NewRecordFollower(readers, s.ConfigBudget(), p.log)), s.ConfigBudget())
 	})
-	follower := storerelay.NewFollower(readers, server, s.DrainBudget(), p.events)
-	all.spawn(func() { p.watchEndpoints(ctx, server, follower) })
-	told := func() []loadreport.SubscriptionGroup {
-		return audiences(s, server, knownOf(p.watcher), clock.Now())
+	follower := storerelay.NewFollower(readers, server, s.DrainBudget(), p.log)
+	group.spawn(func() { p.watchEndpoints(ctx, server, follower) })
+	groups := func() []loadreport.SubscriptionGroup {
+		return subscriptionGroups(s, server, operatorProgressOf(p.watcher), clock.Now())
 	}
-	learner := &learner{watcher: p.watcher, operator: view, readers: readers, log: p.events}
-	all.spawn(func() {
-		subscriber.Run(ctx, told, server.NoticeDue(), sidecarsView{ctx, server, p.watcher, readers, learner})
+	recovery := &recordRecovery{watcher: p.watcher, operator: operator, readers: readers, log: p.log}
+	group.spawn(func() {
+		subscriber.Run(ctx, groups, server.NoticeDue(), reportHandler{ctx, server, p.watcher, readers, recovery})
 	})
-	all.spawn(func() { askPermits(ctx, s, server, subscriber) })
-	all.spawn(func() { maintain(ctx, server) })
-	all.drain = func(ending context.Context) { stopGateway(ending, p, server, front) }
-	return all, nil
+	group.spawn(func() { sendPermitRequests(ctx, s, server, subscriber) })
+	group.spawn(func() { maintain(ctx, server) })
+	group.drain = func(ctx context.Context) { drainGateway(ctx, p, server, front) }
+	return group, nil
 }
 
-// askPermits sends what the server asks of sidecars, until ctx ends.
-func askPermits(ctx context.Context, s *platform.Settings, server *ingress.Server, subscriber *loadreport.Subscriber) {
+// sendPermitRequests sends the server's permit requests to the sidecars that
+// allocate the permits, until ctx ends.
+func sendPermitRequests(ctx context.Context, s *platform.Settings, server *ingress.Server, subscriber *loadreport.Subscriber) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -180,25 +184,31 @@
 	}
 }
 
-// maintain lets the server forget what has grown old, until ctx ends.
+// maintain runs the server's periodic maintenance until ctx ends.
 func maintain(ctx context.Context, server *ingress.Server) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, maintainEvery)
+		clock.Sleep(ctx, maintainInterval)
 		server.Maintain(clock.Now())
 	}
 }
 
-// known is how much a gateway knows of what the operator wrote.
-type known struct {
-	read      history.Position
-	knowledge int64
+// operatorProgress is how far a gateway has read the operator's records: the position
+// of the next record and the sum of the versions held.
+type operatorProgress struct {
+	position   history.Position
+	versionSum int64
 }
 
-func knownOf(w *platform.Watcher) known { return known{w.Progress().Read, w.VersionSum()} }
+// operatorProgressOf returns the progress of a watcher.
+func operatorProgressOf(w *platform.Watcher) operatorProgress {
+	return operatorProgress{w.Progress().Read, w.VersionSum()}
+}
 
-// audiences are the sidecars of each service of engines, and what they are
-// told.
-func audiences(s *platform.Settings, server *ingress.Server, k known, now time.Time) []loadreport.SubscriptionGroup {
+// subscriptionGroups returns the sidecars to subscribe to, grouped by the notice that
+// they get. Sidecars that do not have the current weights configuration get it in
+// their notice; those that relay suspects get the suspects. It returns nil without a
+// configuration.
+func subscriptionGroups(s *platform.Settings, server *ingress.Server, progress operatorProgress, now time.Time) []loadreport.SubscriptionGroup {
 	c := server.Configuration()
 	if c == nil {
 		return nil
@@ -209,57 +219,59 @@
 			continue
 		}
 		notice := loadreport.Notice{
-			Model: service.Engine.Model, Region: s.Region, Read: k.read.Offset, Era: k.read.Era, VersionSum: k.knowledge,
-			Demand: math.Round(server.Demand(name, now)), NamedVersions: named(server, service.Engine.Model, now),
+			Model: service.Engine.Model, Region: s.Region, Read: progress.position.Offset, Era: progress.position.Era, VersionSum: progress.versionSum,
+			Demand: math.Round(server.Demand(name, now)), NamedVersions: namedVersions(server, service.Engine.Model, now),
 		}
 		weights, ok := c.Weights(name)
-		knowing, others := server.EngineAddresses(name, weights.Checksum(), now)
-		out = append(out, loadreport.SubscriptionGroup{Sidecars: publishers(s, knowing), Notice: notice})
+		current, outdated := server.EngineAddresses(name, weights.Checksum(), now)
+		out = append(out, loadreport.SubscriptionGroup{Sidecars: publisherAddresses(s, current), Notice: notice})
 		if ok {
 			notice.Weights = &weights
 		}
-		out = append(out, loadreport.SubscriptionGroup{Sidecars: publishers(s, others), Notice: notice})
+		out = append(out, loadreport.SubscriptionGroup{Sidecars: publisherAddresses(s, outdated), Notice: notice})
 	}
 	suspects := server.Suspects(now)
 	if len(suspects) == 0 {
 		return out
 	}
-	return tellSuspects(out, suspects, relaysOf(s, server, c, now))
+	return addSuspects(out, suspects, suspectRelays(s, server, c, now))
 }
 
-// relaysOf are the sidecars that pass on what gateways tell each other.
-func relaysOf(s *platform.Settings, server *ingress.Server, c *routing.Configuration, now time.Time) map[string]bool {
+// suspectRelays returns the addresses of the sidecars that relay suspects between
+// gateways.
+func suspectRelays(s *platform.Settings, server *ingress.Server, c *routing.Configuration, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for name := range c.Services {
-		for _, relay := range publishers(s, server.Relays(name, now)) {
+		for _, relay := range publisherAddresses(s, server.Relays(name, now)) {
 			out[relay] = true
 		}
 	}
 	return out
 }
 
-// tellSuspects divides audiences into the relays, which are told suspects, and
-// the others.
-func tellSuspects(audiences []loadreport.SubscriptionGroup, suspects []quarantine.Record, relays map[string]bool) []loadreport.SubscriptionGroup {
+// addSuspects splits each group into the relays, which get the suspects in their
+// notice, and the other sidecars.
+func addSuspects(groups []loadreport.SubscriptionGroup, suspects []quarantine.Record, relays map[string]bool) []loadreport.SubscriptionGroup {
 	var out []loadreport.SubscriptionGroup
-	for _, a := range audiences {
-		told := loadreport.SubscriptionGroup{Notice: a.Notice}
-		told.Notice.Suspects = suspects
+	for _, a := range groups {
+		relaying := loadreport.SubscriptionGroup{Notice: a.Notice}
+		relaying.Notice.Suspects = suspects
 		rest := loadreport.SubscriptionGroup{Notice: a.Notice}
 		for _, sidecar := range a.Sidecars {
 			if relays[sidecar] {
-				told.Sidecars = append(told.Sidecars, sidecar)
+				relaying.Sidecars = append(relaying.Sidecars, sidecar)
 			} else {
 				rest.Sidecars = append(rest.Sidecars, sidecar)
 			}
 		}
-		out = append(out, told, rest)
+		out = append(out, relaying, rest)
 	}
 	return out
 }
 
-// publishers are the addresses of the sidecars beside engines.
-func publishers(s *platform.Settings, engines []string) []string {
+// publisherAddresses returns the addresses at which the sidecars of engines accept
+// subscriptions.
+func publisherAddresses(s *platform.Settings, engines []string) []string {
 	out := make([]string, len(engines))
 	for i, address := range engines {
 		out[i] = s.InternalAddress(address, portPublish)
@@ -267,63 +279,64 @@
 	return out
 }
 
-// named are the named versions of a model as sidecars are told.
-func named(server *ingress.Server, model string, now time.Time) []loadreport.NamedVersion {
+// namedVersions returns a model's named versions for notices to sidecars.
+func namedVersions(server *ingress.Server, model string, now time.Time) []loadreport.NamedVersion {
 	var out []loadreport.NamedVersion
 	for _, n := range server.NamedVersions(model) {
-		told := loadreport.NamedVersion{Version: n.Version, AgeMS: loadreport.UnknownAge, PastCutoff: n.Overdue(now)}
+		version := loadreport.NamedVersion{Version: n.Version, AgeMS: loadreport.UnknownAge, PastCutoff: n.Overdue(now)}
 		if !n.AgeUnknown {
-			told.AgeMS = now.Sub(n.LearnedAt).Milliseconds()
+			version.AgeMS = now.Sub(n.LearnedAt).Milliseconds()
 		}
-		out = append(out, told)
+		out = append(out, version)
 	}
 	return out
 }
 
-// watchEndpoints reads the list once the configuration, which says how many
-// layers a model has, is known.
+// watchEndpoints follows the endpoint list until ctx ends. It starts once there is a
+// configuration, which contains the models' numbers of layers.
 func (p *platformProcess) watchEndpoints(ctx context.Context, server *ingress.Server, follower *storerelay.Follower) {
-	const look = 20 * time.Millisecond
+	const pollInterval = 20 * time.Millisecond
 	for server.Configuration() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 		}
 	}
 	p.watcher.WatchEndpoints(ctx, server, follower.Poll, func(service string) int {
-		if named := server.Configuration().Services[service]; named != nil && named.Engine != nil {
-			return named.Engine.Layers
+		if s := server.Configuration().Services[service]; s != nil && s.Engine != nil {
+			return s.Engine.Layers
 		}
 		return 0
 	})
 }
 
-// stopGateway lets requests in progress end. Resting connections are left
-// to the end of the process: net/http's Shutdown closes them also while a
-// request on one of them is being read, and so loses the request.
-func stopGateway(ending context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
+// drainGateway makes the gateway unready, stops accepting requests after
+// preDrainDelay and waits until those in progress have ended or ctx is done. Idle
+// connections stay open until the process exits: http.Server.Shutdown may close one
+// while a request on it is being read, which loses the request.
+func drainGateway(ctx context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
 	server.StartStopping()
 	select {
-	case <-time.After(drainLead):
-	case <-ending.Done():
+	case <-time.After(preDrainDelay):
+	case <-ctx.Done():
 	}
 	server.Refuse()
 	_ = front.Close()
-	for quiet := 0; ending.Err() == nil && quiet < quietLooks; quiet++ {
+	for idle := 0; ctx.Err() == nil && idle < idlePolls; idle++ {
 		if server.InFlight() > 0 {
-			quiet = 0
+			idle = 0
 		}
-		time.Sleep(quietLook)
+		time.Sleep(idlePollInterval)
 	}
 	if n := server.InFlight(); n > 0 {
-		p.events.Info("requests cut off at the end of the grace", "in_flight", n)
+		p.log.Info("requests aborted at the end of the grace period", "in_flight", n)
 	}
 }
 
-// A stopping gateway ends once quietLooks looks in a row, quietLook apart,
-// have found no request in progress.
+// A gateway is drained once idlePolls consecutive polls, idlePollInterval apart, have
+// found no request in progress.
 const (
-	quietLook  = 30 * time.Millisecond
-	quietLooks = 8
+	idlePollInterval = 30 * time.Millisecond
+	idlePolls        = 8
 )
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -27,23 +27,23 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// nobody takes what the operator wrote.
-type nobody struct{}
+// discardOperator discards the operator's records.
+type discardOperator struct{}
 
-func (nobody) HandleConfiguration(*routing.Configuration)     {}
-func (nobody) HandleNamedVersion(platform.NamedVersion, bool) {}
+func (discardOperator) HandleConfiguration(*routing.Configuration)     {}
+func (discardOperator) HandleNamedVersion(platform.NamedVersion, bool) {}
 
-// deafGateway takes what sidecars send.
-type deafGateway struct{}
+// discardReports discards the sidecars' messages.
+type discardReports struct{}
 
-func (deafGateway) HandleReport(fleet.Report, *loadreport.Echo) {}
-func (deafGateway) HandleGrant(backpressure.Grant)              {}
-func (deafGateway) HandleEndpoints([]backpressure.Record)       {}
-func (deafGateway) HandleSuspects([]quarantine.Record)          {}
+func (discardReports) HandleReport(fleet.Report, *loadreport.Echo) {}
+func (discardReports) HandleGrant(backpressure.Grant)              {}
+func (discardReports) HandleEndpoints([]backpressure.Record)       {}
+func (discardReports) HandleSuspects([]quarantine.Record)          {}
 
-// A sidecar that gateways speak to reads nothing from the store; one that
-// hears none reads on its own, all once and then what is new.
-func TestSidecarReadsSparingly(t *testing.T) {
+// Checks that a sidecar reads nothing from the store while a gateway sends notices, and
+// otherwise the newest records once and then only new ones.
+func TestSidecarReadsStoreOnlyWithoutGateways(t *testing.T) {
 	var newest, reads atomic.Int32
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/log-newest" {
@@ -63,29 +63,29 @@
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	speaking, silence := context.WithCancel(ctx)
-	audience := loadreport.SubscriptionGroup{Sidecars: []string{"127.0.0.1:17701"}}
-	go subscriber.Run(speaking, func() []loadreport.SubscriptionGroup { return []loadreport.SubscriptionGroup{audience} }, nil, deafGateway{})
+	subscribing, stopNotices := context.WithCancel(ctx)
+	group := loadreport.SubscriptionGroup{Sidecars: []string{"127.0.0.1:17701"}}
+	go subscriber.Run(subscribing, func() []loadreport.SubscriptionGroup { return []loadreport.SubscriptionGroup{group} }, nil, discardReports{})
 	for publisher.LastSubscribed().IsZero() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	p := &platformProcess{
-		events:  logr.Discard(),
+		log:     logr.Discard(),
 		watcher: platform.NewWatcher(platform.NewStore(strings.TrimPrefix(store.URL, "http://")), logr.Discard(), telemetry.NewMetrics()),
 	}
-	go p.watchOperatorSparingly(ctx, nobody{}, publisher)
-	time.Sleep(unheardAfter + unheardMore + time.Second)
+	go p.watchOperatorFallback(ctx, discardOperator{}, publisher)
+	time.Sleep(gatewayTimeout + gatewayTimeoutJitter + time.Second)
 	assert.Equal(t, newest.Load()+reads.Load(), int32(0))
-	silence()
+	stopNotices()
 	for began := time.Now(); reads.Load() < 2; time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 20*time.Second, "it does not read on its own")
+		assert.Assert(t, time.Since(began) < 20*time.Second, "the sidecar does not read the store")
 	}
 	assert.Equal(t, newest.Load(), int32(1))
 }
 
-// A sidecar learns from a gateway all that it needs: how weights come, and
-// the named versions; its reports show that it need not be told again.
-func TestSidecarLearnsFromAGateway(t *testing.T) {
+// Checks that a sidecar gets the weights configuration and the named versions from a
+// gateway, and that the gateway leaves out a configuration that its reports confirm.
+func TestSidecarConfiguredByGateway(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "s", InternalPorts: [2]int{17710, 17720}}
 	c := routing.New(5, nil, []*routing.Service{
 		{Name: "s", Engine: &routing.Engine{Model: "m", Chunks: 4, ChunkBytes: 64, Layers: 2, Slots: 3}},
@@ -101,35 +101,35 @@
 	select {
 	case <-server.NoticeDue():
 	default:
-		t.Fatal("a named version is not told at once")
+		t.Fatal("no notice is due after a version was named")
 	}
 
 	notice := func() loadreport.Notice {
-		for _, a := range audiences(settings, server, known{read: history.Unread}, now) {
-			if len(a.Sidecars) > 0 {
-				assert.DeepEqual(t, a.Sidecars, []string{"127.0.0.1:17711"})
-				return a.Notice
+		for _, g := range subscriptionGroups(settings, server, operatorProgress{position: history.Unread}, now) {
+			if len(g.Sidecars) > 0 {
+				assert.DeepEqual(t, g.Sidecars, []string{"127.0.0.1:17711"})
+				return g.Notice
 			}
 		}
-		t.Fatal("nobody is told")
+		t.Fatal("no sidecar gets a notice")
 		return loadreport.Notice{}
 	}
-	view := &sidecarView{settings: settings}
-	view.installer = installer.New(installer.Settings{Box: "127.0.0.1"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
-	told := notice()
-	assert.DeepEqual(t, told.NamedVersions, []loadreport.NamedVersion{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
-	view.told(told)
+	state := &sidecarState{settings: settings}
+	state.installer = installer.New(installer.Settings{Box: "127.0.0.1"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
+	first := notice()
+	assert.DeepEqual(t, first.NamedVersions, []loadreport.NamedVersion{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
+	state.handleNotice(first)
 	want, _ := c.Weights("s")
-	assert.DeepEqual(t, view.known(), want)
-	assert.Equal(t, view.layers("s"), 2)
-	assert.Equal(t, view.layers("plain"), 0)
+	assert.DeepEqual(t, state.weightsConfig(), want)
+	assert.Equal(t, state.layers("s"), 2)
+	assert.Equal(t, state.layers("plain"), 0)
 
-	server.HandleReport(fleet.Report{Address: "127.0.0.1:9", WeightsChecksum: view.sum()}, -1)
-	assert.Assert(t, notice().Weights == nil, "it knows them")
+	server.HandleReport(fleet.Report{Address: "127.0.0.1:9", WeightsChecksum: state.weightsChecksum()}, -1)
+	assert.Assert(t, notice().Weights == nil, "the sidecar has the weights configuration")
 	newer := routing.New(6, nil, []*routing.Service{{Name: "s", Engine: &routing.Engine{Model: "m", Chunks: 8, ChunkBytes: 64, Layers: 2}}}, nil, routing.Limits{})
 	server.Apply(newer)
-	assert.Equal(t, notice().Weights.Chunks, 8, "they have changed")
-	view.told(notice())
-	view.told(told)
-	assert.Equal(t, view.known().Chunks, 8, "an older gateway's word takes nothing back")
+	assert.Equal(t, notice().Weights.Chunks, 8, "the weights configuration has changed")
+	state.handleNotice(notice())
+	state.handleNotice(first)
+	assert.Equal(t, state.weightsConfig().Chunks, 8, "a notice with an older configuration does not replace a newer one")
 }
