--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package engine is the protocol between a sidecar and the model engine on
-// its box, and a client for it. Callers' requests go through the sidecar
-// unchanged; this package adds the orders: stage, load and unload, each
-// with a fence and the epoch under which the sidecar holds the engine.
+// Package engine defines the control protocol between a sidecar and the model
+// engine on its box, and provides a client for it. The sidecar stages weights in
+// the engine and orders it to load and unload versions. Load and unload orders
+// carry a fence and the epoch of the sidecar's claim on the engine. Requests of
+// callers are not part of this protocol: the sidecar forwards them unchanged.
 package engine
 
 import (
@@ -20,7 +21,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Paths of the engine's API.
+// Paths of the engine's HTTP API.
 const (
 	PathState       = "/control/state"
 	PathClaim       = "/control/claim"
@@ -32,49 +33,53 @@
 
 // Headers of a request to the engine.
 const (
-	// HeaderRequest carries the request's id, and comes back with the answer.
+	// HeaderRequest is the id of the request, which the engine returns in its
+	// response.
 	HeaderRequest = "X-Request-Id"
-	// HeaderVersion names the version that must answer.
+	// HeaderVersion is the model version that must run the request, and in the
+	// response the one that ran it.
 	HeaderVersion = "X-Model-Version"
-	// HeaderWorkspace and HeaderPriority say for whom.
+	// HeaderWorkspace and HeaderPriority are the caller's workspace and its priority.
 	HeaderWorkspace = "X-Workspace"
 	HeaderPriority  = "X-Priority"
-	// HeaderKey carries the key of a request that is not repeatable.
+	// HeaderKey is the idempotency key of a request that must run at most once.
 	HeaderKey = "X-Once-Key"
 )
 
-// Headers of any of an engine's answers by which it speaks of itself, as
-// backpressure.Fields: how many requests a second it takes, that it is about to end,
-// and, with a 503, for how many seconds it wants nothing.
+// Headers of an engine's responses that carry backpressure signals: the rate limit
+// in requests per second, whether the engine is draining, and, with a 503, the
+// seconds to wait before the next request.
 const (
-	HeaderLimit    = "X-Limit-Rate"
-	HeaderDraining = "X-Draining"
-	headerRetry    = "Retry-After"
+	HeaderLimit      = "X-Limit-Rate"
+	HeaderDraining   = "X-Draining"
+	headerRetryAfter = "Retry-After"
 )
 
-// Signal decodes what an answer says of the engine.
+// Signal decodes the backpressure signals of a response from its status and headers.
 func Signal(status int, h http.Header) backpressure.Signal {
-	return backpressure.Fields{Limit: HeaderLimit, Draining: HeaderDraining, RetryAfter: headerRetry}.Decode(status, h)
+	return backpressure.Fields{Limit: HeaderLimit, Draining: HeaderDraining, RetryAfter: headerRetryAfter}.Decode(status, h)
 }
 
-// ErrStale says that the engine has seen a newer holder or fence.
-const ErrStale = errors.ConstError("engine refuses a stale order")
+// ErrStale reports that the engine rejected an order because it has seen a newer
+// epoch or fence.
+const ErrStale = errors.ConstError("engine rejected a stale order")
 
-// Order is a load or an unload.
+// Order is the body of a load or unload request.
 type Order struct {
 	weights.Ref
 	Epoch int64 `json:"epoch"`
 	Fence int64 `json:"fence"`
 }
 
-// Claim is the answer to a claim: the epoch under which the claimer now
-// holds the engine, and the highest fence that the engine has seen.
+// Claim is the response to a claim: the epoch of the claim, and the highest fence
+// that the engine has seen.
 type Claim struct {
 	Epoch int64 `json:"epoch"`
 	Fence int64 `json:"fence"`
 }
 
-// Loaded is a version in the engine's memory.
+// Loaded is a version that the engine has loaded; Bytes is the size of its weights,
+// and Fence that of the order that loaded it.
 type Loaded struct {
 	weights.Ref
 	Bytes          int64          `json:"bytes"`
@@ -82,15 +87,16 @@
 	Fence          int64          `json:"fence"`
 }
 
-// Staged is what the engine holds of a version that it has not loaded yet,
-// or that it can pass on.
+// Staged lists the chunks, by index, that the engine holds of a version, for a load
+// or for other boxes.
 type Staged struct {
 	weights.Ref
 	ManifestDigest weights.Digest `json:"manifest_digest"`
 	Chunks         []int          `json:"chunks"`
 }
 
-// State is what an engine says about itself.
+// State is the state that an engine reports. Epoch and Fence are the newest that it
+// has seen; Running and Waiting count requests.
 type State struct {
 	Epoch        int64    `json:"epoch"`
 	Fence        int64    `json:"fence"`
@@ -103,33 +109,33 @@
 	Staged       []Staged `json:"staged"`
 }
 
-// Client gives orders to one engine.
+// Client is a client for the control API of one engine.
 type Client struct {
 	Call    *call.Client
 	Address string
 }
 
-// State asks the engine about itself.
+// State returns the state of the engine.
 func (c *Client) State(ctx context.Context) (State, error) {
 	var s State
 	err := c.Call.JSON(ctx, http.MethodGet, c.Call.URL(c.Address, PathState), nil, &s)
 	return s, err
 }
 
-// Claim takes hold of the engine: orders under an older epoch are refused
-// from now on by an engine that checks.
+// Claim claims the engine and starts a new epoch. An engine that checks fences
+// rejects orders of older epochs from then on.
 func (c *Client) Claim(ctx context.Context) (Claim, error) {
 	var out Claim
 	err := c.Call.JSON(ctx, http.MethodPost, c.Call.URL(c.Address, PathClaim), nil, &out)
 	return out, err
 }
 
-// Stage prepares the engine's memory for a version's chunks.
+// Stage sends the manifest of a version, so that the engine can receive its chunks.
 func (c *Client) Stage(ctx context.Context, m *weights.Manifest) error {
 	return c.Call.JSON(ctx, http.MethodPut, c.staging(m.Ref, "/manifest"), m, nil)
 }
 
-// Put writes a chunk of size bytes from r into staging.
+// Put stages a chunk of size bytes, read from r.
 func (c *Client) Put(ctx context.Context, ref weights.Ref, chunk int, r io.Reader, size int64) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.staging(ref, fmt.Sprintf("/chunks/%d", chunk)), r)
 	if err != nil {
@@ -147,7 +153,7 @@
 	return nil
 }
 
-// Get opens a staged chunk.
+// Get returns the contents of a staged chunk. The caller must close the reader.
 func (c *Client) Get(ctx context.Context, ref weights.Ref, chunk int) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.staging(ref, fmt.Sprintf("/chunks/%d", chunk)), bytes.NewReader(nil))
 	if err != nil {
@@ -164,15 +170,17 @@
 	return resp.Body, nil
 }
 
-// Drop frees a version's staging.
+// Drop removes the staged chunks of a version.
 func (c *Client) Drop(ctx context.Context, ref weights.Ref) error {
 	return c.Call.JSON(ctx, http.MethodDelete, c.staging(ref, ""), nil, nil)
 }
 
-// Load orders the engine to load what is staged.
+// Load orders the engine to load a staged version. The error has the type ErrStale
+// if the engine rejects the order as stale.
 func (c *Client) Load(ctx context.Context, o Order) error { return c.order(ctx, PathLoad, o) }
 
-// Unload orders the engine to drop a version from its memory.
+// Unload orders the engine to unload a version. The error has the type ErrStale if
+// the engine rejects the order as stale.
 func (c *Client) Unload(ctx context.Context, o Order) error { return c.order(ctx, PathUnload, o) }
 
 func (c *Client) order(ctx context.Context, path string, o Order) error {
@@ -183,6 +191,6 @@
 	return err
 }
 
-func (c *Client) staging(ref weights.Ref, rest string) string {
-	return c.Call.URL(c.Address, "/control/staging/"+ref.Model+"/"+ref.Version+rest)
+func (c *Client) staging(ref weights.Ref, subpath string) string {
+	return c.Call.URL(c.Address, "/control/staging/"+ref.Model+"/"+ref.Version+subpath)
 }
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package eventstream reads server-sent events one at a time, as bytes that
-// can be passed on unaltered.
+// Package eventstream reads server-sent events one at a time and keeps their
+// bytes, so that they can be forwarded unaltered.
 package eventstream
 
 import (
@@ -13,45 +13,46 @@
 	"github.com/juju/errors"
 )
 
-// ErrTorn says that the stream ended within an event.
-const ErrTorn = errors.ConstError("the stream ended within an event")
+// ErrTruncated reports that the stream ended within an event.
+const ErrTruncated = errors.ConstError("the stream ended within an event")
 
-// ErrLarge says that an event is larger than MaxEvent.
-const ErrLarge = errors.ConstError("an event is too large")
+// ErrTooLarge reports that an event exceeds MaxEventBytes.
+const ErrTooLarge = errors.ConstError("an event is too large")
 
-// MaxEvent bounds an event, in bytes.
-const MaxEvent = 1 << 20
+// MaxEventBytes is the maximum size of an event in bytes.
+const MaxEventBytes = 1 << 20
 
 // Event is one event of a stream.
 type Event struct {
-	// Raw are the event's bytes, with the empty line that ends it. They are
-	// valid until the next event is read.
+	// Raw holds the bytes of the event, including the empty line that ends it. It
+	// is valid until the next call of Next.
 	Raw []byte
-	// ID is the event's number; HasID is false if it carries none, or one
-	// that is no number.
+	// ID is the numeric id of the event. HasID is false if the event has no id or
+	// one that is not a number.
 	ID    int64
 	HasID bool
 }
 
-// Reader reads events.
+// Reader reads events from a stream. Use NewReader.
 type Reader struct {
-	in  *bufio.Reader
-	raw []byte
+	input *bufio.Reader
+	raw   []byte
 }
 
-// NewReader returns a Reader of r.
-func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 2<<10)} }
+// NewReader returns a Reader that reads from r.
+func NewReader(r io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(r, 2<<10)} }
 
-// Next returns the next event, io.EOF at the end of the stream, or ErrTorn
-// if the stream ended within an event.
+// Next returns the next event. It returns io.EOF at the end of the stream,
+// ErrTruncated if the stream ended within an event, and ErrTooLarge if the event
+// exceeds MaxEventBytes.
 func (r *Reader) Next() (Event, error) {
 	r.raw = r.raw[:0]
 	var e Event
 	for {
 		start := len(r.raw)
-		if err := r.line(); err != nil {
+		if err := r.readLine(); err != nil {
 			if err == io.EOF && len(r.raw) > 0 {
-				return Event{}, ErrTorn
+				return Event{}, ErrTruncated
 			}
 			return Event{}, err
 		}
@@ -67,13 +68,13 @@
 	}
 }
 
-// line appends one line, with its end, to raw.
-func (r *Reader) line() error {
+// readLine appends one line, including its line ending, to raw.
+func (r *Reader) readLine() error {
 	for {
-		part, err := r.in.ReadSlice('\n')
+		part, err := r.input.ReadSlice('\n')
 		r.raw = append(r.raw, part...)
-		if len(r.raw) > MaxEvent {
-			return ErrLarge
+		if len(r.raw) > MaxEventBytes {
+			return ErrTooLarge
 		}
 		if err == bufio.ErrBufferFull {
 			continue
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -32,22 +32,21 @@
 	assert.DeepEqual(t, ids, []int64{1, 2})
 }
 
-func TestTorn(t *testing.T) {
+func TestTruncatedStream(t *testing.T) {
 	for _, text := range []string{"id: 1\ndata: a\n", "id: 1\ndata", "i"} {
 		_, err := NewReader(strings.NewReader(text)).Next()
-		assert.Equal(t, err, error(ErrTorn), "%q", text)
+		assert.Equal(t, err, error(ErrTruncated), "%q", text)
 	}
 	_, err := NewReader(iotest.ErrReader(io.ErrUnexpectedEOF)).Next()
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 }
 
 func TestLargeEventIsRefused(t *testing.T) {
-	_, err := NewReader(strings.NewReader("data: " + strings.Repeat("x", MaxEvent+10))).Next()
-	assert.Equal(t, err, error(ErrLarge))
+	_, err := NewReader(strings.NewReader("data: " + strings.Repeat("x", MaxEventBytes+10))).Next()
+	assert.Equal(t, err, error(ErrTooLarge))
 }
 
-// What is passed on is always the stream's own bytes, up to the last whole
-// event.
+// The concatenated raw events must be a prefix of the stream.
 func FuzzNext(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n")
 	f.Add("\n\n\r\n:")
@@ -62,7 +61,7 @@
 			raw.Write(e.Raw)
 		}
 		if !strings.HasPrefix(text, raw.String()) {
-			t.Fatalf("%q is no beginning of %q", raw.String(), text)
+			t.Fatalf("%q is not a prefix of %q", raw.String(), text)
 		}
 	})
 }
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package call is the HTTP client of mintlift's processes: go-zero's httpc
-// over one transport whose time-outs and pools are chosen here, with JSON
-// helpers and errors that say whether a request can have been sent.
+// Package call is the HTTP client for calls between mintlift's processes: go-zero's
+// httpc over a transport with its own timeouts and connection pool, with JSON
+// helpers and errors that distinguish requests that were not sent.
 //
-// httpc's breaker is switched off by name: it would refuse by itself, and
-// package route decides who is asked.
+// The circuit breaker of httpc is disabled for each client, since it would reject
+// calls on its own; package route selects the endpoints.
 package call
 
 import (
@@ -28,27 +28,30 @@
 	"github.com/mintlift/mintlift/internal/meter"
 )
 
-// Bounds of the shared transport.
+// Limits of the transport and of bodies that are read whole.
 const (
 	dialTimeout    = 2 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxIdlePerHost = 64
-	// connBuffer is small, because a gateway or a sidecar holds a connection
-	// to hundreds of others.
-	connBuffer      = 8 << 10
-	maxErrorBody    = 64 << 10
-	maxJSONBody     = 64 << 20
-	headerRetry     = "Retry-After"
-	contentTypeJSON = "application/json"
+	// connBufferBytes is the size of each read and write buffer. It is small
+	// because a gateway or a sidecar has connections to hundreds of processes.
+	connBufferBytes   = 8 << 10
+	maxErrorBodyBytes = 64 << 10
+	maxJSONBodyBytes  = 64 << 20
+	headerRetryAfter  = "Retry-After"
+	contentTypeJSON   = "application/json"
 )
 
-// ErrNotSent says that no byte of the request was written.
+// ErrNotSent is the type of errors of requests of which no byte was written.
 const ErrNotSent = errors.ConstError("request was not sent")
 
-// StatusError is an answer with a status of 300 or above.
+// StatusError is a response with a status of 300 or above.
 type StatusError struct {
-	Code       int
-	Body       string
+	Code int
+	// Body is the response body, at most maxErrorBodyBytes of it.
+	Body string
+	// RetryAfter is the value of the Retry-After header; 0 if there is none, or none
+	// in seconds.
 	RetryAfter time.Duration
 }
 
@@ -57,7 +60,7 @@
 	return fmt.Sprintf("status %d: %s", e.Code, strings.TrimSpace(e.Body))
 }
 
-// Status returns the status code that err carries, or 0.
+// Status returns the status code of a StatusError in err's chain, or 0.
 func Status(err error) int {
 	var se *StatusError
 	if errors.As(err, &se) {
@@ -66,7 +69,7 @@
 	return 0
 }
 
-// Client sends requests. Use New.
+// Client sends requests. It is safe for concurrent use. Use New.
 type Client struct {
 	service httpc.Service
 	http    *http.Client
@@ -74,21 +77,23 @@
 	scheme  string
 }
 
-// Options configure a Client. The zero value is a plain client.
+// Options configure a Client. The zero value is a client for plain HTTP without
+// authentication.
 type Options struct {
-	// TLS, when set, is used for https addresses and makes URL say https.
+	// TLS, if set, configures TLS and makes URL return https URLs.
 	TLS *tls.Config
-	// Token, when set, returns the key that authenticates this process.
+	// Token, if set, returns the bearer token that authenticates this process. It is
+	// called for each request.
 	Token func() string
-	// NoReuse opens a connection for each request. The transport of net/http
-	// repeats a request by itself only on a reused connection, so this is
-	// what a request that is not repeatable needs.
+	// NoReuse opens a new connection for each request. net/http's transport retries
+	// a request by itself only on a reused connection, so a client for requests that
+	// are not repeatable needs this option.
 	NoReuse bool
-	// Meter, when set, counts the connections' bytes.
+	// Meter, if set, counts the bytes of the connections.
 	Meter *meter.Meter
 }
 
-// New returns a client whose spans carry name.
+// New returns a client. name is the service name of its trace spans.
 func New(name string, o Options) *Client {
 	tr := &http.Transport{
 		DialContext:         o.Meter.Dial(&net.Dialer{Timeout: dialTimeout}),
@@ -97,8 +102,8 @@
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 		DisableKeepAlives:   o.NoReuse,
-		WriteBufferSize:     connBuffer,
-		ReadBufferSize:      connBuffer,
+		WriteBufferSize:     connBufferBytes,
+		ReadBufferSize:      connBufferBytes,
 	}
 	breaker.NoBreakerFor(name)
 	hc := &http.Client{Transport: tr}
@@ -109,13 +114,13 @@
 	return c
 }
 
-// URL joins an address and a path.
+// URL returns the URL of path at address, a host and port.
 func (c *Client) URL(address, path string) string { return c.scheme + "://" + address + path }
 
-// Do sends r. The caller closes the answer's body. A failure before the
-// first byte has the type ErrNotSent.
+// Do sends r. The caller must close the response body. If the connection could not
+// be established, the error has the type ErrNotSent.
 func (c *Client) Do(r *http.Request) (*http.Response, error) {
-	r.Header.Set("User-Agent", "") // a few bytes less on every call between processes
+	r.Header.Set("User-Agent", "") // omits the header
 	if c.token != nil {
 		r.Header.Set("Authorization", "Bearer "+c.token())
 	}
@@ -130,8 +135,9 @@
 	return nil, err
 }
 
-// JSON sends in (nil for no body) and decodes the answer into out (nil to
-// ignore it).
+// JSON sends in as JSON (nil for no body) and decodes the response, at most
+// maxJSONBodyBytes, into out (nil to discard it). A status of 300 or above is
+// returned as a *StatusError.
 func (c *Client) JSON(ctx context.Context, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -160,14 +166,15 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, maxJSONBody)).Decode(out)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxJSONBodyBytes)).Decode(out)
 }
 
-// ErrNotModified says that what was asked for still has the given tag.
+// ErrNotModified reports that the resource still has the given entity tag.
 const ErrNotModified = errors.ConstError("not modified")
 
-// JSONIfChanged is JSON for a GET that asks only for what does not have the
-// tag any more; it returns the new tag, or ErrNotModified.
+// JSONIfChanged sends a conditional GET and decodes the response into out. It
+// returns the new entity tag, or tag and ErrNotModified if the resource still has
+// it. An empty tag makes the GET unconditional.
 func (c *Client) JSONIfChanged(ctx context.Context, url, tag string, out any) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -187,11 +194,11 @@
 	case resp.StatusCode >= http.StatusMultipleChoices:
 		return "", ReadStatusError(resp)
 	}
-	return resp.Header.Get("ETag"), json.NewDecoder(io.LimitReader(resp.Body, maxJSONBody)).Decode(out)
+	return resp.Header.Get("ETag"), json.NewDecoder(io.LimitReader(resp.Body, maxJSONBodyBytes)).Decode(out)
 }
 
-// Bytes sends a body of b (nil for none) and reads the whole answer, at
-// most limit bytes.
+// Bytes sends b as the body (nil for none) and returns the response body. It reads
+// at most limit+1 bytes, so that a caller can detect a body that exceeds limit.
 func (c *Client) Bytes(ctx context.Context, method, url string, b []byte, limit int64) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(b))
 	if err != nil {
@@ -208,14 +215,15 @@
 	return io.ReadAll(io.LimitReader(resp.Body, limit+1))
 }
 
-// CloseIdle closes connections that carry no request.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
-// ReadStatusError turns an answer with an error status into a StatusError.
+// ReadStatusError reads a response with an error status into a StatusError. The
+// caller must close the response body.
 func ReadStatusError(resp *http.Response) *StatusError {
-	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody)) // a cut body still leaves the status
+	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes)) // a truncated body is acceptable; the status is known
 	e := &StatusError{Code: resp.StatusCode, Body: string(b)}
-	if s, err := strconv.Atoi(resp.Header.Get(headerRetry)); err == nil {
+	if s, err := strconv.Atoi(resp.Header.Get(headerRetryAfter)); err == nil {
 		e.RetryAfter = time.Duration(s) * time.Second
 	}
 	return e
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,17 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clock tells the time by which ages, deadlines and leases are counted,
-// and waits.
+// Package clock provides a clock and timers for ages, deadlines and leases that
+// include the time during which the machine is suspended.
 //
-// Go's own time counts by CLOCK_MONOTONIC, which stands still while the machine
-// is suspended: after the wake all that was known seems too young by that time,
-// and each deadline too far away. Now goes on meanwhile, as CLOCK_BOOTTIME does,
-// and unlike the time of day it is never set. Times of package clock must not be
-// compared with those of package time, nor read as a time of day.
+// Package time measures durations with CLOCK_MONOTONIC, which does not advance
+// while the machine is suspended: after a resume, ages would be too small and
+// deadlines too far away by the length of the suspension. Now includes it, as
+// CLOCK_BOOTTIME does, and is not affected by changes of the wall clock. Times of
+// this package must not be compared with those of package time, nor be used as a
+// time of day.
 //
-// Timers of package time stand still too. Those of this package fire on the
-// wake, if Watch runs; waits that are short beside what must be kept in time
-// need not be of this package.
+// Timers of package time do not advance during a suspension either. Timers of
+// this package that expired meanwhile fire after the resume, if Watch runs.
+// Waits that are short compared with the deadlines at stake may use package time.
 package clock
 
 import (
@@ -24,53 +25,54 @@
 )
 
 const (
-	// lookEvery is the least time between two looks at the system's clocks, each
-	// of which takes three system calls: for so long after a wake the time may
-	// still lack the suspension. Now takes 0.1 us (BenchmarkNow).
-	lookEvery = 2 * time.Millisecond
-	// steadyLook bounds how long a look may take: one that was interrupted
-	// between its readings says nothing.
-	steadyLook = time.Millisecond
-	// firstLooks is how often the clocks are looked at when the process begins,
-	// until a look was not interrupted.
-	firstLooks = 10
-	// shortest is the shortest suspension that is noticed; readings differ by
-	// up to steadyLook without one.
-	shortest = 10 * time.Millisecond
+	// checkInterval is the minimum time between two reads of the system clocks,
+	// each of which takes three system calls. For up to this long after a resume,
+	// Now may not yet include the suspension.
+	checkInterval = 2 * time.Millisecond
+	// maxReadDuration bounds the time between the first and the last system call
+	// of a read; a read that took longer is discarded.
+	maxReadDuration = time.Millisecond
+	// initialAttempts is the number of reads at process start until one completes
+	// within maxReadDuration.
+	initialAttempts = 10
+	// minSuspension is the shortest suspension that is detected. It exceeds
+	// maxReadDuration, the error of a read.
+	minSuspension = 10 * time.Millisecond
 )
 
-// suspension is how long the machine has been suspended since the process began.
-type suspension struct {
+// suspensionTracker measures how long the machine has been suspended since the
+// process started. It is safe for concurrent use.
+type suspensionTracker struct {
 	total atomic.Int64 // ns
-	// looked is when the clocks were looked at last, in ns since began.
-	looked atomic.Int64
-	began  time.Time
-	// lead is by how much CLOCK_BOOTTIME was ahead when the process began.
-	lead time.Duration
+	// checkedNS is the time of the last read of the clocks, in ns since start.
+	checkedNS atomic.Int64
+	start     time.Time
+	// startOffset is CLOCK_BOOTTIME minus CLOCK_MONOTONIC at process start.
+	startOffset time.Duration
 }
 
-var suspended = newSuspension()
+var tracker = newSuspensionTracker()
 
-func newSuspension() *suspension {
-	s := &suspension{began: time.Now()}
-	for range firstLooks {
+func newSuspensionTracker() *suspensionTracker {
+	s := &suspensionTracker{start: time.Now()}
+	for range initialAttempts {
 		var ok bool
-		if s.lead, ok = lead(); ok {
+		if s.startOffset, ok = bootOffset(); ok {
 			break
 		}
 	}
 	return s
 }
 
-// lead reads by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC; ok is false
-// if the readings were too far apart.
-func lead() (ahead time.Duration, ok bool) {
-	before, boot, after := read(unix.CLOCK_MONOTONIC), read(unix.CLOCK_BOOTTIME), read(unix.CLOCK_MONOTONIC)
-	return boot - before, boot != 0 && after-before < steadyLook
+// bootOffset returns CLOCK_BOOTTIME minus CLOCK_MONOTONIC. ok is false if the
+// system has no CLOCK_BOOTTIME or the read took maxReadDuration or longer.
+func bootOffset() (offset time.Duration, ok bool) {
+	before, boot, after := readClock(unix.CLOCK_MONOTONIC), readClock(unix.CLOCK_BOOTTIME), readClock(unix.CLOCK_MONOTONIC)
+	return boot - before, boot != 0 && after-before < maxReadDuration
 }
 
-// read returns a clock of the system; zero if it has none of the kind.
-func read(id int32) time.Duration {
+// readClock returns the value of a system clock, or zero if it cannot be read.
+func readClock(id int32) time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(id, &t) != nil {
 		return 0
@@ -78,52 +80,57 @@
 	return time.Duration(t.Nano())
 }
 
-// at returns the suspension as of the steady time now.
-func (s *suspension) at(now time.Time) time.Duration {
-	since := int64(now.Sub(s.began))
-	last := s.looked.Load()
-	if d := since - last; d >= 0 && d < int64(lookEvery) || !s.looked.CompareAndSwap(last, since) {
+// totalAt returns the total suspension at the time now of package time. It
+// reads the system clocks at most once per checkInterval.
+func (s *suspensionTracker) totalAt(now time.Time) time.Duration {
+	since := int64(now.Sub(s.start))
+	last := s.checkedNS.Load()
+	if d := since - last; d >= 0 && d < int64(checkInterval) || !s.checkedNS.CompareAndSwap(last, since) {
 		return time.Duration(s.total.Load())
 	}
-	if ahead, ok := lead(); ok {
-		s.raise(ahead - s.lead)
+	if offset, ok := bootOffset(); ok {
+		s.advance(offset - s.startOffset)
 	}
 	return time.Duration(s.total.Load())
 }
 
-// raise takes a longer suspension.
-func (s *suspension) raise(total time.Duration) {
+// advance raises the total if it is larger by at least minSuspension. The total
+// never decreases.
+func (s *suspensionTracker) advance(total time.Duration) {
 	for {
 		old := s.total.Load()
-		if total < time.Duration(old)+shortest || s.total.CompareAndSwap(old, int64(total)) {
+		if total < time.Duration(old)+minSuspension || s.total.CompareAndSwap(old, int64(total)) {
 			return
 		}
 	}
 }
 
-// Now returns the time. It goes on while the machine is suspended.
+// Now returns the current time, including the time during which the machine was
+// suspended since the process started.
 func Now() time.Time {
 	now := time.Now()
-	return now.Add(suspended.at(now))
+	return now.Add(tracker.totalAt(now))
 }
 
-// Since is Now less t.
+// Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is t less Now.
+// Until returns the duration until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Steady returns t as a time of package time, for deadlines of connections.
+// ToMonotonic converts t to a time of package time, for deadlines of connections.
 func Steady(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
-// SuspendForTest lets the clock of this package go forward by d until the end of
-// a test, as if the machine had been suspended. No other test may run beside it.
+// SuspendForTest advances the clock of this package by d until the end of a test,
+// as if the machine had been suspended. The test must not run in parallel with
+// others.
 func SuspendForTest(t interface{ Cleanup(func()) }, d time.Duration) {
-	suspended.total.Add(int64(d))
-	t.Cleanup(func() { suspended.total.Add(int64(-d)) })
+	tracker.total.Add(int64(d))
+	t.Cleanup(func() { tracker.total.Add(int64(-d)) })
 }
 
-// Sleep waits for d, or until ctx ends if that is sooner.
+// Sleep waits for d or until ctx is done, whichever comes first. It uses a timer
+// of package time, which does not advance during a suspension.
 func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -131,53 +138,55 @@
 	}
 }
 
-// Timer calls a function at a time of this package.
+// Timer calls a function once Now has reached a given time.
 type Timer struct {
 	at    time.Time
 	timer *time.Timer
 	call  func()
-	// done says that it has fired, or was stopped.
+	// done is set once the timer has fired or was stopped.
 	done atomic.Bool
 }
 
-// timers are those that have not fired, for Watch.
-var timers = struct {
+// pendingTimers holds the timers that have neither fired nor been stopped, for
+// Watch.
+var pendingTimers = struct {
 	sync.Mutex
 	all map[*Timer]struct{}
 }{all: make(map[*Timer]struct{})}
 
-// AfterFunc calls f in a goroutine of its own once Now has reached at.
+// AfterFunc calls f in its own goroutine once Now has reached at.
 func AfterFunc(at time.Time, f func()) *Timer {
 	t := &Timer{at: at, call: f}
-	timers.Lock()
-	defer timers.Unlock()
-	timers.all[t] = struct{}{}
+	pendingTimers.Lock()
+	defer pendingTimers.Unlock()
+	pendingTimers.all[t] = struct{}{}
 	t.timer = time.AfterFunc(Until(at), t.fire)
 	return t
 }
 
 func (t *Timer) fire() {
-	t.forget()
+	t.unregister()
 	if t.done.CompareAndSwap(false, true) {
 		t.call()
 	}
 }
 
-func (t *Timer) forget() {
-	timers.Lock()
-	defer timers.Unlock()
-	delete(timers.all, t)
+func (t *Timer) unregister() {
+	pendingTimers.Lock()
+	defer pendingTimers.Unlock()
+	delete(pendingTimers.all, t)
 }
 
-// Stop keeps the timer from firing, unless it has.
+// Stop prevents the timer from firing. It has no effect if the timer has fired.
 func (t *Timer) Stop() {
-	t.forget()
+	t.unregister()
 	t.timer.Stop()
 	t.done.Store(true)
 }
 
-// WithDeadline returns a context that ends with context.DeadlineExceeded as its
-// cause once Now has reached at.
+// WithDeadline returns a copy of parent that is cancelled once Now has reached at,
+// with context.DeadlineExceeded as its cause. Its Err is context.Canceled. The
+// caller must call the returned function to release the timer.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	timer := AfterFunc(at, func() { cancel(context.DeadlineExceeded) })
@@ -188,51 +197,53 @@
 }
 
 // After returns a channel that is closed once Now has reached at, and a function
-// that gives it up.
+// that stops the timer; the channel is then never closed.
 func After(at time.Time) (due <-chan struct{}, stop func()) {
 	c := make(chan struct{})
 	timer := AfterFunc(at, func() { close(c) })
 	return c, timer.Stop
 }
 
-// watchEvery is how soon after a wake timers fire that were due meanwhile.
-const watchEvery = 50 * time.Millisecond
+// watchInterval is the interval at which Watch checks for a suspension, and so
+// bounds the delay of expired timers after a resume.
+const watchInterval = 50 * time.Millisecond
 
-// Watch fires timers that were due while the machine was suspended, until ctx
-// ends. woken is called after each suspension with its length; it may be nil.
-func Watch(ctx context.Context, woken func(time.Duration)) {
-	ticker := time.NewTicker(watchEvery)
+// Watch fires timers that expired while the machine was suspended, until ctx is
+// done. It calls onResume, if not nil, with the length of each suspension before
+// it fires the timers.
+func Watch(ctx context.Context, onResume func(time.Duration)) {
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	last := suspended.at(time.Now())
+	last := tracker.totalAt(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		total := suspended.at(time.Now())
+		total := tracker.totalAt(time.Now())
 		if total == last {
 			continue
 		}
-		if woken != nil {
-			woken(total - last)
+		if onResume != nil {
+			onResume(total - last)
 		}
 		last = total
 		fireDue()
 	}
 }
 
-// fireDue fires the timers that are due.
+// fireDue fires the timers whose time has been reached, each in its own goroutine.
 func fireDue() {
 	now := Now()
-	timers.Lock()
+	pendingTimers.Lock()
 	var due []*Timer
-	for t := range timers.all {
+	for t := range pendingTimers.all {
 		if !now.Before(t.at) {
 			due = append(due, t)
 		}
 	}
-	timers.Unlock()
+	pendingTimers.Unlock()
 	for _, t := range due {
 		go t.fire()
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,20 +14,20 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNowGoesOnWhileSuspended(t *testing.T) {
-	before, steady := Now(), time.Now()
+func TestNowIncludesSuspension(t *testing.T) {
+	before, systemNow := Now(), time.Now()
 	const suspended = 7 * time.Second
 	SuspendForTest(t, suspended)
 	assert.Assert(t, Since(before) >= suspended)
-	assert.Assert(t, time.Since(steady) < suspended, "Go's own time stands still")
+	assert.Assert(t, time.Since(systemNow) < suspended, "package time must not include the suspension")
 	assert.Assert(t, Until(before) <= -suspended)
 	in := time.Until(Steady(Now().Add(time.Minute)))
 	assert.Assert(t, in > 59*time.Second && in <= time.Minute, "%s", in)
 }
 
-// The clock does not go ahead without a suspension, however often it is read.
-func TestNowIsSteady(t *testing.T) {
-	offset := time.Duration(suspended.total.Load())
+// Without a suspension, Now must agree with package time.
+func TestNowWithoutSuspension(t *testing.T) {
+	offset := time.Duration(tracker.total.Load())
 	for end := time.Now().Add(300 * time.Millisecond); time.Now().Before(end); {
 		before := time.Now()
 		now := Now()
@@ -36,33 +36,32 @@
 	}
 }
 
-// A reading that was interrupted, or differs by a little, moves nothing; a
-// suspension counts once, and is never taken back.
-func TestOnlySuspensionsCount(t *testing.T) {
-	var s suspension
-	s.raise(shortest - 1)
+// Differences below minSuspension are ignored, and the total never decreases.
+func TestAdvanceIgnoresSmallDifferences(t *testing.T) {
+	var s suspensionTracker
+	s.advance(minSuspension - 1)
 	assert.Equal(t, s.total.Load(), int64(0))
-	s.raise(3 * time.Second)
-	s.raise(3*time.Second + shortest/2)
-	s.raise(time.Second)
+	s.advance(3 * time.Second)
+	s.advance(3*time.Second + minSuspension/2)
+	s.advance(time.Second)
 	assert.Equal(t, time.Duration(s.total.Load()), 3*time.Second)
 }
 
-func TestTimersFireOnTheWake(t *testing.T) {
+func TestTimersFireOnResume(t *testing.T) {
 	ctx := t.Context()
-	var woken time.Duration
+	var resumed time.Duration
 	done := make(chan struct{})
 	go Watch(ctx, func(d time.Duration) {
-		woken = d
+		resumed = d
 		close(done)
 	})
-	time.Sleep(2 * watchEvery) // it watches
+	time.Sleep(2 * watchInterval) // until Watch has started
 	deadline, cancel := WithDeadline(ctx, Now().Add(time.Minute))
 	defer cancel()
 	due, _ := After(Now().Add(time.Minute))
 	later, stop := After(Now().Add(time.Hour))
 	defer stop()
-	stopped := AfterFunc(Now().Add(time.Minute), func() { t.Error("it was stopped") })
+	stopped := AfterFunc(Now().Add(time.Minute), func() { t.Error("stopped timer fired") })
 	stopped.Stop()
 	SuspendForTest(t, 2*time.Minute)
 	const soon = 5 * time.Second
@@ -70,19 +69,19 @@
 		select {
 		case <-c:
 		case <-time.After(soon):
-			t.Fatal("it does not fire")
+			t.Fatal("expired timer did not fire after the resume")
 		}
 	}
-	assert.Equal(t, woken, 2*time.Minute)
+	assert.Equal(t, resumed, 2*time.Minute)
 	assert.ErrorIs(t, context.Cause(deadline), context.DeadlineExceeded)
 	select {
 	case <-later:
-		t.Fatal("it is not due")
+		t.Fatal("timer fired an hour early")
 	default:
 	}
 }
 
-func TestTimersFireWithoutASuspension(t *testing.T) {
+func TestTimersFireWithoutSuspension(t *testing.T) {
 	ctx, cancel := WithDeadline(context.Background(), Now().Add(20*time.Millisecond))
 	defer cancel()
 	<-ctx.Done()
@@ -90,19 +89,19 @@
 	ctx, cancel = WithDeadline(context.Background(), Now().Add(time.Minute))
 	cancel()
 	assert.ErrorIs(t, context.Cause(ctx), context.Canceled)
-	timers.Lock()
-	defer timers.Unlock()
-	for timer := range timers.all {
-		assert.Assert(t, timer.at.After(Now().Add(time.Minute)), "a timer that has fired or was stopped is kept")
+	pendingTimers.Lock()
+	defer pendingTimers.Unlock()
+	for timer := range pendingTimers.all {
+		assert.Assert(t, timer.at.After(Now().Add(time.Minute)), "a timer that fired or was stopped is still registered")
 	}
 }
 
-// steadyTime is what reads or waits by Go's own time for a moment of it.
-var steadyTime = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|context\.WithDeadline\(`)
+// systemTime matches calls that use package time for a point in time.
+var systemTime = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|context\.WithDeadline\(`)
 
-// What the daemons on the users' platform hold true for a time is counted by
-// this package.
-func TestTimeIsReadHere(t *testing.T) {
+// The packages of the platform's daemons must take points in time from this
+// package, so that ages and deadlines include suspensions.
+func TestPackagesUseClock(t *testing.T) {
 	for _, pattern := range []string{"ingress/*.go", "fleet/*.go", "loadreport/*.go", "storerelay/*.go", "installer/*.go", "platform/*.go", "upstream/*.go", "quarantine/*.go", "retrybudget/*.go", "freshness/*.go", "routing/*.go", "cmd/mintlift/platform*.go"} {
 		files, err := filepath.Glob(filepath.Join("..", "..", pattern))
 		assert.NilError(t, err)
@@ -114,7 +113,7 @@
 			text, err := os.ReadFile(name)
 			assert.NilError(t, err)
 			for n, line := range strings.Split(string(text), "\n") {
-				assert.Check(t, !steadyTime.MatchString(line), "%s:%d: %s", name, n+1, strings.TrimSpace(line))
+				assert.Check(t, !systemTime.MatchString(line), "%s:%d: %s", name, n+1, strings.TrimSpace(line))
 			}
 		}
 	}
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package hedge makes a call once more beside one whose answer is missing,
-// and takes the answer that comes first. The silent call goes on: it may only
-// be slow, and ending it would throw away what is on its way.
+// Package hedge sends hedged calls: while a call is unanswered, it starts further
+// ones in parallel and returns the first answer. The earlier calls are not
+// cancelled meanwhile, since they may only be slow.
 package hedge
 
 import (
@@ -11,57 +11,63 @@
 	"time"
 )
 
-// Plan says when further calls are made.
+// Plan configures when Do starts further calls.
 type Plan struct {
-	// After is how long the first call may be silent; 0 stands for ever.
+	// Delay is the time from the start of Do to the first further call; 0 starts
+	// none by time.
 	After time.Duration
-	// Interval is the time between two further calls.
+	// Interval is the time between two further calls that are started by time.
 	Interval time.Duration
-	// Most is how many calls may be in progress.
+	// MaxInFlight bounds the calls in flight.
 	Most int
-	// Now makes a further call at once for each value; it may be nil.
+	// Trigger starts a further call at once for each value received; it may be nil.
 	Now <-chan struct{}
-	// Final says that an error is an answer; it may be nil.
+	// IsFinal reports whether an error ends Do although other calls are in flight;
+	// nil means that none does.
 	Final func(error) bool
-	// Hedged, if not nil, is told of each further call: its number, counted from 1.
+	// OnHedge, if not nil, is called before each further call with its number,
+	// counted from 1.
 	Hedged func(call int)
-	// Failed, if not nil, is told of each call that fails while others go on.
+	// OnFailure, if not nil, is called with the error of each call that fails while
+	// others are in flight, unless the error is final.
 	Failed func(err error)
 }
 
-// Call makes the n-th call, counted from 0. It calls begun when the first byte
-// of its answer has come: no further call is made while an answer is coming.
-type Call[T any] func(ctx context.Context, n int, begun func()) (T, error)
+// Call makes the n-th call, counted from 0. It must call firstByte once the first
+// byte of its answer has arrived: Do starts no further call while an answer is
+// being received.
+type Call[T any] func(ctx context.Context, n int, firstByte func()) (T, error)
 
 type result[T any] struct {
 	value T
 	err   error
 }
 
-// Do returns the first answer, or the last error once no call is in progress.
-// The context of the other calls ends as it returns.
+// Do returns the first answer, a final error, or the last error once no call is in
+// flight, or ctx's error. It cancels the context of the remaining calls when it
+// returns.
 func Do[T any](ctx context.Context, p Plan, call Call[T]) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var (
-		results  = make(chan result[T])
-		coming   atomic.Int32 // answers that have begun
-		next     int
-		progress int
+		results   = make(chan result[T])
+		receiving atomic.Int32 // calls whose first byte has arrived
+		next      int
+		inFlight  int
 	)
 	start := func() {
 		n := next
 		next++
-		progress++
+		inFlight++
 		go func() {
-			var begun atomic.Bool
+			var started atomic.Bool
 			value, err := call(ctx, n, func() {
-				if begun.CompareAndSwap(false, true) {
-					coming.Add(1)
+				if started.CompareAndSwap(false, true) {
+					receiving.Add(1)
 				}
 			})
-			if begun.Load() {
-				coming.Add(-1)
+			if started.Load() {
+				receiving.Add(-1)
 			}
 			select {
 			case results <- result[T]{value, err}:
@@ -69,8 +75,8 @@
 			}
 		}()
 	}
-	further := func() {
-		if progress >= p.Most || coming.Load() > 0 {
+	hedge := func() {
+		if inFlight >= p.Most || receiving.Load() > 0 {
 			return
 		}
 		if p.Hedged != nil {
@@ -78,31 +84,31 @@
 		}
 		start()
 	}
-	var silent <-chan time.Time
+	var due <-chan time.Time
 	if p.After > 0 {
 		timer := time.NewTimer(p.After)
 		defer timer.Stop()
-		silent = timer.C
+		due = timer.C
 	}
 	start()
 	for {
 		select {
 		case r := <-results:
-			progress--
-			if r.err == nil || progress == 0 || p.Final != nil && p.Final(r.err) {
+			inFlight--
+			if r.err == nil || inFlight == 0 || p.Final != nil && p.Final(r.err) {
 				return r.value, r.err
 			}
 			if p.Failed != nil {
 				p.Failed(r.err)
 			}
-		case <-silent:
-			further()
-			silent = time.After(p.Interval)
+		case <-due:
+			hedge()
+			due = time.After(p.Interval)
 		case <-p.Now:
-			further()
+			hedge()
 		case <-ctx.Done():
-			var none T
-			return none, ctx.Err()
+			var zero T
+			return zero, ctx.Err()
 		}
 	}
 }
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -18,68 +18,69 @@
 	errFinal = errors.ConstError("final")
 )
 
-// never waits until its context ends.
-func never(ctx context.Context) (int, error) {
+// blockUntilDone returns once ctx is done.
+func blockUntilDone(ctx context.Context) (int, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
 func plan() Plan { return Plan{After: time.Second, Interval: 500 * time.Millisecond, Most: 3} }
 
-// A call that is never answered costs the time until the next one, and no
-// more than Most are in progress.
-func TestSilentCallIsMadeAgainBeside(t *testing.T) {
+// An unanswered call must be hedged after the delay, and no more than MaxInFlight
+// calls may be in flight.
+func TestUnansweredCallIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		var most, now atomic.Int32
+		start := time.Now()
+		var peak, inFlight atomic.Int32
 		got, err := Do(context.Background(), plan(), func(ctx context.Context, n int, _ func()) (int, error) {
 			if n == 1 {
 				return 7, nil
 			}
-			return never(ctx)
+			return blockUntilDone(ctx)
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, got, 7)
-		assert.Equal(t, time.Since(began), time.Second)
+		assert.Equal(t, time.Since(start), time.Second)
 
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
 		_, err = Do(ctx, plan(), func(ctx context.Context, _ int, _ func()) (int, error) {
-			most.Store(max(most.Load(), now.Add(1)))
-			defer now.Add(-1)
-			return never(ctx)
+			peak.Store(max(peak.Load(), inFlight.Add(1)))
+			defer inFlight.Add(-1)
+			return blockUntilDone(ctx)
 		})
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Equal(t, most.Load(), int32(3))
+		assert.Equal(t, peak.Load(), int32(3))
 	})
 }
 
-// A slow answer is had though others were asked for, and none is asked for
-// while it comes.
-func TestSlowAnswerIsTaken(t *testing.T) {
+// The answer of the first call must be returned although others were started, and
+// none may be started while it is being received.
+func TestSlowAnswerIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int32
-		wake := make(chan struct{}, 1)
-		wake <- struct{}{}
+		trigger := make(chan struct{}, 1)
+		trigger <- struct{}{}
 		p := plan()
-		p.Now = wake
-		got, err := Do(context.Background(), p, func(ctx context.Context, n int, begun func()) (int, error) {
+		p.Now = trigger
+		got, err := Do(context.Background(), p, func(ctx context.Context, n int, firstByte func()) (int, error) {
 			calls.Add(1)
 			if n > 0 {
-				return never(ctx)
+				return blockUntilDone(ctx)
 			}
 			time.Sleep(1200 * time.Millisecond)
-			begun()
+			firstByte()
 			time.Sleep(10 * time.Second)
 			return 5, nil
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, got, 5)
-		assert.Equal(t, calls.Load(), int32(3), "one at once, one after a second of silence")
+		assert.Equal(t, calls.Load(), int32(3), "want one hedge by the trigger and one after the delay")
 	})
 }
 
-// An error counts once no other call is in progress, unless it is final.
+// An error must be returned only once no other call is in flight, unless it is
+// final.
 func TestErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var failed []error
@@ -104,7 +105,7 @@
 
 		_, err = Do(context.Background(), p, func(ctx context.Context, n int, _ func()) (int, error) {
 			if n == 0 {
-				return never(ctx)
+				return blockUntilDone(ctx)
 			}
 			return 0, errFinal
 		})
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package invariant holds the checks that tests and the demo share: what
-// must be true of answers, of the endpoints' own journals and of the log,
-// whatever failed on the way.
+// Package invariant provides the invariant checks that tests and the demo share.
+// They apply to answers, to the request journals of the stand-in endpoints and to
+// sequences of fences or offsets, and must hold under any injected fault.
 package invariant
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/mintlift/mintlift/internal/standin"
 )
 
-// Violation says which invariant does not hold, and how that shows.
+// Violation is a violated invariant, by name, with the observation that shows it.
 type Violation struct {
 	Name   string
 	Detail string
@@ -21,7 +21,7 @@
 // String returns the violation as one line.
 func (v Violation) String() string { return v.Name + ": " + v.Detail }
 
-// Names of the invariants.
+// Names of the invariants, as printed with a violation.
 const (
 	WholeAnswer  = "every caller gets the whole answer to its own request, by one version"
 	WholeVersion = "no box serves partial or mixed weights"
@@ -32,8 +32,8 @@
 	NoRevert     = "a configuration in force never reverts"
 )
 
-// Answer checks a streamed or whole answer's text: it must spell out
-// exactly the given number of tokens of this version and request, in order.
+// Answer checks the text of an answer, streamed or not: it must consist of exactly
+// the given number of tokens of this version and request, in order.
 func Answer(text, version, request string, tokens int) []Violation {
 	var want strings.Builder
 	for i := range tokens {
@@ -45,14 +45,14 @@
 	return []Violation{{WholeAnswer, fmt.Sprintf("request %s, version %s: got %.200q", request, version, text)}}
 }
 
-// Journal checks the endpoints' journals: every run by whole weights, and
-// no key twice.
+// Journal checks the requests that the endpoints ran: each must have run on
+// completely loaded weights, and no idempotency key of a workspace more than once.
 func Journal(runs []standin.Run) []Violation {
 	var out []Violation
 	keys := make(map[string]string)
 	for _, r := range runs {
 		if !r.Whole {
-			out = append(out, Violation{WholeVersion, fmt.Sprintf("request %s ran on %s that was not loaded whole", r.Request, r.Version)})
+			out = append(out, Violation{WholeVersion, fmt.Sprintf("request %s ran on %s whose weights were not completely loaded", r.Request, r.Version)})
 		}
 		if r.Key == "" {
 			continue
@@ -66,7 +66,7 @@
 	return out
 }
 
-// NotRun checks that no refused request is in a eventlog.
+// NotRun checks that no request that was refused as not run is among runs.
 func NotRun(refused []string, runs []standin.Run) []Violation {
 	ran := make(map[string]bool, len(runs))
 	for _, r := range runs {
@@ -75,13 +75,14 @@
 	var out []Violation
 	for _, id := range refused {
 		if ran[id] {
-			out = append(out, Violation{TrueNotRun, "request " + id + " was refused as not run and ran"})
+			out = append(out, Violation{TrueNotRun, "request " + id + " was refused as not run but ran"})
 		}
 	}
 	return out
 }
 
-// Origin checks the bytes read from the origin against a budget in copies.
+// Origin checks the bytes that the origin sent against a budget, which is a multiple
+// of size, the size of one copy in bytes.
 func Origin(sent, size int64, budget float64) []Violation {
 	if copies := float64(sent) / float64(size); copies > budget {
 		return []Violation{{OriginBudget, fmt.Sprintf("%.3f copies, budget %.3f", copies, budget)}}
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// Rising checks that a sequence of offsets or fences never falls.
+// NonDecreasing checks that a sequence of offsets or fences never decreases. name is
+// the invariant that a decrease violates.
 func Rising(name string, values []int64) []Violation {
 	for i := 1; i < len(values); i++ {
 		if values[i] < values[i-1] {
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package meter counts the bytes that a process's connections carry, at the
-// socket.
+// Package meter counts the bytes that a process receives and sends on its
+// connections, at the socket: headers and TLS overhead are included.
 package meter
 
 import (
@@ -10,8 +10,8 @@
 	"sync/atomic"
 )
 
-// Meter counts bytes. The zero value is ready for use, and a nil Meter
-// counts nothing.
+// Meter counts bytes. It is safe for concurrent use. The zero value is ready for
+// use; Dial and Listener of a nil Meter count nothing.
 type Meter struct{ in, out atomic.Int64 }
 
 // In returns the bytes received.
@@ -20,7 +20,7 @@
 // Out returns the bytes sent.
 func (m *Meter) Out() int64 { return m.out.Load() }
 
-// Dial returns a dial function whose connections are counted.
+// Dial returns a dial function that uses d and counts the bytes of its connections.
 func (m *Meter) Dial(d *net.Dialer) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, address)
@@ -31,7 +31,7 @@
 	}
 }
 
-// Listener returns ln with its connections counted.
+// Listener returns a listener that counts the bytes of the connections of ln.
 func (m *Meter) Listener(ln net.Listener) net.Listener {
 	if m == nil {
 		return ln
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pace tells a full link, or a store that is away, from a part of the
-// store that is silent: on the former all topics are late.
+// Package pace tracks whether the topics of a store are answered in time. If one
+// topic is unanswered while the others are answered in time, a part of the store
+// is unresponsive; if the others are late, too, the link is saturated or the whole
+// store is unavailable.
 package pace
 
 import (
@@ -10,78 +12,80 @@
 )
 
 const (
-	// promptAnswer is how long after its wait a call that is not late is
-	// answered: a store sixty times as slow as usual takes 240 ms.
-	promptAnswer = 600 * time.Millisecond
-	// lateFor is how long a late answer speaks for a link that is full.
-	lateFor = 3 * time.Second
+	// lateThreshold is the time after the end of its wait from which an
+	// unanswered call is late.
+	lateThreshold = 600 * time.Millisecond
+	// lateTTL is the time for which a topic counts as late after a late answer.
+	lateTTL = 3 * time.Second
 )
 
-// Pace is how promptly the topics of a store are answered. It is safe for
-// concurrent use.
+// Tracker records which topics of a store are answered late. It is safe for
+// concurrent use. Use New.
 type Pace struct {
 	mu     sync.Mutex
-	topics map[string]*topicPace
+	topics map[string]*topicState
 }
 
-// topicPace is how promptly one topic is answered.
-type topicPace struct {
-	due  map[*Call]time.Time // of calls in progress: when they begin to be late
-	late time.Time           // when the last answer came late; zero if it did not
+// topicState holds the calls in flight and the last late answer of one topic.
+type topicState struct {
+	lateAt   map[*Call]time.Time // by call in flight: the time from which it is late
+	lastLate time.Time           // time of the last answer if it was late, else zero
 }
 
-// Call is a call in progress.
+// Call is a call to the store that a Tracker records.
 type Call struct {
-	pace  *Pace
-	topic string
+	tracker *Pace
+	topic   string
 }
 
-// New returns a pace without calls.
-func New() *Pace { return &Pace{topics: make(map[string]*topicPace)} }
+// New returns a Tracker without calls.
+func New() *Pace { return &Pace{topics: make(map[string]*topicState)} }
 
-// Begin notes a call that waits at the store.
+// Begin records the start of a call that the store may answer after wait, as a
+// long poll does. End must follow.
 func (p *Pace) Begin(topic string, wait time.Duration, now time.Time) *Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.topics[topic]
 	if t == nil {
-		t = &topicPace{due: make(map[*Call]time.Time)}
+		t = &topicState{lateAt: make(map[*Call]time.Time)}
 		p.topics[topic] = t
 	}
-	c := &Call{pace: p, topic: topic}
-	t.due[c] = now.Add(wait + promptAnswer)
+	c := &Call{tracker: p, topic: topic}
+	t.lateAt[c] = now.Add(wait + lateThreshold)
 	return c
 }
 
-// Answered notes that the answer has begun.
+// Answered records that the first byte of the answer has arrived at now.
 func (c *Call) Answered(now time.Time) {
-	c.pace.mu.Lock()
-	defer c.pace.mu.Unlock()
-	t := c.pace.topics[c.topic]
-	due, inProgress := t.due[c]
-	if !inProgress {
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
+	t := c.tracker.topics[c.topic]
+	lateAt, inFlight := t.lateAt[c]
+	if !inFlight {
 		return
 	}
-	delete(t.due, c)
-	t.late = time.Time{}
-	if now.After(due) {
-		t.late = now
+	delete(t.lateAt, c)
+	t.lastLate = time.Time{}
+	if now.After(lateAt) {
+		t.lastLate = now
 	}
 }
 
-// End notes that the call has ended; one that had no answer by then and was
-// late counts as such.
+// End records the end of the call. A call that ends unanswered after it has become
+// late counts as a late answer.
 func (c *Call) End(now time.Time) {
-	c.pace.mu.Lock()
-	defer c.pace.mu.Unlock()
-	t := c.pace.topics[c.topic]
-	if due, inProgress := t.due[c]; inProgress && now.After(due) {
-		t.late = now
+	c.tracker.mu.Lock()
+	defer c.tracker.mu.Unlock()
+	t := c.tracker.topics[c.topic]
+	if lateAt, inFlight := t.lateAt[c]; inFlight && now.After(lateAt) {
+		t.lastLate = now
 	}
-	delete(t.due, c)
+	delete(t.lateAt, c)
 }
 
-// OthersLate reports whether a topic other than this one is late.
+// OthersLate reports whether a topic other than the given one is late: it has a
+// late call in flight, or had a late answer within lateTTL.
 func (p *Pace) OthersLate(topic string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,11 +93,11 @@
 		if name == topic {
 			continue
 		}
-		if now.Sub(t.late) < lateFor {
+		if now.Sub(t.lastLate) < lateTTL {
 			return true
 		}
-		for _, due := range t.due {
-			if now.After(due) {
+		for _, lateAt := range t.lateAt {
+			if now.After(lateAt) {
 				return true
 			}
 		}
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package stall ends calls whose answers stop coming. A call over a narrow
-// link may take long and yet come through; one that brings nothing for a
-// while will not, and a bound on the whole of it would throw away what has
-// arrived.
+// Package stall cancels calls whose responses have stalled. A timeout for the whole
+// call would also cancel a slow transfer that makes progress; a Guard limits only
+// the time without a byte.
 package stall
 
 import (
@@ -14,52 +13,54 @@
 	"github.com/juju/errors"
 )
 
-// Err is the cause of a context that a Guard ended.
-const Err = errors.ConstError("no byte came for too long")
+// ErrStalled is the cause of a context that a Guard has cancelled.
+const Err = errors.ConstError("no byte received within the stall timeout")
 
-// Guard ends a context when nothing has come for a limit.
+// Guard cancels a context when no byte has arrived for a time limit. Use New.
 type Guard struct {
 	limit  time.Duration
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// New returns a context that ends, with Err as its cause, when first has
-// passed without a byte, or limit between two. Stop must follow.
+// New returns a context that is cancelled, with ErrStalled as its cause, if the
+// first byte takes longer than first, or any later one longer than limit after the
+// one before. The caller must call Stop.
 func New(ctx context.Context, first, limit time.Duration) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(first, func() { cancel(Err) })
 	return ctx, &Guard{limit: limit, timer: timer, cancel: cancel}
 }
 
-// Alive notes that something came.
-func (g *Guard) Alive() { g.timer.Reset(g.limit) }
+// Progress records that bytes have arrived and restarts the limit.
+func (g *Guard) Progress() { g.timer.Reset(g.limit) }
 
-// Stop ends the guard and its context.
+// Stop stops the guard and cancels its context.
 func (g *Guard) Stop() {
 	g.timer.Stop()
 	g.cancel(nil)
 }
 
-// Reader returns a reader of from whose every byte shows that the call is
-// alive.
-func (g *Guard) Reader(from io.Reader) io.Reader { return &reader{guard: g, from: from} }
+// Reader returns a reader of source that calls Progress for each read that returns
+// bytes.
+func (g *Guard) Reader(source io.Reader) io.Reader { return &reader{guard: g, source: source} }
 
 type reader struct {
-	guard *Guard
-	from  io.Reader
+	guard  *Guard
+	source io.Reader
 }
 
 // Read implements io.Reader.
 func (r *reader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
+	n, err := r.source.Read(b)
 	if n > 0 {
-		r.guard.Alive()
+		r.guard.Progress()
 	}
 	return n, err
 }
 
-// Cause returns Err in the place of err if a Guard ended ctx.
+// Cause returns ErrStalled if err is not nil and a Guard has cancelled ctx, else
+// err.
 func Cause(ctx context.Context, err error) error {
 	if err != nil && errors.Is(context.Cause(ctx), Err) {
 		return Err
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -14,15 +14,15 @@
 
 const limit = 60 * time.Millisecond
 
-func TestSilenceEndsTheContext(t *testing.T) {
+func TestStallCancelsContext(t *testing.T) {
 	ctx, guard := New(context.Background(), limit, time.Hour)
 	defer guard.Stop()
 	<-ctx.Done()
 	assert.Assert(t, errors.Is(Cause(ctx, ctx.Err()), Err))
 }
 
-// What goes on coming is not ended, however long the whole takes.
-func TestSlowAnswerGoesOn(t *testing.T) {
+// A response that makes progress must not be cancelled, however long it takes.
+func TestSlowResponseIsNotCancelled(t *testing.T) {
 	ctx, guard := New(context.Background(), limit, limit)
 	defer guard.Stop()
 	from, to := io.Pipe()
@@ -39,7 +39,7 @@
 	assert.NilError(t, ctx.Err())
 }
 
-func TestStopEndsTheContext(t *testing.T) {
+func TestStopCancelsContext(t *testing.T) {
 	ctx, guard := New(context.Background(), time.Hour, time.Hour)
 	guard.Stop()
 	assert.Assert(t, ctx.Err() != nil)
--- a/internal/tcpconn/tcpconn.go
+++ b/internal/tcpconn/tcpconn.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package tcpconn finds TCP connections that are of no use any more: those
-// whose other side has closed, and those that went silent without a reset,
-// which only a bound or a probe of one's own shows.
+// Package tcpconn detects unusable TCP connections: those that the peer has
+// closed, and those whose peer became unresponsive without a reset, which only
+// timeouts and keep-alive probes reveal.
 package tcpconn
 
 import (
@@ -14,46 +14,49 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of silence.
+// Settings for the detection of unresponsive peers.
 const (
-	// userTimeout bounds how long sent bytes may stay without acknowledgement;
-	// TCP itself would try for minutes, ever less often.
+	// userTimeout bounds how long sent bytes may remain unacknowledged. Without
+	// it, TCP retransmits for minutes with exponential backoff.
 	userTimeout = 1500 * time.Millisecond
-	// probeEvery is the time between two probes of a connection that brings
-	// nothing. Linux counts in whole seconds, and ends a connection with
-	// userTimeout when the probe after an unanswered one is due: silence is
-	// found probeEvery after the first probe.
-	probeEvery = time.Second
-	// probeCount is for systems that do not heed userTimeout.
+	// probeInterval is the interval of keep-alive probes on an idle connection.
+	// Linux counts it in whole seconds, and closes a connection that has a
+	// userTimeout when the probe after an unanswered one is due: an unresponsive
+	// peer is detected probeInterval after the first probe.
+	probeInterval = time.Second
+	// probeCount is the number of unanswered probes that close a connection on
+	// systems without TCP_USER_TIMEOUT.
 	probeCount = 2
 )
 
-// When a connection that has brought nothing is probed first.
+// Idle times before the first keep-alive probe.
 const (
-	// ProbeSoon is for connections on which a process waits for news: silence
-	// is found in 2 s.
+	// ProbeSoon is for connections on which a process waits for updates: an
+	// unresponsive peer is detected within 2 s.
 	ProbeSoon = time.Second
-	// ProbeLater is for connections on which an answer may take its time. On a
-	// link that loses 3 in 100 packets 6 in 100 first probes go unanswered, and
-	// would end a request that its endpoint works on; few wait so long.
+	// ProbeLater is for connections on which a response may take long. On a lossy
+	// link, a lost probe closes the connection of a request in progress; a longer
+	// idle time exposes fewer requests to that.
 	ProbeLater = 2 * time.Second
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
 const tcpUserTimeout = 18
 
 func keepAlive(idle time.Duration) net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: idle, Interval: probeEvery, Count: probeCount}
+	return net.KeepAliveConfig{Enable: true, Idle: idle, Interval: probeInterval, Count: probeCount}
 }
 
-// Dialer returns a dialer of connections that are found when they go silent;
-// timeout bounds the dial, and idle is when they are probed first.
+// Dialer returns a dialer whose connections fail when the peer becomes
+// unresponsive. timeout bounds the dial; idle is the idle time before the first
+// keep-alive probe.
 func Dialer(timeout, idle time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(idle), Control: control}
 }
 
-// Listen listens for connections that are found when they go silent: accepted
-// ones inherit the options of their listener.
+// Listen listens on an IPv4 address. Accepted connections inherit the socket
+// options of the listener and fail when the peer becomes unresponsive; idle is
+// the idle time before the first keep-alive probe.
 func Listen(ctx context.Context, address string, idle time.Duration) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive(idle), Control: control}
 	l, err := config.Listen(ctx, "tcp4", address)
@@ -62,25 +65,25 @@
 
 func control(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// Best effort: without it a silent connection is found by the bounds
-		// of calls.
+		// Best effort: without the option, the timeouts of calls detect an
+		// unresponsive peer.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout/time.Millisecond))
 	})
 }
 
-// state is what a look at a connection's unread bytes shows.
-type state int
+// connState is the state of a connection's receive side, as returned by peek.
+type connState int
 
 const (
-	unknown state = iota // not a TCP connection, or not open here
-	silent               // open, nothing to read
-	pending              // bytes to read
-	closed               // the other side has closed or reset it
+	unknown  connState = iota // not a TCP connection, or not open here
+	idle                      // open, nothing to read
+	readable                  // bytes to read
+	closed                    // the other side has closed or reset it
 )
 
-// peek looks at a connection without reading from it, also while another
-// goroutine waits in Read.
-func peek(c net.Conn) state {
+// peek returns the state of a connection without consuming bytes. It may be
+// called while another goroutine is blocked in Read.
+func peek(c net.Conn) connState {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return unknown
@@ -91,14 +94,14 @@
 	}
 	found := unknown
 	var one [1]byte
-	// Control, unlike Read, does not wait for a reader of the connection.
+	// RawConn.Control, unlike RawConn.Read, does not wait for a concurrent reader.
 	err = raw.Control(func(fd uintptr) {
 		n, _, e := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case e == syscall.EAGAIN:
-			found = silent
+			found = idle
 		case e == nil && n > 0:
-			found = pending
+			found = readable
 		default:
 			found = closed
 		}
@@ -109,12 +112,14 @@
 	return found
 }
 
-// Closed reports whether the other side is known to have closed c: all that
-// it sent before has been read. A look costs one system call.
+// Closed reports whether the peer has closed or reset c and all bytes that it sent
+// before have been read. It makes one system call. It returns false if c is not a
+// TCP connection.
 func Closed(c net.Conn) bool { return peek(c) == closed }
 
-// Quiet reports whether c is open and has brought nothing that is unread.
-func Quiet(c net.Conn) bool {
+// OpenAndIdle reports whether c is open and has no unread bytes. It returns true if
+// c is not a TCP connection.
+func OpenAndIdle(c net.Conn) bool {
 	s := peek(c)
-	return s == silent || s == unknown
+	return s == idle || s == unknown
 }
--- a/internal/tcpconn/tcpconn_test.go
+++ b/internal/tcpconn/tcpconn_test.go
@@ -11,70 +11,69 @@
 	"gotest.tools/v3/assert"
 )
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// pair returns the accepted and the dialed end of a connection.
+func pair(t *testing.T) (local, peer net.Conn) {
 	t.Helper()
 	l, err := Listen(context.Background(), "127.0.0.1:0", ProbeLater)
 	assert.NilError(t, err)
 	defer l.Close()
-	far, err = Dialer(time.Second, ProbeSoon).Dial("tcp4", l.Addr().String())
+	peer, err = Dialer(time.Second, ProbeSoon).Dial("tcp4", l.Addr().String())
 	assert.NilError(t, err)
-	near, err = l.Accept()
+	local, err = l.Accept()
 	assert.NilError(t, err)
-	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	return near, far
+	t.Cleanup(func() { _, _ = local.Close(), peer.Close() })
+	return local, peer
 }
 
-func await(t *testing.T, ok func() bool) {
+func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
-	for began := time.Now(); !ok(); time.Sleep(time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 10*time.Second)
+	for start := time.Now(); !ok(); time.Sleep(time.Millisecond) {
+		assert.Assert(t, time.Since(start) < 10*time.Second)
 	}
 }
 
 func TestOpenConnection(t *testing.T) {
-	near, _ := pair(t)
-	assert.Assert(t, !Closed(near))
-	assert.Assert(t, Quiet(near))
+	local, _ := pair(t)
+	assert.Assert(t, !Closed(local))
+	assert.Assert(t, OpenAndIdle(local))
 }
 
-// A close shows also while another goroutine waits for bytes.
-func TestCloseShowsBesideAReader(t *testing.T) {
-	near, far := pair(t)
+func TestCloseIsDetectedDuringRead(t *testing.T) {
+	local, peer := pair(t)
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
-		_, _ = near.Read(make([]byte, 1))
+		_, _ = local.Read(make([]byte, 1))
 	}()
-	assert.Assert(t, !Closed(near))
-	assert.NilError(t, far.Close())
-	await(t, func() bool { return Closed(near) })
+	assert.Assert(t, !Closed(local))
+	assert.NilError(t, peer.Close())
+	waitFor(t, func() bool { return Closed(local) })
 	<-read
 }
 
-func TestResetShows(t *testing.T) {
-	near, far := pair(t)
-	assert.NilError(t, far.(*net.TCPConn).SetLinger(0))
-	assert.NilError(t, far.Close())
-	await(t, func() bool { return Closed(near) })
+func TestResetIsDetected(t *testing.T) {
+	local, peer := pair(t)
+	assert.NilError(t, peer.(*net.TCPConn).SetLinger(0))
+	assert.NilError(t, peer.Close())
+	waitFor(t, func() bool { return Closed(local) })
 }
 
-// What was sent before a close is still to be read.
-func TestUnreadBytesAreNoClose(t *testing.T) {
-	near, far := pair(t)
-	_, err := far.Write([]byte("x"))
+// Closed must not report a connection that still has unread bytes.
+func TestUnreadBytesHideClose(t *testing.T) {
+	local, peer := pair(t)
+	_, err := peer.Write([]byte("x"))
 	assert.NilError(t, err)
-	assert.NilError(t, far.Close())
-	await(t, func() bool { return !Quiet(near) })
-	assert.Assert(t, !Closed(near))
-	_, err = near.Read(make([]byte, 1))
+	assert.NilError(t, peer.Close())
+	waitFor(t, func() bool { return !OpenAndIdle(local) })
+	assert.Assert(t, !Closed(local))
+	_, err = local.Read(make([]byte, 1))
 	assert.NilError(t, err)
-	await(t, func() bool { return Closed(near) })
+	waitFor(t, func() bool { return Closed(local) })
 }
 
-func TestOtherConnections(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	assert.Assert(t, !Closed(near))
-	assert.Assert(t, Quiet(near))
+func TestNonTCPConnection(t *testing.T) {
+	local, peer := net.Pipe()
+	defer peer.Close()
+	assert.Assert(t, !Closed(local))
+	assert.Assert(t, OpenAndIdle(local))
 }
--- a/membership/box.go
+++ b/membership/box.go
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package membership says which boxes there are. The platform's box list
-// lags, so a View joins it with what processes say about themselves: a
-// process that says it drains is believed at once, a process that answers
-// is live although the list does not name it yet, and a box under a known
-// address but with another incarnation is another box.
+// Package membership tracks which boxes exist and which of them may receive work.
+// The platform's box list lags behind, so a View combines it with the reports of
+// the processes on the boxes: a listed box is usable only while its process reports
+// and does not drain.
 //
-// The package does no I/O and takes time as a value.
+// The package does no I/O and takes the current time as a parameter.
 package membership
 
 import (
@@ -15,27 +14,27 @@
 	"time"
 )
 
-// Role is what a box is for.
+// Role is the role of a box.
 type Role string
 
 // The roles.
 const (
-	// Gateway boxes take the callers' requests.
+	// Gateway boxes run a gateway, which receives the requests of callers.
 	Gateway Role = "gateway"
-	// Endpoint boxes hold a model engine or a plain service.
+	// Endpoint boxes run a model engine or a plain service beside a sidecar.
 	Endpoint Role = "endpoint"
 )
 
-// ListState is a box's state in the platform's box list.
+// ListState is the state of a box in the platform's box list.
 type ListState string
 
-// The states of the box list.
+// The states of the box list. A Leaving box gets no new work.
 const (
 	Live    ListState = "live"
 	Leaving ListState = "leaving"
 )
 
-// AvailabilityZone names a zone and the region that it stands in.
+// AvailabilityZone identifies an availability zone by its region and name.
 type AvailabilityZone struct {
 	Region string `json:"region"`
 	Zone   string `json:"zone"`
@@ -52,12 +51,12 @@
 	// Address is the IP and port of mintlift's process on the box.
 	Address string    `json:"address"`
 	State   ListState `json:"state"`
-	// Service is the plain service beside the box's sidecar; it is empty
-	// where a model engine runs.
+	// Service is the name of the plain service on the box; it is empty if a model
+	// engine runs there.
 	Service string `json:"service,omitempty"`
 }
 
-// Report is what a process last said about itself.
+// Report is the state that the process on a box reported at a time.
 type Report struct {
 	Box         string
 	Incarnation string
@@ -65,34 +64,37 @@
 	At          time.Time
 }
 
-// Bounds of a view's patience.
+// Defaults of a View.
 const (
-	// SilenceAfter is a view's patience by default.
+	// DefaultReportTimeout is the default of View.ReportTimeout.
 	SilenceAfter = 3 * time.Second
 )
 
-// Member is a box as a View sees it.
+// Member is a listed box with the state that its process reported.
 type Member struct {
 	Box
+	// Incarnation identifies the process that last reported; it is empty if none has.
 	Incarnation string
-	// Usable says that new work may be sent to the box.
+	// Usable is true if new work may be sent to the box: it is responsive, not
+	// draining and not listed as Leaving.
 	Usable bool
-	// Heard says that the box has answered within SilenceAfter.
+	// Responsive is true if the last report is newer than the view's ReportTimeout.
 	Heard bool
 }
 
-// View joins the box list with the processes' own reports. The zero value
-// is empty and ready for use; it is not safe for concurrent use.
+// View combines the box list with the reports of the processes. The zero value is
+// empty and ready for use; it is not safe for concurrent use.
 type View struct {
-	// Patience is how long a process may be silent before it counts as
-	// unreachable; 0 is SilenceAfter.
+	// ReportTimeout is the age of a report from which its process counts as
+	// unresponsive; 0 means DefaultReportTimeout.
 	Patience time.Duration
 
 	listed  map[string]Box
 	reports map[string]Report
 }
 
-// SetList takes a newly read box list.
+// SetList replaces the box list and discards the reports of boxes that are no longer
+// listed.
 func (v *View) SetList(boxes []Box) {
 	v.listed = make(map[string]Box, len(boxes))
 	for _, b := range boxes {
@@ -105,8 +107,8 @@
 	}
 }
 
-// Heard takes a process's report about itself. A report that is older than
-// the one already held changes nothing.
+// ApplyReport stores the report of a process, unless the view has a newer one of the
+// same box.
 func (v *View) Heard(r Report) {
 	if v.reports == nil {
 		v.reports = make(map[string]Report)
@@ -117,7 +119,7 @@
 	v.reports[r.Box] = r
 }
 
-// Members returns the boxes with the given role, ordered by identity.
+// Members returns the listed boxes with the given role, ordered by ID.
 func (v *View) Members(role Role, now time.Time) []Member {
 	var out []Member
 	for _, b := range v.listed {
@@ -129,7 +131,7 @@
 	return out
 }
 
-// Member returns one box.
+// Member returns the box with the given ID, and false if it is not listed.
 func (v *View) Member(id string, now time.Time) (Member, bool) {
 	b, ok := v.listed[id]
 	if !ok {
--- a/membership/box_test.go
+++ b/membership/box_test.go
@@ -11,23 +11,23 @@
 
 var epoch = time.Unix(1000, 0)
 
-func TestProcessesWordGoesBeforeTheList(t *testing.T) {
+func TestReportsOverrideList(t *testing.T) {
 	var v View
 	v.SetList([]Box{{ID: "a", Role: Endpoint, State: Live}, {ID: "b", Role: Endpoint, State: Live}, {ID: "g", Role: Gateway, State: Live}})
 	usable := func(id string, at time.Time) bool {
 		m, ok := v.Member(id, at)
 		return ok && m.Usable
 	}
-	assert.Assert(t, !usable("a", epoch), "listed, but never heard")
+	assert.Assert(t, !usable("a", epoch), "listed without a report")
 	v.Heard(Report{Box: "a", Incarnation: "1", At: epoch})
 	assert.Assert(t, usable("a", epoch.Add(time.Second)))
-	assert.Assert(t, !usable("a", epoch.Add(2*SilenceAfter)), "silent for too long")
+	assert.Assert(t, !usable("a", epoch.Add(2*SilenceAfter)), "report timed out")
 	v.Heard(Report{Box: "a", Incarnation: "1", Draining: true, At: epoch.Add(time.Second)})
-	assert.Assert(t, !usable("a", epoch.Add(time.Second)), "drains, whatever the list says")
-	v.Heard(Report{Box: "a", Incarnation: "1", At: epoch}) // an older report, late
-	assert.Assert(t, !usable("a", epoch.Add(time.Second)), "an older report undid a newer one")
+	assert.Assert(t, !usable("a", epoch.Add(time.Second)), "draining, but listed as live")
+	v.Heard(Report{Box: "a", Incarnation: "1", At: epoch}) // an older report that arrives late
+	assert.Assert(t, !usable("a", epoch.Add(time.Second)), "an older report replaced a newer one")
 	v.Heard(Report{Box: "a", Incarnation: "2", At: epoch.Add(2 * time.Second)})
-	assert.Assert(t, usable("a", epoch.Add(2*time.Second)), "a new incarnation under the same box")
+	assert.Assert(t, usable("a", epoch.Add(2*time.Second)), "a new incarnation on the same box")
 
 	v.SetList([]Box{{ID: "a", Role: Endpoint, State: Leaving}})
 	assert.Assert(t, !usable("a", epoch.Add(2*time.Second)))
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,47 +1,45 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package outcome names what became of a request and says what may be done
-// next. Outcomes are values: every part of mintlift that gives up on a
-// request says one of four words, and Retry is the one table that decides
-// whether the request may be sent again.
+// Package outcome classifies the results of request attempts and decides whether a
+// request may be retried.
 package outcome
 
-// Outcome is what became of a request.
+// Outcome is the result of a request or of one attempt at it.
 type Outcome string
 
 // The four outcomes.
 const (
-	// Completed says that the whole answer was delivered.
+	// Completed: the whole response was delivered.
 	Completed Outcome = "completed"
-	// NotRun says that the endpoint certainly did not run the request.
+	// NotRun: the endpoint certainly did not run the request.
 	NotRun Outcome = "not_run"
-	// Failed says that the endpoint ran the request and answered with an error.
+	// Failed: the endpoint ran the request and responded with an error.
 	Failed Outcome = "failed"
-	// Unknown says that the endpoint may have run the request.
+	// Unknown: the endpoint may have run the request.
 	Unknown Outcome = "unknown"
 )
 
-// Stage is the point that an attempt had reached when it ended. It decides
-// what may be said about the attempt.
+// Stage is the stage that an attempt had reached when it ended, which determines its
+// outcome.
 type Stage int
 
 // The stages of an attempt, in order.
 const (
-	// Waiting: no byte has been written towards the endpoint.
+	// Waiting: no byte of the request has been written to the endpoint.
 	Waiting Stage = iota
 	// Sending: some byte of the request may have been written.
 	Sending
-	// Refused: the sidecar refused at admission and said so.
+	// Refused: the sidecar rejected the request at admission.
 	Refused
-	// Answering: the answer's head has arrived, its end has not.
+	// Answering: the head of the response has arrived, but not its end.
 	Answering
-	// Answered: the whole answer has arrived and the endpoint reports an error.
+	// AnsweredError: a whole response has arrived, which reports an error.
 	AnsweredError
-	// Done: the whole answer has arrived.
+	// Done: the whole response has arrived.
 	Done
 )
 
-// Of returns what is certain about an attempt that ended at stage s.
+// Of returns the outcome of an attempt that ended at stage s.
 func Of(s Stage) Outcome {
 	switch s {
 	case Waiting, Refused:
@@ -55,10 +53,9 @@
 	}
 }
 
-// Retry reports whether a request whose attempt ended with o may be sent to
-// an endpoint again. A repeatable request may be sent again while nothing
-// of its answer has reached the caller; one that is not repeatable only
-// when it certainly did not run.
+// Retry reports whether a request whose last attempt had the outcome o may be
+// retried. If the outcome is unknown, only a repeatable request may be retried, and
+// only while no byte of a response has been sent to the caller.
 func Retry(o Outcome, repeatable, answerStarted bool) bool {
 	switch o {
 	case NotRun:
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTable(t *testing.T) {
+func TestOutcomesAndRetries(t *testing.T) {
 	for stage, want := range map[Stage]Outcome{Waiting: NotRun, Sending: Unknown, Refused: NotRun, Answering: Unknown, AnsweredError: Failed, Done: Completed} {
 		assert.Equal(t, Of(stage), want)
 	}
 	for _, o := range []Outcome{Completed, Failed} {
-		assert.Assert(t, !Retry(o, true, false), "%s was tried again", o)
+		assert.Assert(t, !Retry(o, true, false), "%s was retried", o)
 	}
 	assert.Assert(t, Retry(NotRun, false, false))
 	assert.Assert(t, Retry(Unknown, true, false))
-	assert.Assert(t, !Retry(Unknown, true, true), "a second answer behind the start of a first")
-	assert.Assert(t, !Retry(Unknown, false, false), "a request that is not repeatable was tried again")
+	assert.Assert(t, !Retry(Unknown, true, true), "retried after a response to the caller had started")
+	assert.Assert(t, !Retry(Unknown, false, false), "a request that is not repeatable was retried")
 }
--- a/prio/gate.go
+++ b/prio/gate.go
@@ -9,32 +9,35 @@
 	"github.com/juju/errors"
 )
 
-// ErrFull says that there is no slot and no place to wait for one.
+// ErrFull reports that no slot is free and that the work cannot be queued, or was
+// evicted from the queue.
 const ErrFull = errors.ConstError("no slot is free")
 
-// Gate is a Queue for goroutines. Its lock is a leaf. Use NewGate.
+// Gate is a Queue that blocks goroutines until they get a slot. It is safe for
+// concurrent use and acquires no other lock while it holds its own. Use NewGate.
 type Gate struct {
 	mu      sync.Mutex
 	queue   Queue
-	next    uint64
+	lastID  uint64
 	waiting map[uint64]chan bool
 }
 
-// NewGate returns a gate with the bounds of q.
+// NewGate returns a Gate with the limits of q, which must be unused.
 func NewGate(q Queue) *Gate {
 	return &Gate{queue: q, waiting: make(map[uint64]chan bool)}
 }
 
-// Acquire takes a slot, waiting for one if the queue lets it. It returns
-// ErrFull at once, or as soon as something of a higher priority needs the
-// place, and ctx's error when ctx ends first.
+// Acquire takes a slot of the class, waiting in the queue if necessary. It returns
+// ErrFull at once if the queue is full, or later if work of a higher priority evicts
+// it from the queue, and ctx's error if ctx is done first. A caller that got a slot
+// must call Release.
 func (g *Gate) Acquire(ctx context.Context, priority int, class string) error {
 	g.mu.Lock()
-	g.next++
-	id := g.next
-	granted, queued, out := g.queue.Admit(Waiter{ID: id, Priority: priority, Class: class})
-	if out != nil {
-		g.wake(out.ID, false)
+	g.lastID++
+	id := g.lastID
+	granted, queued, evicted := g.queue.Admit(Waiter{ID: id, Priority: priority, Class: class})
+	if evicted != nil {
+		g.notify(evicted.ID, false)
 	}
 	if granted || !queued {
 		g.mu.Unlock()
@@ -49,6 +52,7 @@
 	return g.wait(ctx, id, class, ready)
 }
 
+// wait waits for the result of a queued admission, or cancels it once ctx is done.
 func (g *Gate) wait(ctx context.Context, id uint64, class string, ready chan bool) error {
 	select {
 	case ok := <-ready:
@@ -62,32 +66,34 @@
 	defer g.mu.Unlock()
 	delete(g.waiting, id)
 	if !g.queue.Cancel(id) && <-ready {
-		g.release(class) // the slot was handed over as ctx ended
+		g.release(class) // the slot was granted concurrently
 	}
 	return ctx.Err()
 }
 
-// Release gives a slot of the class back.
+// Release returns a slot of the class, which may go to a waiter.
 func (g *Gate) Release(class string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.release(class)
 }
 
+// release frees a slot of the class. The caller holds mu.
 func (g *Gate) release(class string) {
 	if w, ok := g.queue.Release(class); ok {
-		g.wake(w.ID, true)
+		g.notify(w.ID, true)
 	}
 }
 
-func (g *Gate) wake(id uint64, granted bool) {
+// notify sends the result of its admission to a waiter. The caller holds mu.
+func (g *Gate) notify(id uint64, granted bool) {
 	if ready, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
 		ready <- granted
 	}
 }
 
-// Load returns the slots in use and the number of waiters.
+// Load returns the number of slots in use and the number of waiters.
 func (g *Gate) Load() (active, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/prio/prio_test.go
+++ b/prio/prio_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestHighestFirstWithFloor(t *testing.T) {
+func TestHighestFirstWithoutStarvation(t *testing.T) {
 	q := Queue{Slots: 1, Waiting: 100}
 	granted, _, _ := q.Admit(Waiter{ID: 0, Priority: 1})
 	assert.Assert(t, granted)
@@ -29,48 +29,48 @@
 			low = i + 1
 		}
 	}
-	assert.Assert(t, low > 0 && low <= floorEvery, "the lowest waited for %d slots", low)
+	assert.Assert(t, low > 0 && low <= lowestPriorityInterval, "the lowest priority got slot %d", low)
 }
 
-func TestFullTurnsTheLowestAway(t *testing.T) {
+func TestFullQueueEvictsLowest(t *testing.T) {
 	q := Queue{Slots: 1, Waiting: 1}
 	q.Admit(Waiter{ID: 1, Priority: 5})
 	_, queued, _ := q.Admit(Waiter{ID: 2, Priority: 5})
 	assert.Assert(t, queued)
-	granted, queued, out := q.Admit(Waiter{ID: 3, Priority: 5})
-	assert.Assert(t, !granted && !queued && out == nil, "an equal does not push out")
-	_, queued, out = q.Admit(Waiter{ID: 4, Priority: 9})
+	granted, queued, evicted := q.Admit(Waiter{ID: 3, Priority: 5})
+	assert.Assert(t, !granted && !queued && evicted == nil, "evicted a waiter of equal priority")
+	_, queued, evicted = q.Admit(Waiter{ID: 4, Priority: 9})
 	assert.Assert(t, queued)
-	assert.Equal(t, out.ID, uint64(2))
+	assert.Equal(t, evicted.ID, uint64(2))
 }
 
-// TestNoPlaceToWait was found by TestQueueBounds: a queue of no length
-// looked for the lowest among no waiters.
-func TestNoPlaceToWait(t *testing.T) {
+// A queue without places for waiters must reject work instead of searching for a
+// waiter to evict.
+func TestZeroLengthQueue(t *testing.T) {
 	q := Queue{Slots: 1}
 	q.Admit(Waiter{ID: 1})
-	granted, queued, out := q.Admit(Waiter{ID: 2})
-	assert.Assert(t, !granted && !queued && out == nil)
+	granted, queued, evicted := q.Admit(Waiter{ID: 2})
+	assert.Assert(t, !granted && !queued && evicted == nil)
 }
 
-// TestFloodLeavesSlots floods with one class: the others find slots free,
-// and the flood goes on as its own end.
-func TestFloodLeavesSlots(t *testing.T) {
+// A class that has reached ClassSlots must leave the other slots free, and its
+// waiters must get the slots that it releases.
+func TestClassSlots(t *testing.T) {
 	q := Queue{Slots: 8, Waiting: 20, ClassSlots: 7}
 	for i := range 15 {
 		q.Admit(Waiter{ID: uint64(i), Priority: 9, Class: "flood"})
 	}
 	assert.Equal(t, q.Active(), 7)
-	granted, _, _ := q.Admit(Waiter{ID: 100, Priority: 1, Class: "quiet"})
-	assert.Assert(t, granted, "a quiet class found no slot")
-	w, ok := q.Release("quiet")
-	assert.Assert(t, !ok, "%d of the flood took the free slot", w.ID)
+	granted, _, _ := q.Admit(Waiter{ID: 100, Priority: 1, Class: "other"})
+	assert.Assert(t, granted, "another class got no slot")
+	w, ok := q.Release("other")
+	assert.Assert(t, !ok, "waiter %d exceeded ClassSlots", w.ID)
 	w, ok = q.Release("flood")
 	assert.Assert(t, ok && w.Class == "flood")
 	assert.Equal(t, q.Active(), 7)
 }
 
-// TestQueueBounds draws work and checks that no slot is lost or doubled.
+// No sequence of admissions and releases may lose a slot or grant it twice.
 func TestQueueBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := Queue{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Waiting: rapid.IntRange(0, 3).Draw(t, "waiting")}
@@ -78,31 +78,31 @@
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch {
 			case rapid.IntRange(0, 2).Draw(t, "step") > 0 || running == 0:
-				granted, queued, out := q.Admit(Waiter{ID: uint64(i), Priority: rapid.IntRange(1, 4).Draw(t, "priority")})
+				granted, queued, evicted := q.Admit(Waiter{ID: uint64(i), Priority: rapid.IntRange(1, 4).Draw(t, "priority")})
 				if granted {
 					running++
 				}
 				if queued {
 					waiting[uint64(i)] = true
 				}
-				if out != nil {
-					delete(waiting, out.ID)
+				if evicted != nil {
+					delete(waiting, evicted.ID)
 				}
 			default:
 				running--
 				if w, ok := q.Release(""); ok {
 					if !waiting[w.ID] {
-						t.Fatalf("%d was granted and did not wait", w.ID)
+						t.Fatalf("%d was granted but was not waiting", w.ID)
 					}
 					delete(waiting, w.ID)
 					running++
 				}
 			}
 			if running != q.Active() || len(waiting) != q.Queued() || running > q.Slots || len(waiting) > q.Waiting {
-				t.Fatalf("running %d, queue says %d; waiting %d, queue says %d", running, q.Active(), len(waiting), q.Queued())
+				t.Fatalf("running %d, queue reports %d; waiting %d, queue reports %d", running, q.Active(), len(waiting), q.Queued())
 			}
 			if len(waiting) > 0 && running < q.Slots {
-				t.Fatalf("%d wait while a slot is free", len(waiting))
+				t.Fatalf("%d waiters while a slot is free", len(waiting))
 			}
 		}
 	})
--- a/prio/queue.go
+++ b/prio/queue.go
@@ -1,50 +1,50 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package prio shares a bounded number of slots by priority: the price that
-// a workspace pays. The highest goes first, one slot in floorEvery goes to
-// the lowest that waits so that nobody starves, and when the queue is full
-// the lowest is turned away at once.
+// Package prio implements admission to a bounded number of slots by priority, with a
+// bounded queue. The highest priority is served first, but every n-th slot goes to
+// the lowest priority in the queue, which prevents starvation. If the queue is full,
+// work of the lowest priority is evicted or rejected at once.
 //
-// Queue is the decision alone; Gate puts goroutines behind it. Sidecars
-// share their upload slots with it, gateways and sidecars their requests.
+// Queue makes the decisions without blocking; Gate blocks goroutines accordingly.
+// Sidecars use it for upload slots, gateways and sidecars for requests.
 package prio
 
-// Bounds of a Queue.
+// Parameters of a Queue.
 const (
-	// floorEvery: one slot in so many goes to the lowest priority that
-	// waits, so that nobody starves.
-	floorEvery = 8
+	// lowestPriorityInterval is the n of the rule that every n-th slot goes to the
+	// lowest priority in the queue, which prevents starvation.
+	lowestPriorityInterval = 8
 )
 
-// Waiter is a piece of work that waits for a slot.
+// Waiter is work that needs a slot. ID must be unique in a queue.
 type Waiter struct {
 	ID       uint64
 	Priority int
-	// Class is what ClassSlots bounds: the workspace.
+	// Class groups work for the limit ClassSlots, for example by workspace.
 	Class string
 }
 
-// Queue shares slots by priority. The zero value has no slots and refuses
-// everything; it is not safe for concurrent use.
+// Queue grants slots by priority. The zero value has no slots and rejects all work.
+// It is not safe for concurrent use.
 type Queue struct {
-	// Slots is how much may be under way at once, Waiting how much may wait.
+	// Slots is the maximum number of slots in use, MaxWaiting that of waiters.
 	Slots   int
 	Waiting int
-	// ClassSlots bounds the slots of one class, so that a flood of one
-	// leaves some free for the others; 0 does not.
+	// ClassSlots is the maximum number of slots in use by one class, so that a
+	// single class cannot use all slots; 0 means no limit.
 	ClassSlots int
 
-	active  int
-	classes map[string]int // slots in use, where ClassSlots bounds them
-	granted int
-	waiting []Waiter
+	active      int
+	classActive map[string]int // slots in use by class; unused if ClassSlots is 0
+	grants      int
+	waiting     []Waiter
 }
 
-// Admit takes work. It returns granted when a slot is free, queued when
-// the work waits for one, and neither when the queue is full of work of at
-// least its priority; otherwise the lowest that waits is pushed out and
-// returned.
-func (q *Queue) Admit(w Waiter) (granted, queued bool, out *Waiter) {
+// Admit grants w a slot if one is free, else queues it. If the queue is full, w
+// replaces the newest waiter of the lowest priority, which is returned as evicted,
+// or is rejected if its own priority is not higher: then Admit returns neither
+// granted nor queued.
+func (q *Queue) Admit(w Waiter) (granted, queued bool, evicted *Waiter) {
 	if q.active < q.Slots && q.eligible(w) {
 		q.grant(w)
 		return true, false, nil
@@ -60,51 +60,51 @@
 	if q.waiting[low].Priority >= w.Priority {
 		return false, false, nil
 	}
-	pushed := q.take(low)
+	removed := q.removeAt(low)
 	q.waiting = append(q.waiting, w)
-	return false, true, &pushed
+	return false, true, &removed
 }
 
-// Release frees a slot that the class had and returns the waiter that gets
-// it, if any.
+// Release frees a slot of the class and returns the waiter to which it was granted,
+// if any.
 func (q *Queue) Release(class string) (Waiter, bool) {
 	q.active--
 	if q.ClassSlots > 0 {
-		q.classes[class]--
-		if q.classes[class] == 0 {
-			delete(q.classes, class)
+		q.classActive[class]--
+		if q.classActive[class] == 0 {
+			delete(q.classActive, class)
 		}
 	}
-	at, ok := q.next()
+	i, ok := q.nextEligible()
 	if !ok {
 		return Waiter{}, false
 	}
-	w := q.take(at)
+	w := q.removeAt(i)
 	q.grant(w)
 	return w, true
 }
 
 func (q *Queue) grant(w Waiter) {
 	q.active++
-	q.granted++
+	q.grants++
 	if q.ClassSlots == 0 {
 		return
 	}
-	if q.classes == nil {
-		q.classes = make(map[string]int)
+	if q.classActive == nil {
+		q.classActive = make(map[string]int)
 	}
-	q.classes[w.Class]++
+	q.classActive[w.Class]++
 }
 
-// eligible reports whether the class may have one more slot.
+// eligible reports whether ClassSlots allows w one more slot.
 func (q *Queue) eligible(w Waiter) bool {
-	return q.ClassSlots == 0 || q.classes[w.Class] < q.ClassSlots
+	return q.ClassSlots == 0 || q.classActive[w.Class] < q.ClassSlots
 }
 
-// next is the waiter to be served: the highest priority, or in its turn the
-// lowest, among those whose class may have a slot.
-func (q *Queue) next() (int, bool) {
-	low := (q.granted+1)%floorEvery == 0
+// nextEligible returns the index of the waiter to serve next, among those that are
+// eligible: the oldest of the highest priority, or of the lowest for every n-th slot.
+func (q *Queue) nextEligible() (int, bool) {
+	low := (q.grants+1)%lowestPriorityInterval == 0
 	best := -1
 	for i, w := range q.waiting {
 		if !q.eligible(w) {
@@ -117,11 +117,11 @@
 	return best, best >= 0
 }
 
-// Cancel removes a waiter and reports whether it still waited.
+// Cancel removes a waiter and reports whether it was in the queue.
 func (q *Queue) Cancel(id uint64) bool {
 	for i, w := range q.waiting {
 		if w.ID == id {
-			q.take(i)
+			q.removeAt(i)
 			return true
 		}
 	}
@@ -134,19 +134,19 @@
 // Queued returns the number of waiters.
 func (q *Queue) Queued() int { return len(q.waiting) }
 
-// newestLowest is the last waiter of the lowest priority: the one that is
-// pushed out.
+// newestLowest returns the index of the newest waiter of the lowest priority. The
+// queue must not be empty.
 func (q *Queue) newestLowest() int {
-	at := 0
+	lowest := 0
 	for i, w := range q.waiting {
-		if w.Priority <= q.waiting[at].Priority {
-			at = i
+		if w.Priority <= q.waiting[lowest].Priority {
+			lowest = i
 		}
 	}
-	return at
+	return lowest
 }
 
-func (q *Queue) take(i int) Waiter {
+func (q *Queue) removeAt(i int) Waiter {
 	w := q.waiting[i]
 	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 	return w
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package upstream sends requests to endpoints over HTTP/1.1 and says
-// exactly how far each got.
+// Package upstream is an HTTP/1.1 client for endpoints that sends each request at
+// most once and reports whether bytes of a failed request may have been sent.
 //
-// net/http's Transport replays requests by itself and hides whether a
-// request left; both cost a promise here (docs/HOUSE-STYLE.md). So
-// connections are kept here; heads are written and read by net/http.
+// It has a connection pool of its own, because the Transport of net/http retries
+// requests by itself and does not report whether a request was sent. Headers are
+// written and responses are parsed by net/http.
 package upstream
 
 import (
@@ -29,16 +29,17 @@
 
 // Errors of this package.
 const (
-	// ErrForeign says that only answers to other requests came.
-	ErrForeign = errors.ConstError("the endpoint answered another request")
-	// ErrWithheld says that Request.Proceed forbade to send the request.
+	// ErrMismatched reports that only responses to other requests were received.
+	ErrMismatched = errors.ConstError("the endpoint answered another request")
+	// ErrWithheld reports that the request was not sent because Request.Proceed
+	// returned false.
 	ErrWithheld = errors.ConstError("the endpoint may not get the request any more")
 )
 
-// Error is an attempt that brought no answer.
+// Error is the error of an attempt that received no response.
 type Error struct {
-	// Sent says that bytes of the request may have reached the endpoint; if
-	// false, the request has certainly not run there.
+	// Sent is true if bytes of the request may have reached the endpoint. If it is
+	// false, the endpoint certainly did not run the request.
 	Sent bool
 	Err  error
 }
@@ -50,48 +51,50 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Request is what goes to an endpoint.
+// Request is a request to an endpoint.
 type Request struct {
 	Method string
-	// URI is the request target as the caller wrote it.
+	// URI is the request target, sent unaltered.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Accept says whether an answer's head belongs to this request.
+	// Accept reports whether a response with the given header belongs to this
+	// request. Nil accepts every response.
 	Accept func(http.Header) bool
-	// Fresh asks for a connection that has hardly rested, because the
-	// request must not be lost to one that is being closed.
+	// Fresh requires a new connection or one that has been idle for at most
+	// maxFreshIdle, because the endpoint might be closing one that was idle longer.
 	Fresh bool
-	// Proceed is asked once there is a connection, right before the request is
-	// written: time has passed since the endpoint was chosen. Nil is yes.
+	// Proceed is called when a connection has been obtained, right before the request
+	// is written, and reports whether it may still be sent. Nil means that it may.
 	Proceed func() bool
 }
 
-// Options of a Pool.
+// Options configure a Pool.
 type Options struct {
 	DialTimeout time.Duration
-	// IdleTimeout is how long a connection may rest.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
-	// MaxIdle bounds the resting connections of an endpoint.
+	// MaxIdle is the maximum number of idle connections per address.
 	MaxIdle int
 }
 
-// freshIdle is how long a connection may have rested for Request.Fresh.
-const freshIdle = 700 * time.Millisecond
+// maxFreshIdle is the maximum idle time of a connection for Request.Fresh.
+const maxFreshIdle = 700 * time.Millisecond
 
 const (
-	readBuffer = 4 << 10
-	// inlineBody is the largest body that is written before the answer is
-	// read; it fits the socket's buffer.
-	inlineBody = 16 << 10
-	// maxForeign bounds the surplus answers that are skipped, and
-	// maxForeignBytes the size of each.
-	maxForeign      = 3
-	maxForeignBytes = 1 << 20
+	readBufferBytes = 4 << 10
+	// maxInlineBody is the size in bytes up to which a body is written before the
+	// response is read. It must fit into the socket's send buffer.
+	maxInlineBody = 16 << 10
+	// maxMismatched bounds the responses that are read for a request if they do not
+	// belong to it, and maxMismatchedBytes the body of each.
+	maxMismatched      = 3
+	maxMismatchedBytes = 1 << 20
 )
 
-// Pool keeps connections to endpoints. It is safe for concurrent use.
+// Pool is a connection pool with connections by address. It is safe for concurrent
+// use. Use NewPool.
 type Pool struct {
 	options Options
 	dialer  *net.Dialer
@@ -100,15 +103,17 @@
 	opened  uint64
 }
 
+// conn is a connection of a Pool.
 type conn struct {
 	net.Conn
 	pool    *Pool
 	address string
 	reader  *bufio.Reader
-	// restedAt is when the connection was put back; expires bounds its rest.
-	restedAt time.Time
-	expires  time.Time
-	closed   sync.Once
+	// idleSince is the time at which the connection became idle, idleUntil the time
+	// at which its idle timeout expires.
+	idleSince time.Time
+	idleUntil time.Time
+	once      sync.Once
 }
 
 // NewPool returns an empty pool.
@@ -121,15 +126,16 @@
 	return p
 }
 
-// Opened is the number of connections opened so far.
+// Opened returns the number of dials so far, failed ones included.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// take returns a resting connection, or nil.
-func (p *Pool) take(address string, fresh bool, now time.Time) *conn {
+// takeIdle removes a usable idle connection from the pool and returns it, or nil. It
+// closes those that it finds unusable.
+func (p *Pool) takeIdle(address string, fresh bool, now time.Time) *conn {
 	for {
 		p.mu.Lock()
 		list := p.idle[address]
@@ -140,16 +146,16 @@
 		c := list[len(list)-1]
 		p.idle[address] = list[:len(list)-1]
 		p.mu.Unlock()
-		if fresh && now.Sub(c.restedAt) > freshIdle || now.After(c.expires) || !c.quiet() {
-			c.end()
+		if fresh && now.Sub(c.idleSince) > maxFreshIdle || now.After(c.idleUntil) || !c.openAndIdle() {
+			c.closeOnce()
 			continue
 		}
 		return c
 	}
 }
 
-// quiet reports whether a resting connection is open and has sent nothing.
-func (c *conn) quiet() bool { return c.reader.Buffered() == 0 && tcpconn.Quiet(c.Conn) }
+// openAndIdle reports whether the connection is open and has no unread bytes.
+func (c *conn) openAndIdle() bool { return c.reader.Buffered() == 0 && tcpconn.OpenAndIdle(c.Conn) }
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	p.mu.Lock()
@@ -159,42 +165,44 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, pool: p, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}
+	c := &conn{Conn: raw, pool: p, address: address, reader: bufio.NewReaderSize(raw, readBufferBytes)}
 	return c, nil
 }
 
-func (c *conn) end() {
-	c.closed.Do(func() { _ = c.Close() })
+func (c *conn) closeOnce() {
+	c.once.Do(func() { _ = c.Close() })
 }
 
-// rest puts a connection back.
-func (c *conn) rest(now time.Time, life time.Duration) {
+// putIdle returns a connection to the pool, or closes it if the address has MaxIdle
+// idle connections.
+func (c *conn) putIdle(now time.Time, lifetime time.Duration) {
 	p := c.pool
-	c.restedAt = now
-	c.expires = now.Add(life)
+	c.idleSince = now
+	c.idleUntil = now.Add(lifetime)
 	p.mu.Lock()
 	if len(p.idle[c.address]) >= p.options.MaxIdle {
 		p.mu.Unlock()
-		c.end()
+		c.closeOnce()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 	p.mu.Unlock()
 }
 
-// Forget closes the resting connections to an address: one of its connections
-// went silent, and those that rest would, each, hold up a request for as long.
+// CloseIdle closes the idle connections to an address. Use it after a connection to
+// the address became unresponsive: the idle ones are likely unresponsive, too, and
+// each would delay a request until its timeout.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
-	resting := p.idle[address]
+	connections := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range resting {
-		c.end()
+	for _, c := range connections {
+		c.closeOnce()
 	}
 }
 
-// ForgetAll closes all resting connections, for the sake of their descriptors.
+// CloseAllIdle closes all idle connections to free their file descriptors.
 func (p *Pool) ForgetAll() {
 	p.mu.Lock()
 	idle := p.idle
@@ -202,20 +210,20 @@
 	p.mu.Unlock()
 	for _, list := range idle {
 		for _, c := range list {
-			c.end()
+			c.closeOnce()
 		}
 	}
 }
 
-// Sweep closes connections that have rested too long.
+// Sweep closes the connections whose idle timeout has expired at now.
 func (p *Pool) Sweep(now time.Time) {
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.After(c.expires) {
-				old = append(old, c)
+			if now.After(c.idleUntil) {
+				expired = append(expired, c)
 			} else {
 				kept = append(kept, c)
 			}
@@ -223,44 +231,48 @@
 		p.idle[address] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range old {
-		c.end()
+	for _, c := range expired {
+		c.closeOnce()
 	}
 }
 
-// Response is an answer whose body is still to be read. Close must follow.
+// Response is a response whose body has not been read. The caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length of the body, or -1.
+	// Length is the length of the body in bytes, or -1 if it is not known.
 	Length int64
 	Body   io.Reader
 
-	conn    *conn
-	head    *http.Response
-	written <-chan error
-	stop    func() bool
-	whole   bool
-	once    sync.Once
+	conn        *conn
+	head        *http.Response
+	writeResult <-chan error
+	stopWatch   func() bool
+	bodyRead    bool
+	once        sync.Once
 }
 
-// Whole says that the body was read to its end, so that the connection may
-// be kept.
-func (r *Response) Whole() { r.whole = true }
+// MarkBodyRead records that the body has been read to its end, so that Close may
+// return the connection to the pool.
+func (r *Response) Whole() { r.bodyRead = true }
 
-// Close ends the exchange; a connection whose answer was not read to its
-// end is closed, which tells the endpoint to stop.
+// Close ends the exchange. It returns the connection to the pool if it is reusable,
+// else closes it; if the body was not read to its end, the close makes the endpoint
+// stop the request.
 func (r *Response) Close() {
 	r.once.Do(func() {
-		live := r.stop()
-		if !live || !r.whole || !r.reusable() {
-			r.conn.end()
+		notCancelled := r.stopWatch()
+		if !notCancelled || !r.bodyRead || !r.reusable() {
+			r.conn.closeOnce()
 			return
 		}
-		r.conn.rest(clock.Now(), r.restLife())
+		r.conn.putIdle(clock.Now(), r.idleLifetime())
 	})
 }
 
+// reusable reports whether the connection can carry another request: the request was
+// written completely, the response has a delimited body and no bytes follow it, and
+// the endpoint keeps the connection open.
 func (r *Response) reusable() bool {
 	if r.head.Close || r.conn.reader.Buffered() > 0 {
 		return false
@@ -269,33 +281,36 @@
 		return false
 	}
 	select {
-	case err := <-r.written:
+	case err := <-r.writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// restLife is how long the connection may rest by the endpoint's word.
-func (r *Response) restLife() time.Duration {
+// idleLifetime returns the idle timeout of the connection: the pool's, or less if the
+// response's Keep-Alive header says so.
+func (r *Response) idleLifetime() time.Duration {
+	// margin closes the connection before the endpoint does.
 	const margin = 500 * time.Millisecond
-	life := r.conn.pool.options.IdleTimeout
+	lifetime := r.conn.pool.options.IdleTimeout
 	for _, part := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if s, err := strconv.Atoi(value); err == nil {
-			life = min(life, time.Duration(s)*time.Second-margin)
+			lifetime = min(lifetime, time.Duration(s)*time.Second-margin)
 		}
 	}
-	return life
+	return lifetime
 }
 
-// Do sends a request and reads the head of its answer. When ctx ends, the
-// connection is closed, also while the body is read. An error is an *Error.
+// Do sends a request, at most once, and reads the head of its response. When ctx is
+// done, the connection is closed, also while the body is being read. An error is an
+// *Error.
 func (p *Pool) Do(ctx context.Context, address string, q *Request) (*Response, error) {
-	c := p.take(address, q.Fresh, clock.Now())
+	c := p.takeIdle(address, q.Fresh, clock.Now())
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, address); err != nil {
@@ -303,14 +318,14 @@
 		}
 	}
 	if q.Proceed != nil && !q.Proceed() {
-		c.end()
+		c.closeOnce()
 		return nil, &Error{Err: ErrWithheld}
 	}
-	stop := context.AfterFunc(ctx, c.end)
+	stopWatch := context.AfterFunc(ctx, c.closeOnce)
 	r, err := c.exchange(q)
 	if err != nil {
-		stop()
-		c.end()
+		stopWatch()
+		c.closeOnce()
 		if timedOut(err) {
 			p.Forget(address)
 		}
@@ -319,38 +334,41 @@
 		}
 		return nil, &Error{Sent: true, Err: err}
 	}
-	r.stop = stop
+	r.stopWatch = stopWatch
 	return r, nil
 }
 
-// Refuses reports whether nothing listens at an address, as after the end of a
-// process; a dial without an answer within timeout does not say that.
+// Refuses reports whether a dial of the address is refused, as it is after the process
+// has ended. It returns false if the dial times out.
 func (p *Pool) Refuses(ctx context.Context, address string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c, err := p.dial(ctx, address)
 	if err == nil {
-		c.end()
+		c.closeOnce()
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// timedOut reports whether a connection was found to have gone silent.
+// timedOut reports whether err is a timeout of the connection, so that its peer is
+// unresponsive.
 func timedOut(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
+// exchange writes a request and reads the head of its response. A body larger than
+// maxInlineBody is written concurrently.
 func (c *conn) exchange(q *Request) (*Response, error) {
-	written := make(chan error, 1)
-	if len(q.Body) <= inlineBody {
+	writeResult := make(chan error, 1)
+	if len(q.Body) <= maxInlineBody {
 		err := c.write(q)
 		if err != nil {
 			return nil, err
 		}
-		written <- nil
+		writeResult <- nil
 	} else {
-		go func() { written <- c.write(q) }()
+		go func() { writeResult <- c.write(q) }()
 	}
 	head, err := c.readHead(q)
 	if err != nil {
@@ -358,7 +376,7 @@
 	}
 	return &Response{
 		Status: head.StatusCode, Header: head.Header, Length: head.ContentLength, Body: head.Body,
-		conn: c, head: head, written: written,
+		conn: c, head: head, writeResult: writeResult,
 	}, nil
 }
 
@@ -371,13 +389,14 @@
 	_ = q.Header.Write(w)
 	_, _ = w.WriteString("\r\n")
 	_, _ = w.Write(q.Body)
-	return w.Flush() // reports the first error of all writes
+	return w.Flush() // returns the first error of all writes
 }
 
-// readHead reads answers until one belongs to the request.
+// readHead reads responses until one belongs to the request, and returns its head. It
+// skips informational and mismatched responses.
 func (c *conn) readHead(q *Request) (*http.Response, error) {
 	method := &http.Request{Method: q.Method}
-	for range maxForeign {
+	for range maxMismatched {
 		head, err := http.ReadResponse(c.reader, method)
 		if err != nil {
 			return nil, err
@@ -388,10 +407,10 @@
 		if q.Accept == nil || q.Accept(head.Header) {
 			return head, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(head.Body, maxForeignBytes))
-		if err != nil || n == maxForeignBytes || head.Close {
-			return nil, ErrForeign
+		n, err := io.Copy(io.Discard, io.LimitReader(head.Body, maxMismatchedBytes))
+		if err != nil || n == maxMismatchedBytes || head.Close {
+			return nil, ErrMismatched
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrMismatched
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// endpoint serves connections by a script; the script gets the number of
-// the connection and the reader and writer of it.
+// endpoint starts a server that calls script for each connection, with the number
+// of the connection, counted from 0, and returns its address.
 func endpoint(t *testing.T, script func(n int, r *bufio.Reader, c *net.TCPConn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -65,10 +65,11 @@
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
+// itoa formats a number of at most two digits.
 func itoa(n int) string { return string([]byte{byte('0' + n/10), byte('0' + n%10)}) }
 
-// ask makes an exchange and returns the body.
-func ask(t *testing.T, p *Pool, address string, q *Request) (string, error) {
+// exchange sends a request and returns the body of the response.
+func exchange(t *testing.T, p *Pool, address string, q *Request) (string, error) {
 	t.Helper()
 	r, err := p.Do(context.Background(), address, q)
 	if err != nil {
@@ -91,13 +92,13 @@
 		heads <- line + q.Host + " " + string(body)
 		write(c, answer("1", "ok"))
 	})
-	body, err := ask(t, pool(), address, request("1"))
+	body, err := exchange(t, pool(), address, request("1"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
 	assert.Equal(t, <-heads, "POST /a//b/%2F?q=1 HTTP/1.1\r\nh.example body")
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	var connections atomic.Int32
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		connections.Add(1)
@@ -107,26 +108,26 @@
 	})
 	p := pool()
 	for range 5 {
-		_, err := ask(t, p, address, request("1"))
+		_, err := exchange(t, p, address, request("1"))
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, connections.Load(), int32(1))
 }
 
-// A surplus answer that comes in the place of the next one is left out.
-func TestForeignAnswerIsSkipped(t *testing.T) {
+// A response that does not belong to the request must be skipped.
+func TestMismatchedResponseIsSkipped(t *testing.T) {
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		for q := readRequest(r); q != nil; q = readRequest(r) {
 			write(c, answer("old", "wrong")+answer(q.Header.Get("Id"), "right"))
 		}
 	})
-	body, err := ask(t, pool(), address, request("1"))
+	body, err := exchange(t, pool(), address, request("1"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "right")
 }
 
-// Bytes that lie on a resting connection belong to no request.
-func TestSurplusOnRestingConnection(t *testing.T) {
+// An idle connection with unread bytes must not be reused.
+func TestSurplusOnIdleConnection(t *testing.T) {
 	var connections atomic.Int32
 	sent := make(chan struct{}, 2)
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
@@ -140,7 +141,7 @@
 	})
 	p := pool()
 	for range 2 {
-		body, err := ask(t, p, address, request("1"))
+		body, err := exchange(t, p, address, request("1"))
 		assert.NilError(t, err)
 		assert.Equal(t, body, "ok")
 		<-sent
@@ -149,8 +150,8 @@
 	assert.Equal(t, connections.Load(), int32(2))
 }
 
-// A request that went out on a connection that the endpoint then closes is
-// not sent again.
+// A request must not be retried when the endpoint closes the connection on which it
+// was sent.
 func TestNoReplay(t *testing.T) {
 	var requests atomic.Int32
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
@@ -163,28 +164,27 @@
 		}
 	})
 	p := pool()
-	_, err := ask(t, p, address, request("1"))
+	_, err := exchange(t, p, address, request("1"))
 	assert.NilError(t, err)
-	_, err = ask(t, p, address, request("2"))
+	_, err = exchange(t, p, address, request("2"))
 	var failure *Error
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, failure.Sent)
 	assert.Equal(t, requests.Load(), int32(2))
 }
 
-func TestDeadAddressIsNotSent(t *testing.T) {
+func TestRefusedDialIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
 	_ = l.Close()
-	_, err = ask(t, pool(), address, request("1"))
+	_, err = exchange(t, pool(), address, request("1"))
 	var failure *Error
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, !failure.Sent)
 }
 
-// A request that may not go out any more once there is a connection is not
-// sent.
+// A request must not be sent if Proceed returns false.
 func TestWithheldRequestIsNotSent(t *testing.T) {
 	var requests atomic.Int32
 	address := endpoint(t, func(_ int, r *bufio.Reader, _ *net.TCPConn) {
@@ -194,7 +194,7 @@
 	})
 	q := request("1")
 	q.Proceed = func() bool { return false }
-	_, err := ask(t, pool(), address, q)
+	_, err := exchange(t, pool(), address, q)
 	var failure *Error
 	assert.Assert(t, errors.As(err, &failure))
 	assert.Assert(t, !failure.Sent)
@@ -203,7 +203,7 @@
 	assert.Equal(t, requests.Load(), int32(0))
 }
 
-func TestLengthlessAnswer(t *testing.T) {
+func TestResponseWithoutLength(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		reset bool
@@ -216,24 +216,24 @@
 				_ = c.SetLinger(0)
 			}
 		})
-		body, err := ask(t, pool(), address, request("1"))
+		body, err := exchange(t, pool(), address, request("1"))
 		assert.Equal(t, err != nil, test.reset, test.name)
 		assert.Assert(t, test.reset || body == "whole")
 	}
 }
 
-func TestShortAnswerIsAnError(t *testing.T) {
+func TestShortResponseIsAnError(t *testing.T) {
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		readRequest(r)
 		write(c, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nshort")
 	})
-	_, err := ask(t, pool(), address, request("1"))
+	_, err := exchange(t, pool(), address, request("1"))
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 }
 
-// An endpoint that answers before it has read a long body leaves bytes of
-// it on the way: the connection must not serve another request.
-func TestEarlyAnswerToLongBody(t *testing.T) {
+// A connection must not be reused if the endpoint responds before it has read the
+// whole request body.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	var connections atomic.Int32
 	address := endpoint(t, func(n int, r *bufio.Reader, c *net.TCPConn) {
 		connections.Add(1)
@@ -249,15 +249,15 @@
 	p := pool()
 	long := request("1")
 	long.Body = make([]byte, 16<<20)
-	_, err := ask(t, p, address, long)
+	_, err := exchange(t, p, address, long)
 	assert.NilError(t, err)
-	body, err := ask(t, p, address, request("2"))
+	body, err := exchange(t, p, address, request("2"))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "ok")
 	assert.Equal(t, connections.Load(), int32(2))
 }
 
-func TestCancelClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		readRequest(r)
@@ -273,11 +273,11 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the endpoint works on")
+		t.Fatal("the connection is still open after the cancel")
 	}
 }
 
-func TestKeepAliveAndCloseAreHeeded(t *testing.T) {
+func TestKeepAliveAndCloseAreHonored(t *testing.T) {
 	for _, head := range []string{"Connection: close", "Keep-Alive: timeout=0", "Keep-Alive: max=5, timeout=0"} {
 		var connections atomic.Int32
 		address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
@@ -288,7 +288,7 @@
 		})
 		p := pool()
 		for range 2 {
-			_, err := ask(t, p, address, request("1"))
+			_, err := exchange(t, p, address, request("1"))
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, connections.Load(), int32(2), head)
@@ -302,10 +302,10 @@
 		}
 	})
 	p := pool()
-	_, err := ask(t, p, address, request("1"))
+	_, err := exchange(t, p, address, request("1"))
 	assert.NilError(t, err)
 	p.Sweep(time.Now().Add(2 * time.Minute))
-	_, err = ask(t, p, address, request("1"))
+	_, err = exchange(t, p, address, request("1"))
 	assert.NilError(t, err)
 	assert.Equal(t, p.Opened(), uint64(2))
 }
--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package workspace holds the paying workspaces and the operators: who they
-// are, what they pay for, and how a key proves it. Keys are kept as hashes;
-// the plain key exists only with its owner.
+// Package workspace defines workspaces, operators and the API keys that
+// authenticate them. Only hashes of keys are stored.
 package workspace
 
 import (
@@ -13,31 +12,31 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a workspace's values.
+// Bounds of a workspace's settings. MaxConcurrent is the bound of MaxInFlight.
 const (
 	MinPriority   = 1
 	MaxPriority   = 100
 	MaxConcurrent = 100000
 )
 
-// Workspace is a paying customer.
+// Workspace is a customer with its API key, priority and limits.
 type Workspace struct {
 	// Name identifies the workspace.
 	Name string `json:"name"`
-	// KeyHash is the hash of the key that its requests carry.
+	// KeyHash is the hash of the API key that its requests carry.
 	KeyHash KeyHash `json:"key_hash"`
-	// Priority is the price class, MinPriority to MaxPriority; a higher one
-	// gets weights and capacity first.
+	// Priority is from MinPriority to MaxPriority. Weights and capacity go to higher
+	// priorities first.
 	Priority int `json:"priority"`
-	// MaxInFlight bounds its requests in progress at one gateway; 0 leaves
-	// only the gateway's own bound.
+	// MaxInFlight bounds the requests in flight at each gateway; 0 means that only
+	// the gateway's own limit applies.
 	MaxInFlight int `json:"max_in_flight"`
-	// Floor is the least number of boxes that must go on serving it while a
-	// plan rolls over.
+	// Floor is the minimum number of boxes that must keep serving the workspace
+	// during the rollout of a plan.
 	Floor int `json:"floor"`
 }
 
-// Validate reports the first value out of bounds.
+// Validate returns an error of type errors.NotValid for the first invalid field.
 func (w *Workspace) Validate() error {
 	switch {
 	case w.Name == "":
@@ -54,23 +53,23 @@
 	return nil
 }
 
-// Operator may use the administration API.
+// Operator is a user of the administration API.
 type Operator struct {
 	Name    string  `json:"name"`
 	KeyHash KeyHash `json:"key_hash"`
 }
 
-// KeyHash is the hexadecimal SHA-256 sum of a key. Keys are random and
-// long, so a plain sum is as good as a slow one and costs a request nothing.
+// KeyHash is the hexadecimal SHA-256 sum of a prefixed key. A fast hash suffices
+// because keys are long and random.
 type KeyHash string
 
-// HashKey returns the hash of a plain key.
+// HashKey returns the hash of a plaintext key.
 func HashKey(key string) KeyHash {
 	s := sha256.Sum256([]byte("mintlift key " + key))
 	return KeyHash(hex.EncodeToString(s[:]))
 }
 
-// Matches compares in constant time.
+// Matches reports whether h is the hash of key. It compares in constant time.
 func (h KeyHash) Matches(key string) bool {
 	return subtle.ConstantTimeCompare([]byte(h), []byte(HashKey(key))) == 1
 }
