--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -120,7 +120,7 @@
 // Do sends r. The caller must close the response body. If the connection could not
 // be established, the error has the type ErrNotSent.
 func (c *Client) Do(r *http.Request) (*http.Response, error) {
-	r.Header.Set("User-Agent", "") // omits the header
+	r.Header.Set("User-Agent", "") // omits the header to save bytes
 	if c.token != nil {
 		r.Header.Set("Authorization", "Bearer "+c.token())
 	}
--- a/prio/queue.go
+++ b/prio/queue.go
@@ -40,10 +40,10 @@
 	waiting     []Waiter
 }
 
-// Admit grants w a slot if one is free, else queues it. If the queue is full, w
-// replaces the newest waiter of the lowest priority, which is returned as evicted,
-// or is rejected if its own priority is not higher: then Admit returns neither
-// granted nor queued.
+// Admit grants w a slot if one is free and ClassSlots allows it, else queues it. If
+// the queue is full, w replaces the newest waiter of the lowest priority, which is
+// returned as evicted, provided that w has a higher priority; otherwise w is rejected:
+// neither granted nor queued.
 func (q *Queue) Admit(w Waiter) (granted, queued bool, evicted *Waiter) {
 	if q.active < q.Slots && q.eligible(w) {
 		q.grant(w)
