--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Process: common, settings: s, startedAt: time.Now(), singleUsePeers: common.PeersOnce(), gate: prio.NewGate(prio.Queue{Slots: s.MaxInFlight, Waiting: s.Queue})}
+	d := &Daemon{Process: common, settings: s, startedAt: time.Now(), singleUsePeers: common.PeersOnce(), gate: prio.NewGate(prio.Queue{Slots: s.MaxInFlight, MaxWaiting: s.Queue})}
 	d.Metrics.State(d.Replica.Offset, d.Replica.Contact, d.gate.Load)
 	if err := d.listen(); err != nil {
 		return nil, err
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -84,7 +84,7 @@
 	const cycles = 3
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.members.Patience = max(membership.SilenceAfter, cycles*cycle)
+	v.members.ReportTimeout = max(membership.DefaultReportTimeout, cycles*cycle)
 }
 
 // updateMembers copies the box list to the view if it has changed.
@@ -200,7 +200,7 @@
 		d.view.statuses = make(map[string]peer.Status)
 	}
 	d.view.statuses[s.Box] = s
-	d.view.members.Heard(membership.Report{Box: s.Box, Incarnation: s.Incarnation, Draining: s.Draining, At: time.Now()})
+	d.view.members.ApplyReport(membership.Report{Box: s.Box, Incarnation: s.Incarnation, Draining: s.Draining, At: time.Now()})
 }
 
 // updateTable replaces the endpoints of the routing table with those of the
--- a/ingress/accept.go
+++ b/ingress/accept.go
@@ -45,7 +45,7 @@
 	c, err := l.Listener.Accept()
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		l.server.acceptState.lastFailure.Store(clock.Now().UnixNano())
-		l.server.pool.ForgetAll()
+		l.server.pool.CloseAllIdle()
 		l.server.events.Error(err, "cannot accept connection")
 	}
 	return c, err
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -241,7 +241,7 @@
 		return false
 	}
 	control := http.NewResponseController(x.writer)
-	_ = control.SetReadDeadline(clock.Steady(x.start.Add(bodyReadTimeout))) // supported by network connections
+	_ = control.SetReadDeadline(clock.ToMonotonic(x.start.Add(bodyReadTimeout))) // supported by network connections
 	body, err := io.ReadAll(http.MaxBytesReader(x.writer, x.request.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	if err != nil {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -380,7 +380,7 @@
 }
 
 // Close closes the idle connections to endpoints.
-func (s *Server) Close() { s.pool.ForgetAll() }
+func (s *Server) Close() { s.pool.CloseAllIdle() }
 
 // budget returns the retry budget of a service. Server.mu must be held.
 func (s *Server) budget(service string, now time.Time) *retrybudget.Budget {
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -164,7 +164,7 @@
 // to the endpoint are closed, as they may be stalled as well.
 func (x *exchange) attemptStalled(e *fleet.Endpoint) verdict {
 	x.lastCause = errStalled.Error()
-	x.server.pool.Forget(e.Address)
+	x.server.pool.CloseIdle(e.Address)
 	x.finishAttempt(e, fleet.Broken)
 	x.server.log.Info("attempt stalled", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "begun", x.gotBytes, "ms", clock.Since(x.sentAt).Milliseconds())
 	return verdictInvalid
@@ -200,7 +200,7 @@
 		}
 		return nil, verdictInvalid
 	}
-	response.Whole()
+	response.MarkBodyRead()
 	if v == verdictOK {
 		x.finishAttempt(e, fleet.Answered)
 	} else {
@@ -267,7 +267,7 @@
 		return
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err == nil {
-		response.Whole()
+		response.MarkBodyRead()
 	}
 }
 
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, verdictInvalid
 		}
-		response.Whole()
+		response.MarkBodyRead()
 		return &reply{status: response.Status, header: response.Header, body: body}, verdictFailed
 	}
 	return nil, t.relayEvents(ctx, e, response, watch)
@@ -126,7 +126,7 @@
 		event, err := events.Next()
 		readErr := err
 		if err == io.EOF && t.started {
-			response.Whole()
+			response.MarkBodyRead()
 			t.finishAttempt(e, fleet.Answered)
 			return verdictOK
 		}
--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -306,7 +306,7 @@
 		swarm.Drop(p)
 	case errors.Is(err, errBusy):
 		swarm.Busy(p, 0, now)
-	case errors.Is(err, stall.Err):
+	case errors.Is(err, stall.ErrStalled):
 		swarm.Stalled(p, now)
 	case errors.Is(err, errDigestMismatch):
 		swarm.InvalidChunk(p, now)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -119,7 +119,7 @@
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
 // ToMonotonic converts t to a time of package time, for deadlines of connections.
-func Steady(t time.Time) time.Time { return time.Now().Add(Until(t)) }
+func ToMonotonic(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
 // SuspendForTest advances the clock of this package by d until the end of a test,
 // as if the machine had been suspended. The test must not run in parallel with
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -21,7 +21,7 @@
 	assert.Assert(t, Since(before) >= suspended)
 	assert.Assert(t, time.Since(systemNow) < suspended, "package time must not include the suspension")
 	assert.Assert(t, Until(before) <= -suspended)
-	in := time.Until(Steady(Now().Add(time.Minute)))
+	in := time.Until(ToMonotonic(Now().Add(time.Minute)))
 	assert.Assert(t, in > 59*time.Second && in <= time.Minute, "%s", in)
 }
 
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -15,22 +15,22 @@
 type Plan struct {
 	// Delay is the time from the start of Do to the first further call; 0 starts
 	// none by time.
-	After time.Duration
+	Delay time.Duration
 	// Interval is the time between two further calls that are started by time.
 	Interval time.Duration
 	// MaxInFlight bounds the calls in flight.
-	Most int
+	MaxInFlight int
 	// Trigger starts a further call at once for each value received; it may be nil.
-	Now <-chan struct{}
+	Trigger <-chan struct{}
 	// IsFinal reports whether an error ends Do although other calls are in flight;
 	// nil means that none does.
-	Final func(error) bool
+	IsFinal func(error) bool
 	// OnHedge, if not nil, is called before each further call with its number,
 	// counted from 1.
-	Hedged func(call int)
+	OnHedge func(call int)
 	// OnFailure, if not nil, is called with the error of each call that fails while
 	// others are in flight, unless the error is final.
-	Failed func(err error)
+	OnFailure func(err error)
 }
 
 // Call makes the n-th call, counted from 0. It must call firstByte once the first
@@ -76,17 +76,17 @@
 		}()
 	}
 	hedge := func() {
-		if inFlight >= p.Most || receiving.Load() > 0 {
+		if inFlight >= p.MaxInFlight || receiving.Load() > 0 {
 			return
 		}
-		if p.Hedged != nil {
-			p.Hedged(next)
+		if p.OnHedge != nil {
+			p.OnHedge(next)
 		}
 		start()
 	}
 	var due <-chan time.Time
-	if p.After > 0 {
-		timer := time.NewTimer(p.After)
+	if p.Delay > 0 {
+		timer := time.NewTimer(p.Delay)
 		defer timer.Stop()
 		due = timer.C
 	}
@@ -95,16 +95,16 @@
 		select {
 		case r := <-results:
 			inFlight--
-			if r.err == nil || inFlight == 0 || p.Final != nil && p.Final(r.err) {
+			if r.err == nil || inFlight == 0 || p.IsFinal != nil && p.IsFinal(r.err) {
 				return r.value, r.err
 			}
-			if p.Failed != nil {
-				p.Failed(r.err)
+			if p.OnFailure != nil {
+				p.OnFailure(r.err)
 			}
 		case <-due:
 			hedge()
 			due = time.After(p.Interval)
-		case <-p.Now:
+		case <-p.Trigger:
 			hedge()
 		case <-ctx.Done():
 			var zero T
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -24,7 +24,7 @@
 	return 0, ctx.Err()
 }
 
-func plan() Plan { return Plan{After: time.Second, Interval: 500 * time.Millisecond, Most: 3} }
+func plan() Plan { return Plan{Delay: time.Second, Interval: 500 * time.Millisecond, MaxInFlight: 3} }
 
 // An unanswered call must be hedged after the delay, and no more than MaxInFlight
 // calls may be in flight.
@@ -62,7 +62,7 @@
 		trigger := make(chan struct{}, 1)
 		trigger <- struct{}{}
 		p := plan()
-		p.Now = trigger
+		p.Trigger = trigger
 		got, err := Do(context.Background(), p, func(ctx context.Context, n int, firstByte func()) (int, error) {
 			calls.Add(1)
 			if n > 0 {
@@ -85,8 +85,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		var failed []error
 		p := plan()
-		p.Failed = func(err error) { failed = append(failed, err) }
-		p.Final = func(err error) bool { return errors.Is(err, errFinal) }
+		p.OnFailure = func(err error) { failed = append(failed, err) }
+		p.IsFinal = func(err error) bool { return errors.Is(err, errFinal) }
 		_, err := Do(context.Background(), p, func(context.Context, int, func()) (int, error) { return 0, errFirst })
 		assert.ErrorIs(t, err, errFirst)
 		assert.Equal(t, len(failed), 0)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -92,7 +92,7 @@
 
 // NonDecreasing checks that a sequence of offsets or fences never decreases. name is
 // the invariant that a decrease violates.
-func Rising(name string, values []int64) []Violation {
+func NonDecreasing(name string, values []int64) []Violation {
 	for i := 1; i < len(values); i++ {
 		if values[i] < values[i-1] {
 			return []Violation{{name, fmt.Sprintf("%d after %d", values[i], values[i-1])}}
--- a/internal/lab/pairs_test.go
+++ b/internal/lab/pairs_test.go
@@ -119,7 +119,7 @@
 	assert.Equal(t, len(violations), 0, "%v", violations)
 	model := r.Classes[0]
 	assert.Assert(t, model.Outcomes[outcome.Completed] > model.Sent/4, "hardly a request was answered: %v of %d", model.Outcomes, model.Sent)
-	assert.Equal(t, len(invariant.Rising(invariant.FenceOrder, l.fences())), 0)
+	assert.Equal(t, len(invariant.NonDecreasing(invariant.FenceOrder, l.fences())), 0)
 }
 
 // dies reports whether a failure cuts connections to callers by itself.
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -220,7 +220,7 @@
 	for _, b := range s.boxes {
 		b.swarm = transfer.NewSwarm(p, o, b.name, b.held, s.epoch)
 		b.picker = transfer.NewPicker(s.Chunks, uint64(b.id))
-		b.queue = &prio.Queue{Slots: cmp.Or(s.Slots, transfer.UploadSlots), Waiting: cmp.Or(s.Waiting, transfer.UploadQueueLength)}
+		b.queue = &prio.Queue{Slots: cmp.Or(s.Slots, transfer.UploadSlots), MaxWaiting: cmp.Or(s.Waiting, transfer.UploadQueueLength)}
 		s.after(0, func() { s.ask(b) })
 	}
 }
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -21,7 +21,7 @@
 
 // Tracker records which topics of a store are answered late. It is safe for
 // concurrent use. Use New.
-type Pace struct {
+type Tracker struct {
 	mu     sync.Mutex
 	topics map[string]*topicState
 }
@@ -34,16 +34,16 @@
 
 // Call is a call to the store that a Tracker records.
 type Call struct {
-	tracker *Pace
+	tracker *Tracker
 	topic   string
 }
 
 // New returns a Tracker without calls.
-func New() *Pace { return &Pace{topics: make(map[string]*topicState)} }
+func New() *Tracker { return &Tracker{topics: make(map[string]*topicState)} }
 
 // Begin records the start of a call that the store may answer after wait, as a
 // long poll does. End must follow.
-func (p *Pace) Begin(topic string, wait time.Duration, now time.Time) *Call {
+func (p *Tracker) Begin(topic string, wait time.Duration, now time.Time) *Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.topics[topic]
@@ -86,7 +86,7 @@
 
 // OthersLate reports whether a topic other than the given one is late: it has a
 // late call in flight, or had a late answer within lateTTL.
-func (p *Pace) OthersLate(topic string, now time.Time) bool {
+func (p *Tracker) OthersLate(topic string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, t := range p.topics {
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -14,7 +14,7 @@
 )
 
 // ErrStalled is the cause of a context that a Guard has cancelled.
-const Err = errors.ConstError("no byte received within the stall timeout")
+const ErrStalled = errors.ConstError("no byte received within the stall timeout")
 
 // Guard cancels a context when no byte has arrived for a time limit. Use New.
 type Guard struct {
@@ -28,7 +28,7 @@
 // one before. The caller must call Stop.
 func New(ctx context.Context, first, limit time.Duration) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(first, func() { cancel(Err) })
+	timer := time.AfterFunc(first, func() { cancel(ErrStalled) })
 	return ctx, &Guard{limit: limit, timer: timer, cancel: cancel}
 }
 
@@ -62,8 +62,8 @@
 // Cause returns ErrStalled if err is not nil and a Guard has cancelled ctx, else
 // err.
 func Cause(ctx context.Context, err error) error {
-	if err != nil && errors.Is(context.Cause(ctx), Err) {
-		return Err
+	if err != nil && errors.Is(context.Cause(ctx), ErrStalled) {
+		return ErrStalled
 	}
 	return err
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -18,7 +18,7 @@
 	ctx, guard := New(context.Background(), limit, time.Hour)
 	defer guard.Stop()
 	<-ctx.Done()
-	assert.Assert(t, errors.Is(Cause(ctx, ctx.Err()), Err))
+	assert.Assert(t, errors.Is(Cause(ctx, ctx.Err()), ErrStalled))
 }
 
 // A response that makes progress must not be cancelled, however long it takes.
@@ -43,6 +43,6 @@
 	ctx, guard := New(context.Background(), time.Hour, time.Hour)
 	guard.Stop()
 	assert.Assert(t, ctx.Err() != nil)
-	assert.Assert(t, !errors.Is(Cause(ctx, ctx.Err()), Err))
+	assert.Assert(t, !errors.Is(Cause(ctx, ctx.Err()), ErrStalled))
 	assert.NilError(t, Cause(ctx, nil))
 }
--- a/membership/box.go
+++ b/membership/box.go
@@ -67,7 +67,7 @@
 // Defaults of a View.
 const (
 	// DefaultReportTimeout is the default of View.ReportTimeout.
-	SilenceAfter = 3 * time.Second
+	DefaultReportTimeout = 3 * time.Second
 )
 
 // Member is a listed box with the state that its process reported.
@@ -79,7 +79,7 @@
 	// draining and not listed as Leaving.
 	Usable bool
 	// Responsive is true if the last report is newer than the view's ReportTimeout.
-	Heard bool
+	Responsive bool
 }
 
 // View combines the box list with the reports of the processes. The zero value is
@@ -87,7 +87,7 @@
 type View struct {
 	// ReportTimeout is the age of a report from which its process counts as
 	// unresponsive; 0 means DefaultReportTimeout.
-	Patience time.Duration
+	ReportTimeout time.Duration
 
 	listed  map[string]Box
 	reports map[string]Report
@@ -109,7 +109,7 @@
 
 // ApplyReport stores the report of a process, unless the view has a newer one of the
 // same box.
-func (v *View) Heard(r Report) {
+func (v *View) ApplyReport(r Report) {
 	if v.reports == nil {
 		v.reports = make(map[string]Report)
 	}
@@ -147,7 +147,7 @@
 		return m
 	}
 	m.Incarnation = r.Incarnation
-	m.Heard = now.Sub(r.At) < cmp.Or(v.Patience, SilenceAfter)
-	m.Usable = m.Heard && !r.Draining && b.State != Leaving
+	m.Responsive = now.Sub(r.At) < cmp.Or(v.ReportTimeout, DefaultReportTimeout)
+	m.Usable = m.Responsive && !r.Draining && b.State != Leaving
 	return m
 }
--- a/membership/box_test.go
+++ b/membership/box_test.go
@@ -19,14 +19,14 @@
 		return ok && m.Usable
 	}
 	assert.Assert(t, !usable("a", epoch), "listed without a report")
-	v.Heard(Report{Box: "a", Incarnation: "1", At: epoch})
+	v.ApplyReport(Report{Box: "a", Incarnation: "1", At: epoch})
 	assert.Assert(t, usable("a", epoch.Add(time.Second)))
-	assert.Assert(t, !usable("a", epoch.Add(2*SilenceAfter)), "report timed out")
-	v.Heard(Report{Box: "a", Incarnation: "1", Draining: true, At: epoch.Add(time.Second)})
+	assert.Assert(t, !usable("a", epoch.Add(2*DefaultReportTimeout)), "report timed out")
+	v.ApplyReport(Report{Box: "a", Incarnation: "1", Draining: true, At: epoch.Add(time.Second)})
 	assert.Assert(t, !usable("a", epoch.Add(time.Second)), "draining, but listed as live")
-	v.Heard(Report{Box: "a", Incarnation: "1", At: epoch}) // an older report that arrives late
+	v.ApplyReport(Report{Box: "a", Incarnation: "1", At: epoch}) // an older report that arrives late
 	assert.Assert(t, !usable("a", epoch.Add(time.Second)), "an older report replaced a newer one")
-	v.Heard(Report{Box: "a", Incarnation: "2", At: epoch.Add(2 * time.Second)})
+	v.ApplyReport(Report{Box: "a", Incarnation: "2", At: epoch.Add(2 * time.Second)})
 	assert.Assert(t, usable("a", epoch.Add(2*time.Second)), "a new incarnation on the same box")
 
 	v.SetList([]Box{{ID: "a", Role: Endpoint, State: Leaving}})
@@ -35,7 +35,7 @@
 	assert.Assert(t, !ok)
 	assert.Equal(t, len(v.Members(Gateway, epoch)), 0)
 
-	v.Patience = time.Minute
+	v.ReportTimeout = time.Minute
 	v.SetList([]Box{{ID: "a", Role: Endpoint, State: Live}})
 	assert.Assert(t, usable("a", epoch.Add(30*time.Second)))
 }
--- a/prio/prio_test.go
+++ b/prio/prio_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestHighestFirstWithoutStarvation(t *testing.T) {
-	q := Queue{Slots: 1, Waiting: 100}
+	q := Queue{Slots: 1, MaxWaiting: 100}
 	granted, _, _ := q.Admit(Waiter{ID: 0, Priority: 1})
 	assert.Assert(t, granted)
 	for i := range 20 {
@@ -33,7 +33,7 @@
 }
 
 func TestFullQueueEvictsLowest(t *testing.T) {
-	q := Queue{Slots: 1, Waiting: 1}
+	q := Queue{Slots: 1, MaxWaiting: 1}
 	q.Admit(Waiter{ID: 1, Priority: 5})
 	_, queued, _ := q.Admit(Waiter{ID: 2, Priority: 5})
 	assert.Assert(t, queued)
@@ -56,7 +56,7 @@
 // A class that has reached ClassSlots must leave the other slots free, and its
 // waiters must get the slots that it releases.
 func TestClassSlots(t *testing.T) {
-	q := Queue{Slots: 8, Waiting: 20, ClassSlots: 7}
+	q := Queue{Slots: 8, MaxWaiting: 20, ClassSlots: 7}
 	for i := range 15 {
 		q.Admit(Waiter{ID: uint64(i), Priority: 9, Class: "flood"})
 	}
@@ -73,7 +73,7 @@
 // No sequence of admissions and releases may lose a slot or grant it twice.
 func TestQueueBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := Queue{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Waiting: rapid.IntRange(0, 3).Draw(t, "waiting")}
+		q := Queue{Slots: rapid.IntRange(1, 3).Draw(t, "slots"), MaxWaiting: rapid.IntRange(0, 3).Draw(t, "waiting")}
 		running, waiting := 0, map[uint64]bool{}
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch {
@@ -98,7 +98,7 @@
 					running++
 				}
 			}
-			if running != q.Active() || len(waiting) != q.Queued() || running > q.Slots || len(waiting) > q.Waiting {
+			if running != q.Active() || len(waiting) != q.Queued() || running > q.Slots || len(waiting) > q.MaxWaiting {
 				t.Fatalf("running %d, queue reports %d; waiting %d, queue reports %d", running, q.Active(), len(waiting), q.Queued())
 			}
 			if len(waiting) > 0 && running < q.Slots {
@@ -110,7 +110,7 @@
 
 func TestGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(Queue{Slots: 1, Waiting: 2})
+		g := NewGate(Queue{Slots: 1, MaxWaiting: 2})
 		ctx := context.Background()
 		assert.NilError(t, g.Acquire(ctx, 1, ""))
 		short, cancel := context.WithTimeout(ctx, time.Second)
--- a/prio/queue.go
+++ b/prio/queue.go
@@ -28,8 +28,8 @@
 // It is not safe for concurrent use.
 type Queue struct {
 	// Slots is the maximum number of slots in use, MaxWaiting that of waiters.
-	Slots   int
-	Waiting int
+	Slots      int
+	MaxWaiting int
 	// ClassSlots is the maximum number of slots in use by one class, so that a
 	// single class cannot use all slots; 0 means no limit.
 	ClassSlots int
@@ -49,7 +49,7 @@
 		q.grant(w)
 		return true, false, nil
 	}
-	if len(q.waiting) < q.Waiting {
+	if len(q.waiting) < q.MaxWaiting {
 		q.waiting = append(q.waiting, w)
 		return false, true, nil
 	}
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -69,8 +69,8 @@
 		endpointState:   newEndpointState(),
 		endpoint:        call.New("endpoint", call.Options{}),
 		endpointNoReuse: call.New("endpoint", call.Options{NoReuse: true}),
-		uploadGate:      prio.NewGate(prio.Queue{Slots: transfer.UploadSlots, Waiting: transfer.UploadQueueLength}),
-		requestGate:     prio.NewGate(prio.Queue{Slots: s.MaxInFlight, Waiting: s.Queue, ClassSlots: s.MaxInFlight - reservedSlots(s.MaxInFlight)}),
+		uploadGate:      prio.NewGate(prio.Queue{Slots: transfer.UploadSlots, MaxWaiting: transfer.UploadQueueLength}),
+		requestGate:     prio.NewGate(prio.Queue{Slots: s.MaxInFlight, MaxWaiting: s.Queue, ClassSlots: s.MaxInFlight - reservedSlots(s.MaxInFlight)}),
 	}
 	d.engine = &engine.Client{Call: d.endpoint, Address: s.Endpoint}
 	d.Metrics.State(d.Replica.Offset, d.Replica.Contact, d.requestGate.Load)
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -200,7 +200,7 @@
 // topicUnresponsive reports whether a read from a known position stalled while
 // calls for other topics were answered in time: the topic alone does not respond.
 func (w *Watcher) topicUnresponsive(topic string, next history.Position, err error) bool {
-	return next.Known() && errors.Is(err, stall.Err) && !w.store.OthersLate(topic, clock.Now())
+	return next.Known() && errors.Is(err, stall.ErrStalled) && !w.store.OthersLate(topic, clock.Now())
 }
 
 // retryDelay returns the delay after the given number of consecutive failed
--- a/storewatch/follow_test.go
+++ b/storewatch/follow_test.go
@@ -38,9 +38,9 @@
 	store := &fakeStore{}
 	w := storewatch.New(store, logr.Discard(), telemetry.NewMetrics())
 	read := history.Position{Offset: 5}
-	assert.Assert(t, storewatch.TopicUnresponsive(w, "list", read, stall.Err))
+	assert.Assert(t, storewatch.TopicUnresponsive(w, "list", read, stall.ErrStalled))
 	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", read, platform.ErrStore), "refused")
-	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", history.Unread, stall.Err), "newest records may saturate the link")
+	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", history.Unread, stall.ErrStalled), "newest records may saturate the link")
 	store.othersLate = true
-	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", read, stall.Err), "the link is saturated")
+	assert.Assert(t, !storewatch.TopicUnresponsive(w, "list", read, stall.ErrStalled), "the link is saturated")
 }
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -24,7 +24,7 @@
 		outcome = readGone
 	case errors.Is(err, ErrNewEra), errors.Is(err, ErrPastEra):
 		outcome = readOtherEra
-	case errors.Is(err, stall.Err):
+	case errors.Is(err, stall.ErrStalled):
 		outcome = readStalled
 	default:
 		outcome = readFailed
@@ -110,18 +110,18 @@
 func (w *Watcher) readFrom(ctx context.Context, s *Source, next history.Position) (readResult, error) {
 	wait := s.readWait(clock.Now())
 	plan := hedge.Plan{
-		Most: maxConcurrentReads,
-		Now:  s.Wake,
-		Hedged: func(call int) {
+		MaxInFlight: maxConcurrentReads,
+		Trigger:     s.Wake,
+		OnHedge: func(call int) {
 			w.log.Info("store read hedged", "topic", s.Topic, "offset", next.Offset, "call", call, "age_ms", clock.Since(s.confirmed).Milliseconds())
 		},
-		Final: func(err error) bool { return errors.Is(err, ErrGone) || errors.Is(err, ErrNewEra) },
-		Failed: func(err error) {
+		IsFinal: func(err error) bool { return errors.Is(err, ErrGone) || errors.Is(err, ErrNewEra) },
+		OnFailure: func(err error) {
 			w.log.Info("store read failed, others in flight", "topic", s.Topic, "offset", next.Offset, "error", err.Error())
 		},
 	}
 	if s.Budget != nil {
-		plan.After, plan.Interval = wait+s.Budget.HedgeDelay(), s.Budget.Interval()
+		plan.Delay, plan.Interval = wait+s.Budget.HedgeDelay(), s.Budget.Interval()
 	}
 	return hedge.Do(ctx, plan, func(ctx context.Context, n int, begun func()) (readResult, error) {
 		if n > 0 {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -192,7 +192,7 @@
 // CloseIdle closes the idle connections to an address. Use it after a connection to
 // the address became unresponsive: the idle ones are likely unresponsive, too, and
 // each would delay a request until its timeout.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	connections := p.idle[address]
 	delete(p.idle, address)
@@ -203,7 +203,7 @@
 }
 
 // CloseAllIdle closes all idle connections to free their file descriptors.
-func (p *Pool) ForgetAll() {
+func (p *Pool) CloseAllIdle() {
 	p.mu.Lock()
 	idle := p.idle
 	p.idle = make(map[string][]*conn)
@@ -254,7 +254,7 @@
 
 // MarkBodyRead records that the body has been read to its end, so that Close may
 // return the connection to the pool.
-func (r *Response) Whole() { r.bodyRead = true }
+func (r *Response) MarkBodyRead() { r.bodyRead = true }
 
 // Close ends the exchange. It returns the connection to the pool if it is reusable,
 // else closes it; if the body was not read to its end, the close makes the endpoint
@@ -327,7 +327,7 @@
 		stopWatch()
 		c.closeOnce()
 		if timedOut(err) {
-			p.Forget(address)
+			p.CloseIdle(address)
 		}
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -78,7 +78,7 @@
 	defer r.Close()
 	body, err := io.ReadAll(r.Body)
 	if err == nil {
-		r.Whole()
+		r.MarkBodyRead()
 	}
 	return string(body), err
 }
