--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -55,7 +55,7 @@
 	}
 	if !matchesRequest(q, ref, resp) {
 		d.Log.Error(nil, "requests: response does not match the request", "request", q.id, "box", ep.Box)
-		return attemptResult{failure: unknownOutcome("mismatch", "the response does not match the request")}
+		return attemptResult{failure: unknownOutcome("mismatch", "the answer did not belong to the request")}
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		return d.relayStream(w, q, ep, ref, resp)
@@ -171,7 +171,7 @@
 	buffered := new(bytes.Buffer)
 	n, err := io.CopyN(buffered, resp.Body, maxBufferedBytes)
 	if err != nil && err != io.EOF {
-		return attemptResult{failure: unknownOutcome("answer_cut", "the endpoint's response was interrupted")}
+		return attemptResult{failure: unknownOutcome("answer_cut", "the endpoint's answer broke off")}
 	}
 	requestOutcome := outcome.Of(outcome.Done)
 	if resp.StatusCode >= http.StatusInternalServerError {
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -107,7 +107,7 @@
 		t.discardResponse(e, response, v)
 		return nil, v
 	case verdictFailed:
-		t.lastCause = "endpoint answered with an error"
+		t.lastCause = "endpoint failed"
 		t.finishAttempt(e, fleet.Failed)
 		body, err := readResponseBody(response)
 		if err != nil {
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -159,7 +159,7 @@
 	}
 	c, err := d.engine.Claim(ctx)
 	if err != nil {
-		return errors.Annotate(err, "claim engine")
+		return errors.Annotate(err, "claim of the engine")
 	}
 	d.orders.fencing.applyClaim(c)
 	d.orders.claimed = true
--- a/weights/copy.go
+++ b/weights/copy.go
@@ -102,7 +102,7 @@
 // Serving or Draining cannot be dropped.
 func (c *Copy) Drop() error {
 	if c.state == Serving || c.state == Loading || c.state == Draining {
-		return errors.WithType(errors.Errorf("cannot drop %s while %s", c.manifest.Ref, c.state), ErrInvalidTransition)
+		return errors.WithType(errors.Errorf("drop of %s while %s", c.manifest.Ref, c.state), ErrInvalidTransition)
 	}
 	c.state = Absent
 	c.held.ClearAll()
@@ -112,7 +112,7 @@
 // transition moves the copy to another state if it is in state from.
 func (c *Copy) transition(from, to CopyState) error {
 	if c.state != from {
-		return errors.WithType(errors.Errorf("%s: no transition from %s to %s", c.manifest.Ref, c.state, to), ErrInvalidTransition)
+		return errors.WithType(errors.Errorf("%s: %s to %s", c.manifest.Ref, c.state, to), ErrInvalidTransition)
 	}
 	c.state = to
 	return nil
@@ -122,7 +122,7 @@
 // and sum are the bytes that the Hasher counted and their digest.
 func (c *Copy) AcceptSum(i int, size int64, sum Digest) error {
 	if c.state != Fetching {
-		return errors.WithType(errors.Errorf("cannot accept chunk %d of %s while %s", i, c.manifest.Ref, c.state), ErrInvalidTransition)
+		return errors.WithType(errors.Errorf("chunk %d of %s while %s", i, c.manifest.Ref, c.state), ErrInvalidTransition)
 	}
 	if err := c.manifest.CheckSum(i, size, sum); err != nil {
 		return err
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -30,10 +30,10 @@
 	ErrBadManifest = errors.ConstError("manifest is not valid")
 	// ErrChunkMismatch means that a chunk's size or digest does not match the
 	// manifest.
-	ErrChunkMismatch = errors.ConstError("chunk does not match the manifest")
+	ErrChunkMismatch = errors.ConstError("chunk does not match its digest")
 	// ErrInvalidTransition means that a copy's state does not allow the
 	// requested operation.
-	ErrInvalidTransition = errors.ConstError("invalid state transition of a copy")
+	ErrInvalidTransition = errors.ConstError("copy cannot make this move")
 )
 
 // MaxChunks is the maximum number of chunks of a version. It bounds the size of
@@ -139,7 +139,7 @@
 		return errors.WithType(errors.Errorf("%s has no chunk %d", m.Ref, i), ErrChunkMismatch)
 	}
 	if size != m.Size(i) || sum != m.Chunks[i] {
-		return errors.WithType(errors.Errorf("size or digest of chunk %d of %s does not match the manifest", i, m.Ref), ErrChunkMismatch)
+		return errors.WithType(errors.Errorf("chunk %d of %s", i, m.Ref), ErrChunkMismatch)
 	}
 	return nil
 }
