--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -53,7 +53,7 @@
 // UnmarshalText decodes an ID in hex.
 func (id *ID) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(id) {
-		return errors.NotValidf("request identity %q", text)
+		return errors.NotValidf("identity %q", text)
 	}
 	_, err := hex.Decode(id[:], text)
 	return errors.Trace(err)
