--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -33,23 +33,23 @@
 
 // Sizes of the demo.
 const (
-	engines     = 6
-	gateways    = 2
-	model       = "celeste-draft"
-	school      = "liceo-salto"
-	modelBytes  = 24 << 20
-	chunkBytes  = 128 << 10
-	originRate  = 12 << 20
-	boxRate     = 6 << 20
-	corruptEach = 60
-	callers     = 4
-	stepTimeout = 40 * time.Second
+	engineCount  = 6
+	gatewayCount = 2
+	model        = "celeste-draft"
+	workspace    = "liceo-salto"
+	modelBytes   = 24 << 20
+	chunkBytes   = 128 << 10
+	originRate   = 12 << 20
+	boxRate      = 6 << 20
+	corruptEvery = 60
+	callerCount  = 4
+	stepTimeout  = 40 * time.Second
 )
 
 type demo struct {
 	out        io.Writer
 	lab        *lab.Lab
-	began      time.Time
+	started    time.Time
 	violations []invariant.Violation
 	figures    []string
 	fences     map[string][]int64
@@ -57,12 +57,12 @@
 
 // Run plays the demo and prints it to out; logs go to logTo if it is set.
 func Run(ctx context.Context, out, logTo io.Writer) error {
-	d := &demo{out: out, began: time.Now(), fences: make(map[string][]int64)}
+	d := &demo{out: out, started: time.Now(), fences: make(map[string][]int64)}
 	if err := d.start(logTo); err != nil {
 		return err
 	}
 	defer d.lab.Close()
-	steps := []func(context.Context) error{d.prepare, d.first, d.answer, d.change, d.death, d.once, d.service}
+	steps := []func(context.Context) error{d.prepare, d.firstVersion, d.firstResponse, d.versionChange, d.boxCrash, d.sameKey, d.plainService}
 	for _, step := range steps {
 		ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 		err := step(ctx)
@@ -71,21 +71,21 @@
 			return err
 		}
 	}
-	return d.end()
+	return d.printSummary()
 }
 
-func (d *demo) say(format string, args ...any) {
-	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
+func (d *demo) printf(format string, args ...any) {
+	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (d *demo) figure(format string, args ...any) {
+func (d *demo) addFigure(format string, args ...any) {
 	d.figures = append(d.figures, fmt.Sprintf(format, args...))
 }
 
 func (d *demo) start(logTo io.Writer) error {
 	l, err := lab.Start(lab.Config{
-		Gateways:     gateways,
-		Engines:      engines,
+		Gateways:     gatewayCount,
+		Engines:      engineCount,
 		Services:     2,
 		ChecksFences: true,
 		EngineMemory: 3 * modelBytes,
@@ -95,70 +95,70 @@
 			{Region: "salto", Zone: "salto-1"},
 			{Region: "maldonado", Zone: "maldonado-1"},
 		},
-		Links: settings.Links{Origin: originRate, Box: boxRate},
-		LogTo: logTo,
+		Links:     settings.Links{Origin: originRate, Box: boxRate},
+		LogOutput: logTo,
 	})
 	if err != nil {
 		return err
 	}
 	d.lab = l
 	for _, version := range []string{"v1", "v2", "v3"} {
-		l.Store.Publish(standin.NewManifest(ref(version), modelBytes, chunkBytes))
+		l.Store.Publish(standin.NewManifest(modelRef(version), modelBytes, chunkBytes))
 	}
 	return nil
 }
 
-func ref(version string) weights.Ref { return weights.Ref{Model: model, Version: version} }
+func modelRef(version string) weights.Ref { return weights.Ref{Model: model, Version: version} }
 
 func (d *demo) prepare(ctx context.Context) error {
-	d.say("%d gateways, %d model engines and 2 plain services in 3 regions, each with its sidecar, on 127.0.0.1", gateways, engines)
-	if err := d.lab.AwaitBoxes(ctx, engines+2); err != nil {
+	d.printf("%d gateways, %d model engines and 2 plain services in 3 regions, each with its sidecar, on 127.0.0.1", gatewayCount, engineCount)
+	if err := d.lab.AwaitBoxes(ctx, engineCount+2); err != nil {
 		return err
 	}
-	if err := d.lab.AddWorkspace(ctx, school, 40, 2); err != nil {
+	if err := d.lab.AddWorkspace(ctx, workspace, 40, 2); err != nil {
 		return err
 	}
-	d.say("workspace %s added: priority 40, floor 2", school)
+	d.printf("workspace %s added: priority 40, floor 2", workspace)
 	return nil
 }
 
 // rollout takes a version from an intent to a confirmed plan.
 func (d *demo) rollout(ctx context.Context, version string) (*intent.Plan, error) {
 	api := d.lab.Admin(0)
-	in := intent.Intent{Ref: ref(version), Workspaces: []string{school}, Weighing: intent.OriginBytes}
-	d.say("intent: %s shall serve %s", in.Ref, school)
+	in := intent.Intent{Ref: modelRef(version), Workspaces: []string{workspace}, Weighing: intent.OriginBytes}
+	d.printf("intent: %s shall serve %s", in.Ref, workspace)
 	p, err := api.CreateIntent(ctx, in)
 	if err != nil {
 		return nil, err
 	}
 	for _, f := range p.Forecasts {
-		d.say("plan %.8s, %s: %v to %d replicas, %.2f copies from the origin", p.ID, f.Weighing, f.TimeToReplicas.Round(10*time.Millisecond), len(p.Steps), float64(f.OriginBytes)/float64(p.Bytes))
+		d.printf("plan %.8s, %s: %v to %d replicas, %.2f copies from the origin", p.ID, f.Weighing, f.TimeToReplicas.Round(10*time.Millisecond), len(p.Steps), float64(f.OriginBytes)/float64(p.Bytes))
 	}
 	p, err = d.lab.Admin(1).Confirm(ctx, p.ID)
 	if err != nil {
 		return nil, err
 	}
-	d.say("confirmed through the other gateway, fence %d", p.Fence)
+	d.printf("confirmed through the other gateway, fence %d", p.Fence)
 	return p, nil
 }
 
 // watch prints a plan's progress until it is done.
-func (d *demo) watch(ctx context.Context, p *intent.Plan, then func(*admin.Progress)) (*admin.Progress, error) {
+func (d *demo) awaitPlan(ctx context.Context, p *intent.Plan, then func(*admin.Progress)) (*admin.Progress, error) {
 	ask := func(ctx context.Context) (*admin.Progress, error) { return d.lab.Admin(0).Progress(ctx, p.ID) }
-	return d.await(ctx, ask, then)
+	return d.poll(ctx, ask, then)
 }
 
 // await asks until what is asked for is done. An answer that does not come is
 // asked for again: beside other work a machine may keep a dial waiting for
 // longer than its time-out.
-func (d *demo) await(ctx context.Context, ask func(context.Context) (*admin.Progress, error), then func(*admin.Progress)) (*admin.Progress, error) {
+func (d *demo) poll(ctx context.Context, ask func(context.Context) (*admin.Progress, error), then func(*admin.Progress)) (*admin.Progress, error) {
 	const every = 250 * time.Millisecond
 	last := ""
 	for {
 		now, err := ask(ctx)
 		line := progressLine(now, err)
 		if line != last {
-			d.say("%s", line)
+			d.printf("%s", line)
 			last = line
 		}
 		if err == nil && then != nil {
@@ -187,20 +187,20 @@
 func copies(n int64) float64 { return float64(n) / modelBytes }
 
 // first brings the first version to all boxes.
-func (d *demo) first(ctx context.Context) error {
+func (d *demo) firstVersion(ctx context.Context) error {
 	before := d.lab.Store.OriginBytes()
 	p, err := d.rollout(ctx, "v1")
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	done, err := d.watch(ctx, p, nil)
+	done, err := d.awaitPlan(ctx, p, nil)
 	if err != nil {
 		return err
 	}
 	sent := d.lab.Store.OriginBytes() - before
 	d.violations = append(d.violations, invariant.Origin(sent, modelBytes, 1.5)...)
-	d.figure("first version: %d replicas in %.2f s; origin %.3f copies, across regions %.3f copies", done.Serving, time.Since(began).Seconds(), copies(sent), copies(done.CrossBytes))
+	d.addFigure("first version: %d replicas in %.2f s; origin %.3f copies, across regions %.3f copies", done.Serving, time.Since(began).Seconds(), copies(sent), copies(done.CrossBytes))
 	return nil
 }
 
@@ -213,14 +213,14 @@
 }
 
 // answer waits for the first streamed answer.
-func (d *demo) answer(ctx context.Context) error {
+func (d *demo) firstResponse(ctx context.Context) error {
 	for {
-		r, err := ask(ctx, d.callers()[0], lab.WorkspaceKey(school), model, "")
+		r, err := chat(ctx, d.callers()[0], lab.WorkspaceKey(workspace), model, "")
 		if err != nil {
 			return err
 		}
 		if r.outcome == outcome.Completed {
-			d.say("first streamed answer by %s, first token after %v: %.60s...", r.version, r.first.Round(time.Millisecond), r.text)
+			d.printf("first streamed answer by %s, first token after %v: %.60s...", r.version, r.firstToken.Round(time.Millisecond), r.text)
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -229,31 +229,31 @@
 
 // change rolls the second version out under traffic, with chunks spoiled on
 // the way.
-func (d *demo) change(ctx context.Context) error {
-	d.lab.Store.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEach})
-	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEach})
-	d.say("from now on every %dth chunk of the origin and of box %s is spoiled", corruptEach, d.lab.Boxes[0].Entry.ID)
-	t := startTraffic(d.callers(), lab.WorkspaceKey(school), model, callers)
+func (d *demo) versionChange(ctx context.Context) error {
+	d.lab.Store.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
+	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
+	d.printf("from now on every %dth chunk of the origin and of box %s is spoiled", corruptEvery, d.lab.Boxes[0].Entry.ID)
+	t := startTraffic(d.callers(), lab.WorkspaceKey(workspace), model, callerCount)
 	p, err := d.rollout(ctx, "v2")
 	if err != nil {
 		return err
 	}
-	done, err := d.watch(ctx, p, nil)
+	done, err := d.awaitPlan(ctx, p, nil)
 	if err != nil {
 		return err
 	}
 	time.Sleep(time.Second)
-	t.end()
-	d.say("version change under traffic: %d requests, %d failed, by version %v", t.sent, len(t.failed), t.versions)
-	d.figure("version change under traffic: %d requests, %d failed, %d bad chunks thrown away", t.sent, len(t.failed), done.BadChunks)
-	d.judge(t)
-	if t.versions[ref("v2").String()] == 0 {
+	t.wait()
+	d.printf("version change under traffic: %d requests, %d failed, by version %v", t.sent, len(t.failed), t.versions)
+	d.addFigure("version change under traffic: %d requests, %d failed, %d bad chunks thrown away", t.sent, len(t.failed), done.BadChunks)
+	d.checkTraffic(t)
+	if t.versions[modelRef("v2").String()] == 0 {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.NoRevert, Detail: "no request was answered by v2"})
 	}
 	return nil
 }
 
-func (d *demo) judge(t *traffic) {
+func (d *demo) checkTraffic(t *traffic) {
 	d.violations = append(d.violations, t.violations...)
 	for _, f := range t.failed {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: f})
@@ -263,28 +263,28 @@
 // death rolls the third version out and kills a box while chunks move.
 // Traffic goes on; a request that ran on the dead box may be sent again,
 // since it is repeatable.
-func (d *demo) death(ctx context.Context) error {
+func (d *demo) boxCrash(ctx context.Context) error {
 	d.lab.Store.Faults.Set(standin.FaultSettings{})
 	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{})
 	p, err := d.rollout(ctx, "v3")
 	if err != nil {
 		return err
 	}
-	victim := d.lab.Boxes[engines-1]
+	victim := d.lab.Boxes[engineCount-1]
 	killed := false
 	began := time.Now()
-	done, err := d.watch(ctx, p, func(now *admin.Progress) {
+	done, err := d.awaitPlan(ctx, p, func(now *admin.Progress) {
 		if !killed && now.PeerBytes > modelBytes {
 			killed = true
-			d.say("box %s dies", victim.Entry.ID)
+			d.printf("box %s dies", victim.Entry.ID)
 			d.lab.KillBox(victim, true)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	d.say("all %d living boxes serve %s", done.Serving, ref("v3"))
-	d.figure("box killed in flight: %d living replicas in %.2f s", done.Serving, time.Since(began).Seconds())
+	d.printf("all %d living boxes serve %s", done.Serving, modelRef("v3"))
+	d.addFigure("box killed in flight: %d living replicas in %.2f s", done.Serving, time.Since(began).Seconds())
 	if !killed {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeVersion, Detail: "the box was not killed in flight, so nothing was shown"})
 	}
@@ -293,16 +293,16 @@
 
 // once sends one request that is not repeatable through both gateways at
 // the same moment, and again afterwards.
-func (d *demo) once(ctx context.Context) error {
+func (d *demo) sameKey(ctx context.Context) error {
 	key := uuid.Must(uuid.NewV7()).String()
 	var wg sync.WaitGroup
-	replies := make([]reply, 2*gateways)
+	replies := make([]response, 2*gatewayCount)
 	errs := make([]error, len(replies))
 	for i := range replies {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			replies[i], errs[i] = ask(ctx, d.callers()[i%gateways], lab.WorkspaceKey(school), model, key)
+			replies[i], errs[i] = chat(ctx, d.callers()[i%gatewayCount], lab.WorkspaceKey(workspace), model, key)
 		}()
 	}
 	wg.Wait()
@@ -320,8 +320,8 @@
 			runs++
 		}
 	}
-	d.say("one request that must not run twice, sent %d times at once through %d gateways: ran %d times, callers were told %v", len(replies), gateways, runs, said)
-	d.figure("not repeatable, sent %d times: ran %d times", len(replies), runs)
+	d.printf("one request that must not run twice, sent %d times at once through %d gateways: ran %d times, callers were told %v", len(replies), gatewayCount, runs, said)
+	d.addFigure("not repeatable, sent %d times: ran %d times", len(replies), runs)
 	if runs != 1 {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.AtMostOnce, Detail: fmt.Sprintf("ran %d times, want once", runs)})
 	}
@@ -338,12 +338,12 @@
 }
 
 // service calls a plain service.
-func (d *demo) service(ctx context.Context) error {
-	r, err := callService(ctx, d.callers()[0], lab.WorkspaceKey(school), lab.ServiceName, `{"page":12}`)
+func (d *demo) plainService(ctx context.Context) error {
+	r, err := callService(ctx, d.callers()[0], lab.WorkspaceKey(workspace), lab.ServiceName, `{"page":12}`)
 	if err != nil {
 		return err
 	}
-	d.say("plain service %s answered %s: %s", lab.ServiceName, r.outcome, r.text)
+	d.printf("plain service %s answered %s: %s", lab.ServiceName, r.outcome, r.text)
 	if r.outcome != outcome.Completed {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: "service: " + r.text})
 	}
@@ -364,7 +364,7 @@
 }
 
 // end prints the figures and the verdict.
-func (d *demo) end() error {
+func (d *demo) printSummary() error {
 	runs := d.journal()
 	d.violations = append(d.violations, invariant.Journal(runs)...)
 	fmt.Fprintln(d.out, "\nfigures of this run")
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -18,12 +18,12 @@
 
 // One answer that does not come, as on a machine that is busy, ends nothing; a
 // plan that is never done does.
-func TestAnAnswerThatDoesNotComeIsAskedForAgain(t *testing.T) {
+func TestPollRetriesFailedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		d := &demo{out: &out, began: time.Now()}
+		d := &demo{out: &out, started: time.Now()}
 		asked := 0
-		got, err := d.await(t.Context(), func(context.Context) (*admin.Progress, error) {
+		got, err := d.poll(t.Context(), func(context.Context) (*admin.Progress, error) {
 			asked++
 			if asked == 2 {
 				return nil, errors.New("dial: i/o timeout")
@@ -40,7 +40,7 @@
 
 		ctx, cancel := context.WithTimeout(t.Context(), stepTimeout)
 		defer cancel()
-		_, err = d.await(ctx, func(context.Context) (*admin.Progress, error) { return nil, errors.New("gone") }, nil)
+		_, err = d.poll(ctx, func(context.Context) (*admin.Progress, error) { return nil, errors.New("gone") }, nil)
 		assert.ErrorContains(t, err, "gone")
 	})
 }
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -19,16 +19,16 @@
 )
 
 // tokens is the length of the demo's answers.
-const tokens = 8
+const tokenCount = 8
 
 // reply is what a caller got.
-type reply struct {
-	request string
-	version string
-	outcome outcome.Outcome
-	status  int
-	text    string
-	first   time.Duration
+type response struct {
+	request    string
+	version    string
+	outcome    outcome.Outcome
+	status     int
+	text       string
+	firstToken time.Duration
 }
 
 // streamEvent is what a caller reads of an event.
@@ -42,11 +42,11 @@
 }
 
 // ask sends one streamed chat completion, as a caller would.
-func ask(ctx context.Context, address, key, model, once string) (reply, error) {
-	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokens)
+func chat(ctx context.Context, address, key, model, once string) (response, error) {
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokenCount)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	if once != "" {
@@ -55,10 +55,10 @@
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
-	r := reply{
+	r := response{
 		request: resp.Header.Get(peer.HeaderRequest),
 		version: resp.Header.Get(peer.HeaderVersion),
 		outcome: outcome.Outcome(resp.Header.Get(peer.HeaderOutcome)),
@@ -69,11 +69,11 @@
 		r.text = string(b)
 		return r, err
 	}
-	return r, r.read(resp.Body, began)
+	return r, r.readStream(resp.Body, began)
 }
 
 // read collects a stream's text up to its end.
-func (r *reply) read(body io.Reader, began time.Time) error {
+func (r *response) readStream(body io.Reader, began time.Time) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -92,8 +92,8 @@
 			r.outcome = e.Error.Outcome
 			return nil
 		}
-		if r.first == 0 {
-			r.first = time.Since(began)
+		if r.firstToken == 0 {
+			r.firstToken = time.Since(began)
 		}
 		for _, c := range e.Choices {
 			r.text += c.Delta.Content
@@ -122,15 +122,15 @@
 		go func() {
 			defer t.callers.Done()
 			for n := i; ctx.Err() == nil; n++ {
-				r, err := ask(context.WithoutCancel(ctx), gateways[n%len(gateways)], key, model, "")
-				t.note(r, err)
+				r, err := chat(context.WithoutCancel(ctx), gateways[n%len(gateways)], key, model, "")
+				t.record(r, err)
 			}
 		}()
 	}
 	return t
 }
 
-func (t *traffic) note(r reply, err error) {
+func (t *traffic) record(r response, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent++
@@ -139,29 +139,29 @@
 		return
 	}
 	t.versions[r.version]++
-	t.violations = append(t.violations, invariant.Answer(r.text, r.version, r.request, tokens)...)
+	t.violations = append(t.violations, invariant.Answer(r.text, r.version, r.request, tokenCount)...)
 }
 
 // end stops the callers after the answers in progress.
-func (t *traffic) end() {
+func (t *traffic) wait() {
 	t.stop()
 	t.callers.Wait()
 }
 
 // callService sends one call to a plain service.
-func callService(ctx context.Context, address, key, service, body string) (reply, error) {
+func callService(ctx context.Context, address, key, service, body string) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/services/"+service+"/pages", strings.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	return reply{
+	return response{
 		request: resp.Header.Get(peer.HeaderRequest),
 		outcome: outcome.Outcome(resp.Header.Get(peer.HeaderOutcome)),
 		status:  resp.StatusCode,
--- a/internal/lab/copy_test.go
+++ b/internal/lab/copy_test.go
@@ -35,7 +35,7 @@
 		t.Skip("set " + measureCopyEnv + "=1 to measure")
 	}
 	const sidecars, size, chunk = 48, 256 << 20, 1 << 20
-	l, ctx := start(t, Config{Gateways: 1, Engines: sidecars})
+	l, ctx := startLab(t, Config{Gateways: 1, Engines: sidecars})
 	for _, b := range l.Boxes {
 		b.Engine.Forget = true
 	}
@@ -59,7 +59,7 @@
 
 // bareCopy sends n bytes over one TCP connection and sums them.
 func bareCopy(t *testing.T, n int64) (gb float64, took, used time.Duration) {
-	ln, err := net.Listen("tcp", loopback)
+	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
 	defer ln.Close()
 	go func() {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -33,7 +33,7 @@
 const OperatorKey = "lab-operator-key-0123456789"
 
 // loopback binds any port.
-const loopback = "127.0.0.1:0"
+const anyLoopbackPort = "127.0.0.1:0"
 
 // Config describes a lab.
 type Config struct {
@@ -49,8 +49,8 @@
 	// Links are put into the settings; the origin is held to Links.Origin.
 	Links settings.Links
 	// LogTo receives the daemons' logs; nil drops them.
-	LogTo io.Writer
-	Level string
+	LogOutput io.Writer
+	LogLevel  string
 	// GatewaySettings and SidecarSettings may change the settings before a
 	// start.
 	GatewaySettings func(*settings.Gateway)
@@ -71,7 +71,7 @@
 	Config
 	Log      *standin.Log
 	Store    *standin.Store
-	List     *standin.BoxList
+	BoxList  *standin.BoxList
 	Gateways []*gateway.Daemon
 	Boxes    []*Box
 
@@ -79,8 +79,8 @@
 	servers  []*standin.Server
 	platform settings.Platform
 	dir      string
-	first    []membership.Box // on the list once all have started
-	up       bool
+	initial  []membership.Box // on the list once all have started
+	started  bool
 }
 
 // ServiceName is the plain service of a lab.
@@ -92,9 +92,9 @@
 	if len(c.Zones) == 0 {
 		c.Zones = []membership.AvailabilityZone{{Region: "r1", Zone: "a"}}
 	}
-	l := &Lab{Config: c, Log: standin.NewLog(), Store: standin.NewStore(c.Links.Origin), List: new(standin.BoxList), log: logr.Discard()}
-	if c.LogTo != nil {
-		l.log = telemetry.NewLogger(c.LogTo, telemetry.LogSettings{Level: cmp.Or(c.Level, telemetry.LevelInfo)})
+	l := &Lab{Config: c, Log: standin.NewLog(), Store: standin.NewStore(c.Links.Origin), BoxList: new(standin.BoxList), log: logr.Discard()}
+	if c.LogOutput != nil {
+		l.log = telemetry.NewLogger(c.LogOutput, telemetry.LogSettings{Level: cmp.Or(c.LogLevel, telemetry.LevelInfo)})
 	}
 	if err := l.start(); err != nil {
 		l.Close()
@@ -130,27 +130,27 @@
 			return err
 		}
 	}
-	l.List.Set(l.first)
-	l.up = true
+	l.BoxList.Set(l.initial)
+	l.started = true
 	return nil
 }
 
 // list puts a box on the box list; those of the start come all at once, as
 // when a deployment is brought up.
-func (l *Lab) list(b membership.Box) {
-	if l.up {
-		l.List.Put(b)
+func (l *Lab) publish(b membership.Box) {
+	if l.started {
+		l.BoxList.Put(b)
 		return
 	}
-	l.first = append(l.first, b)
+	l.initial = append(l.initial, b)
 }
 
 func (l *Lab) keyFile() string { return filepath.Join(l.dir, "operator.key") }
 
 func (l *Lab) startPlatform() error {
 	addresses := make([]string, 3)
-	for i, h := range []http.Handler{l.Log.Handler(), l.Store.Handler(), l.List.Handler()} {
-		s, err := standin.Serve(loopback, h)
+	for i, h := range []http.Handler{l.Log.Handler(), l.Store.Handler(), l.BoxList.Handler()} {
+		s, err := standin.Serve(anyLoopbackPort, h)
 		if err != nil {
 			return err
 		}
@@ -163,7 +163,7 @@
 
 func (l *Lab) zone(i int) membership.AvailabilityZone { return l.Zones[i%len(l.Zones)] }
 
-func node(box string, z membership.AvailabilityZone) settings.Node {
+func nodeSettings(box string, z membership.AvailabilityZone) settings.Node {
 	return settings.Node{Box: box, Region: z.Region, Zone: z.Zone}
 }
 
@@ -171,8 +171,8 @@
 func (l *Lab) AddGateway(box string) error {
 	z := l.zone(len(l.Gateways))
 	s := settings.DefaultGateway()
-	s.Node, s.Platform, s.Links = node(box, z), l.platform, l.Links
-	s.CallerListen, s.AdminListen, s.PeerListen = loopback, loopback, loopback
+	s.Node, s.Platform, s.Links = nodeSettings(box, z), l.platform, l.Links
+	s.CallerListen, s.AdminListen, s.PeerListen = anyLoopbackPort, anyLoopbackPort, anyLoopbackPort
 	s.OperatorKeyFile = l.keyFile()
 	if l.GatewaySettings != nil {
 		l.GatewaySettings(&s)
@@ -182,7 +182,7 @@
 		return err
 	}
 	l.Gateways = append(l.Gateways, g)
-	l.list(membership.Box{ID: box, Zone: z, Role: membership.Gateway, Address: g.PeerAddress(), State: membership.Live})
+	l.publish(membership.Box{ID: box, Zone: z, Role: membership.Gateway, Address: g.PeerAddress(), State: membership.Live})
 	return nil
 }
 
@@ -201,7 +201,7 @@
 		h = b.Service.Handler()
 	}
 	var err error
-	if b.endpoint, err = standin.Serve(loopback, h); err != nil {
+	if b.endpoint, err = standin.Serve(anyLoopbackPort, h); err != nil {
 		return err
 	}
 	l.Boxes = append(l.Boxes, b)
@@ -211,8 +211,8 @@
 // StartSidecar starts a sidecar for a box, after the former one ended.
 func (l *Lab) StartSidecar(b *Box) error {
 	s := settings.DefaultSidecar()
-	s.Node, s.Platform, s.Links = node(b.Entry.ID, b.Entry.Zone), l.platform, l.Links
-	s.PeerListen, s.Endpoint, s.Service = loopback, b.endpoint.Address(), b.Entry.Service
+	s.Node, s.Platform, s.Links = nodeSettings(b.Entry.ID, b.Entry.Zone), l.platform, l.Links
+	s.PeerListen, s.Endpoint, s.Service = anyLoopbackPort, b.endpoint.Address(), b.Entry.Service
 	if l.SidecarSettings != nil {
 		l.SidecarSettings(&s)
 	}
@@ -222,7 +222,7 @@
 	}
 	b.Sidecar = d
 	b.Entry.Address = d.Address()
-	l.list(b.Entry)
+	l.publish(b.Entry)
 	return nil
 }
 
@@ -233,7 +233,7 @@
 	b.Sidecar.Kill()
 	b.Sidecar = nil
 	if delist {
-		l.List.Remove(b.Entry.ID)
+		l.BoxList.Remove(b.Entry.ID)
 	}
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,7 +20,7 @@
 
 var v1 = weights.Ref{Model: "celeste-draft", Version: "v1"}
 
-func start(t *testing.T, c Config) (*Lab, context.Context) {
+func startLab(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
 	l, err := Start(c)
 	assert.NilError(t, err)
@@ -48,7 +48,7 @@
 
 // TestWholePath takes an operator's intent to a caller's streamed answer.
 func TestWholePath(t *testing.T) {
-	l, ctx := start(t, Config{Gateways: 2, Engines: 6, ChecksFences: true, Zones: []membership.AvailabilityZone{{Region: "r1", Zone: "a"}, {Region: "r2", Zone: "b"}}})
+	l, ctx := startLab(t, Config{Gateways: 2, Engines: 6, ChecksFences: true, Zones: []membership.AvailabilityZone{{Region: "r1", Zone: "a"}, {Region: "r2", Zone: "b"}}})
 	l.Store.Publish(standin.NewManifest(v1, 4<<20, 64<<10))
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 1))
 	p, err := l.Rollout(ctx, intent.Intent{Ref: v1, Workspaces: []string{"liceo"}, Weighing: intent.OriginBytes})
--- a/internal/lab/load_test.go
+++ b/internal/lab/load_test.go
@@ -32,12 +32,12 @@
 	loadCapacity = loadEngines * loadSlots * 10
 )
 
-var prices = map[string]int{"high": 90, "middle": 50, "low": 10}
+var priorities = map[string]int{"high": 90, "middle": 50, "low": 10}
 
 // loaded starts a lab with three workspaces of different prices.
-func loaded(t *testing.T) (*Lab, context.Context) {
+func startForLoad(t *testing.T) (*Lab, context.Context) {
 	t.Helper()
-	l, ctx := start(t, Config{
+	l, ctx := startLab(t, Config{
 		Gateways:        2,
 		Engines:         loadEngines,
 		TokenTime:       5 * time.Millisecond,
@@ -46,7 +46,7 @@
 	l.Store.Publish(standin.NewManifest(v1, 256<<10, 64<<10))
 	names := []string{"liceo"}
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
-	for name, price := range prices {
+	for name, price := range priorities {
 		assert.NilError(t, l.AddWorkspace(ctx, name, price, 0))
 		names = append(names, name)
 	}
@@ -54,11 +54,11 @@
 	assert.NilError(t, err)
 	_, err = l.AwaitDone(ctx, p.ID)
 	assert.NilError(t, err)
-	l.awaitServed(t)
+	l.awaitServing(t)
 	return l, ctx
 }
 
-func (l *Lab) mix(rate, seconds float64, shares map[string]float64) load.Mix {
+func (l *Lab) loadMix(rate, seconds float64, shares map[string]float64) load.Mix {
 	m := load.Mix{Name: "lab", Rate: rate, Seconds: seconds, Seed: 7}
 	for _, g := range l.Gateways {
 		m.Targets = append(m.Targets, g.CallerAddress())
@@ -85,13 +85,13 @@
 	return out
 }
 
-var usualShares = map[string]float64{"high": 2, "middle": 3, "low": 5}
+var mixedShares = map[string]float64{"high": 2, "middle": 3, "low": 5}
 
 // TestOverloadShedsTheLowestPrice sends twice what the engines can do: the
 // lowest price is shed, the highest goes through, every refusal is true.
-func TestOverloadShedsTheLowestPrice(t *testing.T) {
-	l, ctx := loaded(t)
-	r, err := load.Run(ctx, l.mix(2*loadCapacity, 4, usualShares))
+func TestOverloadShedsLowestPriority(t *testing.T) {
+	l, ctx := startForLoad(t)
+	r, err := load.Run(ctx, l.loadMix(2*loadCapacity, 4, mixedShares))
 	assert.NilError(t, err)
 	assert.NilError(t, r.Print(os.Stdout))
 	high, low := r.Classes[0], r.Classes[2]
@@ -120,10 +120,10 @@
 		t.Skip("set " + measureEnv + "=1 to measure")
 	}
 	const seconds = 8
-	l, ctx := loaded(t)
+	l, ctx := startForLoad(t)
 	var rows []loadRow
 	for _, factor := range []float64{0.5, 0.8, 1.2, 2} {
-		r, err := load.Run(ctx, l.mix(factor*loadCapacity, seconds, usualShares))
+		r, err := load.Run(ctx, l.loadMix(factor*loadCapacity, seconds, mixedShares))
 		assert.NilError(t, err)
 		row := loadRow{Load: factor, P95: map[string]float64{}, Refused: map[string]float64{}}
 		done := 0
@@ -139,14 +139,14 @@
 	assert.NilError(t, err)
 	t.Logf("load\n%s", b)
 
-	quiet, err := load.Run(ctx, l.mix(20, seconds, map[string]float64{"middle": 1}))
+	quiet, err := load.Run(ctx, l.loadMix(20, seconds, map[string]float64{"middle": 1}))
 	assert.NilError(t, err)
 	flood := make(chan load.Report, 1)
 	go func() {
-		r, _ := load.Run(ctx, l.mix(2*loadCapacity, seconds, map[string]float64{"low": 1}))
+		r, _ := load.Run(ctx, l.loadMix(2*loadCapacity, seconds, map[string]float64{"low": 1}))
 		flood <- r
 	}()
-	beside, err := load.Run(ctx, l.mix(20, seconds, map[string]float64{"middle": 1}))
+	beside, err := load.Run(ctx, l.loadMix(20, seconds, map[string]float64{"middle": 1}))
 	assert.NilError(t, err)
 	<-flood
 	t.Logf("quiet workspace, first token p95: alone %.1f ms, beside a flood of 2x capacity %.1f ms (total p95 %.1f and %.1f ms)", quiet.Classes[0].FirstToken.P95, beside.Classes[0].FirstToken.P95, quiet.Classes[0].Total.P95, beside.Classes[0].Total.P95)
--- a/internal/lab/log_test.go
+++ b/internal/lab/log_test.go
@@ -20,7 +20,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-func code(err error) admin.Code {
+func errorCode(err error) admin.Code {
 	var e *admin.Error
 	if errors.As(err, &e) {
 		return e.Code
@@ -31,8 +31,8 @@
 // TestOperatorsRace has two operators confirm plans over the same boxes at
 // the same moment through two gateways, while answers of the log are lost:
 // one wins, the other gets a reason and a fresh plan.
-func TestOperatorsRace(t *testing.T) {
-	l, ctx := start(t, Config{Gateways: 2, Engines: 2})
+func TestConcurrentConfirm(t *testing.T) {
+	l, ctx := startLab(t, Config{Gateways: 2, Engines: 2})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
 	for round := range 5 {
 		var plans []*intent.Plan
@@ -43,7 +43,7 @@
 			assert.NilError(t, err)
 			plans = append(plans, p)
 		}
-		l.Log.Faults.Set(standin.FaultSettings{LoseAnswers: 2})
+		l.Log.Faults.Set(standin.FaultSettings{DropResponses: 2})
 		errs := make(chan error, 2)
 		for i := range 2 {
 			go func() {
@@ -56,7 +56,7 @@
 			a, b = b, a
 		}
 		assert.NilError(t, a, "nobody won")
-		assert.Equal(t, code(b), admin.CodeConflict, "%v", b)
+		assert.Equal(t, errorCode(b), admin.CodeConflict, "%v", b)
 		var lost *admin.Error
 		assert.Assert(t, errors.As(b, &lost))
 		assert.Assert(t, lost.Plan != nil && lost.Plan.Status == intent.Proposed, "no fresh plan")
@@ -76,7 +76,7 @@
 
 // TestPlanErrors gives operators' mistakes clear errors, and moves nothing.
 func TestPlanErrors(t *testing.T) {
-	l, ctx := start(t, Config{Gateways: 1, Engines: 2, EngineMemory: 1 << 20})
+	l, ctx := startLab(t, Config{Gateways: 1, Engines: 2, EngineMemory: 1 << 20})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
 	l.Store.Publish(standin.NewManifest(v1, 256<<10, 64<<10))
 	broken := weights.Ref{Model: "m", Version: "broken"}
@@ -88,20 +88,20 @@
 		_, err := api.CreateIntent(ctx, intent.Intent{Ref: ref, Workspaces: []string{ws}, Zones: zones})
 		return err
 	}
-	assert.Equal(t, code(create(weights.Ref{Model: "none", Version: "v1"}, "liceo")), admin.CodeNotFound)
-	assert.Equal(t, code(create(v1, "nobody")), admin.CodeNotFound)
-	assert.Equal(t, code(create(broken, "liceo")), admin.CodeBadManifest)
-	assert.Equal(t, code(create(huge, "liceo")), admin.CodeMemory)
-	assert.Equal(t, code(create(v1, "liceo", "no-such-zone")), admin.CodeNoBoxes)
-	assert.Equal(t, code(create(weights.Ref{}, "liceo")), admin.CodeInvalid)
+	assert.Equal(t, errorCode(create(weights.Ref{Model: "none", Version: "v1"}, "liceo")), admin.CodeNotFound)
+	assert.Equal(t, errorCode(create(v1, "nobody")), admin.CodeNotFound)
+	assert.Equal(t, errorCode(create(broken, "liceo")), admin.CodeBadManifest)
+	assert.Equal(t, errorCode(create(huge, "liceo")), admin.CodeMemory)
+	assert.Equal(t, errorCode(create(v1, "liceo", "no-such-zone")), admin.CodeNoBoxes)
+	assert.Equal(t, errorCode(create(weights.Ref{}, "liceo")), admin.CodeInvalid)
 	p, err := api.CreateIntent(ctx, intent.Intent{Ref: v1, Workspaces: []string{"liceo"}})
 	assert.NilError(t, err)
 	_, err = api.Confirm(ctx, p.ID)
 	assert.NilError(t, err)
 	_, err = api.Confirm(ctx, p.ID)
-	assert.Equal(t, code(err), admin.CodeNotProposed)
+	assert.Equal(t, errorCode(err), admin.CodeNotProposed)
 	_, err = api.Plan(ctx, "no-such-plan")
-	assert.Equal(t, code(err), admin.CodeNotFound)
+	assert.Equal(t, errorCode(err), admin.CodeNotFound)
 	plans, err := api.Plans(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, len(plans), 1, "a refused intent left a plan")
@@ -111,7 +111,7 @@
 // with a reason, a sidecar that starts meanwhile learns the state from its
 // peers, and nothing has reverted afterwards.
 func TestLogOutage(t *testing.T) {
-	l, ctx := served(t, Config{Gateways: 2, Engines: 3})
+	l, ctx := startServing(t, Config{Gateways: 2, Engines: 3})
 	l.Log.Faults.Set(standin.FaultSettings{Down: true})
 	resp, text := chat(t, l, 0, "liceo", v1.Model)
 	assert.Equal(t, resp.StatusCode, http.StatusOK, text)
@@ -119,7 +119,7 @@
 	short, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	err := l.AddWorkspace(short, "otro", 10, 0)
-	assert.Equal(t, code(err), admin.CodeUnavailable, "%v", err)
+	assert.Equal(t, errorCode(err), admin.CodeUnavailable, "%v", err)
 
 	b := l.Boxes[2]
 	b.Sidecar.Kill()
@@ -135,7 +135,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	assert.DeepEqual(t, b.Engine.Orders(), []string{"load " + v1.String()})
-	l.awaitServed(t)
+	l.awaitServing(t)
 
 	l.Log.Faults.Set(standin.FaultSettings{})
 	for l.AddWorkspace(ctx, "otro", 10, 0) != nil {
@@ -148,9 +148,9 @@
 
 // TestLogAnswersOlder makes the log answer as it stood before: nothing that
 // is in force goes away.
-func TestLogAnswersOlder(t *testing.T) {
-	l, ctx := served(t, Config{Gateways: 2, Engines: 2})
-	l.Log.Faults.Set(standin.FaultSettings{ShowOffset: 1})
+func TestStaleLogReads(t *testing.T) {
+	l, ctx := startServing(t, Config{Gateways: 2, Engines: 2})
+	l.Log.Faults.Set(standin.FaultSettings{EndOffset: 1})
 	for range 20 {
 		for g := range 2 {
 			resp, text := chat(t, l, g, "liceo", v1.Model)
@@ -168,8 +168,8 @@
 
 // TestRetention starts a gateway after the log has dropped the first
 // records: it must not skip them in silence.
-func TestRetention(t *testing.T) {
-	l, ctx := start(t, Config{Gateways: 1, Engines: 1})
+func TestStartAfterLogTruncation(t *testing.T) {
+	l, ctx := startLab(t, Config{Gateways: 1, Engines: 1})
 	for i := range state.CheckpointEvery + 50 {
 		assert.NilError(t, l.AddWorkspace(ctx, fmt.Sprintf("w%d", i%40), 1+i%100, 0))
 		time.Sleep(11 * time.Millisecond) // the log takes about a hundred appends a second
@@ -199,8 +199,8 @@
 }
 
 // TestKeysAreAsked refuses callers and operators without a right key.
-func TestKeysAreAsked(t *testing.T) {
-	l, ctx := served(t, Config{Gateways: 1, Engines: 1})
+func TestKeysAreRequired(t *testing.T) {
+	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
 	for key, want := range map[string]int{"": http.StatusUnauthorized, "Bearer wrong-key-of-nobody": http.StatusForbidden} {
 		for _, address := range []string{l.Gateways[0].CallerAddress() + "/v1/models", l.Gateways[0].AdminAddress() + "/admin/v1/status"} {
 			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
--- a/internal/lab/once_test.go
+++ b/internal/lab/once_test.go
@@ -22,16 +22,16 @@
 )
 
 // services starts a lab of plain services that workspace liceo may call.
-func services(t *testing.T, c Config) (*Lab, context.Context) {
+func startServices(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
-	l, ctx := start(t, c)
+	l, ctx := startLab(t, c)
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
-	l.settle(t, ctx, c.Services)
+	l.awaitRouting(t, ctx, c.Services)
 	return l, ctx
 }
 
 // runs joins the journals of the plain services.
-func (l *Lab) runs() []standin.Run {
+func (l *Lab) serviceRuns() []standin.Run {
 	var out []standin.Run
 	for _, b := range l.Boxes {
 		if b.Service != nil {
@@ -41,7 +41,7 @@
 	return out
 }
 
-func ranWith(runs []standin.Run, key string) int {
+func runsWithKey(runs []standin.Run, key string) int {
 	n := 0
 	for _, r := range runs {
 		if r.Key == key {
@@ -71,7 +71,7 @@
 
 // TestSameKeyThroughAllGateways sends each key many times at once.
 func TestSameKeyThroughAllGateways(t *testing.T) {
-	l, _ := services(t, Config{Gateways: 3, Services: 3})
+	l, _ := startServices(t, Config{Gateways: 3, Services: 3})
 	for range 20 {
 		key := newKey()
 		var wg sync.WaitGroup
@@ -79,98 +79,98 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				l.call(t, i%3, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+				l.callService(t, i%3, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 			}()
 		}
 		wg.Wait()
-		assert.Equal(t, ranWith(l.runs(), key), 1)
-		_, again, text := l.call(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+		assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
+		_, again, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 		assert.Equal(t, again, outcome.Completed, text)
-		assert.Equal(t, ranWith(l.runs(), key), 1, "a resend ran")
+		assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1, "a resend ran")
 	}
-	assert.Equal(t, len(invariant.Journal(l.runs())), 0)
+	assert.Equal(t, len(invariant.Journal(l.serviceRuns())), 0)
 }
 
 // TestLostAnswerIsNotRepeated loses the service's answer after the effect,
 // and resends the key.
-func TestLostAnswerIsNotRepeated(t *testing.T) {
-	l, _ := services(t, Config{Gateways: 2, Services: 2})
+func TestLostResponseIsNotRetried(t *testing.T) {
+	l, _ := startServices(t, Config{Gateways: 2, Services: 2})
 	for _, b := range l.Boxes {
-		b.Service.Faults.Set(standin.FaultSettings{LoseAnswers: 10})
+		b.Service.Faults.Set(standin.FaultSettings{DropResponses: 10})
 	}
 	key := newKey()
 	for g := range 2 {
-		_, o, text := l.call(t, g, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+		_, o, text := l.callService(t, g, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 		assert.Equal(t, o, outcome.Unknown, text)
 	}
-	assert.Equal(t, ranWith(l.runs(), key), 1)
+	assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
 }
 
 // TestHomeDies kills a key's home after the request ran: nobody can know
 // any more, and it must not run again.
 func TestHomeDies(t *testing.T) {
-	l, ctx := services(t, Config{Gateways: 2, Services: 3})
+	l, ctx := startServices(t, Config{Gateways: 2, Services: 3})
 	key := newKey()
-	_, o, text := l.call(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+	_, o, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 	assert.Equal(t, o, outcome.Completed, text)
-	before := ranWith(l.runs(), key)
+	before := runsWithKey(l.serviceRuns(), key)
 	home := l.homeOf(key)
 	home.Sidecar.Kill()
-	_, o, text = l.call(t, 1, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+	_, o, text = l.callService(t, 1, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 	assert.Equal(t, o, outcome.Unknown, text)
 
-	l.List.Remove(home.Entry.ID)
+	l.BoxList.Remove(home.Entry.ID)
 	for l.homeOf(key) == home {
 		assert.NilError(t, ctx.Err(), "the dead home stays in the log")
 		time.Sleep(50 * time.Millisecond)
 	}
 	for g := range 2 {
-		_, o, text = l.call(t, g, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+		_, o, text = l.callService(t, g, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 		assert.Equal(t, o, outcome.Unknown, text)
 	}
-	assert.Equal(t, ranWith(l.runs(), key), before, "the new home ran what the dead one had run")
+	assert.Equal(t, runsWithKey(l.serviceRuns(), key), before, "the new home ran what the dead one had run")
 	home.Sidecar = nil
 }
 
 // TestHomeStartedAgain restarts a key's home empty on the same box.
-func TestHomeStartedAgain(t *testing.T) {
-	l, ctx := services(t, Config{Gateways: 2, Services: 2})
+func TestHomeRestarts(t *testing.T) {
+	l, ctx := startServices(t, Config{Gateways: 2, Services: 2})
 	key := newKey()
-	_, o, text := l.call(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+	_, o, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 	assert.Equal(t, o, outcome.Completed, text)
 	home := l.homeOf(key)
 	home.Sidecar.Kill()
 	assert.NilError(t, l.StartSidecar(home))
 	l.awaitIncarnation(t, ctx, home)
 	for range 30 { // until the log names the new incarnation, and after
-		_, o, text = l.call(t, 1, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+		_, o, text = l.callService(t, 1, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 		assert.Equal(t, o, outcome.Unknown, text)
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Equal(t, ranWith(l.runs(), key), 1)
+	assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
 }
 
 // TestReplayGuard kills a reused connection after the endpoint has read a
 // GET that is marked as not repeatable: net/http would send it again by
 // itself.
 func TestReplayGuard(t *testing.T) {
-	d := newDying(t)
-	d.set(diesNever)
-	l, _ := services(t, Config{Gateways: 1, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.Endpoint = d.ln.Addr().String() }})
+	d := newFaultyService(t)
+	d.setCut(cutsNever)
+	l, _ := startServices(t, Config{Gateways: 1, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.Endpoint = d.ln.Addr().String() }})
 	for _, header := range []map[string]string{{"Mintlift-Repeatable": "false"}, {"Idempotency-Key": newKey()}} {
 		for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
-			d.set(diesNever)
+			d.setCut(cutsNever)
 			for range 3 { // idle connections to be reused
-				_, o, text := l.call(t, 0, http.MethodGet, "", nil)
+				_, o, text := l.callService(t, 0, http.MethodGet, "", nil)
 				assert.Equal(t, o, outcome.Completed, text)
 			}
-			d.set(diesAfterBody)
+			d.setCut(cutsAfterRequest)
 			if header["Idempotency-Key"] != "" {
 				header["Idempotency-Key"] = newKey()
 			}
-			_, o, text := l.call(t, 0, method, "", header)
+			_, o, text := l.callService(t, 0, method, "", header)
 			assert.Equal(t, o, outcome.Unknown, text)
-			assert.Equal(t, d.runs(), 1, fmt.Sprintf("%s was sent again", method))
+			assert.Equal(t, d.requestCount(), 1, fmt.Sprintf("%s was sent again", method))
 		}
 	}
 }
@@ -178,10 +178,10 @@
 // TestRefusedIsTrue floods one slow service and checks each "not run"
 // against the service's own count, and that it came at once with a time to
 // come back.
-func TestRefusedIsTrue(t *testing.T) {
-	l, ctx := services(t, Config{Gateways: 2, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.MaxInFlight, s.Queue = 2, 2 }})
-	l.Boxes[0].Service.Time = 200 * time.Millisecond
-	before := len(l.runs())
+func TestRefusedRequestsDidNotRun(t *testing.T) {
+	l, ctx := startServices(t, Config{Gateways: 2, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.MaxInFlight, s.Queue = 2, 2 }})
+	l.Boxes[0].Service.Latency = 200 * time.Millisecond
+	before := len(l.serviceRuns())
 	var mu sync.Mutex
 	var refused []string
 	counts := map[outcome.Outcome]int{}
@@ -218,7 +218,7 @@
 	wg.Wait()
 	assert.Assert(t, counts[outcome.NotRun] > 0, "nothing was refused: %v", counts)
 	assert.Equal(t, counts[outcome.Unknown], 0, "%v", counts)
-	assert.Equal(t, len(invariant.NotRun(refused, l.runs())), 0)
-	assert.Equal(t, len(l.runs())-before, counts[outcome.Completed], "%v", counts)
+	assert.Equal(t, len(invariant.NotRun(refused, l.serviceRuns())), 0)
+	assert.Equal(t, len(l.serviceRuns())-before, counts[outcome.Completed], "%v", counts)
 	t.Logf("outcomes %v", counts)
 }
--- a/internal/lab/outcome_test.go
+++ b/internal/lab/outcome_test.go
@@ -21,38 +21,38 @@
 )
 
 // death is the moment at which a dying endpoint cuts the connection.
-type death string
+type cutPoint string
 
 const (
-	diesClosed    death = "connection refused"
-	diesAtAccept  death = "before the request's bytes"
-	diesInBody    death = "in the middle of the request"
-	diesAfterBody death = "after the request, before the answer"
-	diesAfterHead death = "after the answer's head"
-	diesInAnswer  death = "in the middle of the answer"
-	diesNever     death = "never"
-	answers500    death = "never, answers 500"
+	refusesConnections      cutPoint = "connection refused"
+	cutsBeforeRequest       cutPoint = "before the request's bytes"
+	cutsInRequestBody       cutPoint = "in the middle of the request"
+	cutsAfterRequest        cutPoint = "after the request, before the answer"
+	cutsAfterResponseHeader cutPoint = "after the answer's head"
+	cutsInResponseBody      cutPoint = "in the middle of the answer"
+	cutsNever               cutPoint = "never"
+	responds500             cutPoint = "never, answers 500"
 )
 
 // dying is a plain service over raw TCP that dies when told to.
-type dying struct {
+type faultyService struct {
 	ln net.Listener
 
-	mu   sync.Mutex
-	when death
-	ran  int // requests read whole
+	mu       sync.Mutex
+	cut      cutPoint
+	requests int // requests read whole
 }
 
-func newDying(t *testing.T) *dying {
-	ln, err := net.Listen("tcp", loopback)
+func newFaultyService(t *testing.T) *faultyService {
+	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
-	d := &dying{ln: ln}
+	d := &faultyService{ln: ln}
 	t.Cleanup(func() { _ = ln.Close() })
 	go d.accept()
 	return d
 }
 
-func (d *dying) accept() {
+func (d *faultyService) accept() {
 	for {
 		conn, err := d.ln.Accept()
 		if err != nil {
@@ -62,19 +62,19 @@
 	}
 }
 
-func (d *dying) set(when death) {
+func (d *faultyService) setCut(when cutPoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.when, d.ran = when, 0
+	d.cut, d.requests = when, 0
 }
 
-func (d *dying) runs() int {
+func (d *faultyService) requestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ran
+	return d.requests
 }
 
-func (d *dying) serve(conn net.Conn) {
+func (d *faultyService) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -82,16 +82,16 @@
 			return
 		}
 		d.mu.Lock()
-		when := d.when
+		when := d.cut
 		d.mu.Unlock()
-		if when == diesAtAccept {
+		if when == cutsBeforeRequest {
 			return
 		}
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		if when == diesInBody {
+		if when == cutsInRequestBody {
 			_, _ = io.CopyN(io.Discard, req.Body, 1)
 			return
 		}
@@ -99,21 +99,21 @@
 			return
 		}
 		d.mu.Lock()
-		d.ran++
+		d.requests++
 		d.mu.Unlock()
 		status := "200 OK"
 		switch when {
-		case diesAfterBody:
+		case cutsAfterRequest:
 			return
-		case answers500:
+		case responds500:
 			status = "500 Internal Server Error"
 		}
 		fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 10\r\nX-Request-Id: %s\r\n\r\n", status, req.Header.Get("X-Request-Id"))
-		if when == diesAfterHead {
+		if when == cutsAfterResponseHeader {
 			return
 		}
 		fmt.Fprint(conn, "01234")
-		if when == diesInAnswer {
+		if when == cutsInResponseBody {
 			return
 		}
 		fmt.Fprint(conn, "56789")
@@ -121,7 +121,7 @@
 }
 
 // call sends a request to the lab's plain service.
-func (l *Lab) call(t *testing.T, gateway int, method, body string, header map[string]string) (status int, o outcome.Outcome, text string) {
+func (l *Lab) callService(t *testing.T, gateway int, method, body string, header map[string]string) (status int, o outcome.Outcome, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+l.Gateways[gateway].CallerAddress()+"/v1/services/"+ServiceName+"/pages/12", strings.NewReader(body))
 	assert.NilError(t, err)
@@ -138,7 +138,7 @@
 }
 
 // settle waits until the gateways know the lab's boxes and their homes.
-func (l *Lab) settle(t *testing.T, ctx context.Context, homes int) {
+func (l *Lab) awaitRouting(t *testing.T, ctx context.Context, homes int) {
 	t.Helper()
 	for i := range l.Gateways {
 		for {
@@ -150,10 +150,10 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		for {
-			_, plain, _ := l.call(t, i, http.MethodGet, "", nil)
+			_, plain, _ := l.callService(t, i, http.MethodGet, "", nil)
 			keyed := 0
 			for range 4 * homes { // keys of all homes, most likely
-				_, o, _ := l.call(t, i, http.MethodPost, "", map[string]string{"Idempotency-Key": newKey()})
+				_, o, _ := l.callService(t, i, http.MethodPost, "", map[string]string{"Idempotency-Key": newKey()})
 				if o == outcome.Completed {
 					keyed++
 				}
@@ -170,33 +170,33 @@
 // TestOutcomeTable cuts the connection at every place where it can die and
 // compares what the caller is told with what the endpoint counted.
 func TestOutcomeTable(t *testing.T) {
-	d := newDying(t)
-	d.set(diesNever)
-	closed, err := net.Listen("tcp", loopback)
+	d := newFaultyService(t)
+	d.setCut(cutsNever)
+	closed, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
 	nowhere := closed.Addr().String()
 	assert.NilError(t, closed.Close())
 	target := d.ln.Addr().String()
-	l, ctx := start(t, Config{Gateways: 1, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.Endpoint = target }})
+	l, ctx := startLab(t, Config{Gateways: 1, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.Endpoint = target }})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
-	l.settle(t, ctx, 1)
+	l.awaitRouting(t, ctx, 1)
 
 	cells := []struct {
-		when death
+		when cutPoint
 		want outcome.Outcome
 		runs int // what the endpoint must count for a request that is not repeatable
 	}{
-		{diesAtAccept, outcome.Unknown, 0},
-		{diesInBody, outcome.Unknown, 0},
-		{diesAfterBody, outcome.Unknown, 1},
-		{diesAfterHead, outcome.Unknown, 1},
-		{diesInAnswer, outcome.Unknown, 1},
-		{diesNever, outcome.Completed, 1},
-		{answers500, outcome.Failed, 1},
-		{diesClosed, outcome.NotRun, 0},
+		{cutsBeforeRequest, outcome.Unknown, 0},
+		{cutsInRequestBody, outcome.Unknown, 0},
+		{cutsAfterRequest, outcome.Unknown, 1},
+		{cutsAfterResponseHeader, outcome.Unknown, 1},
+		{cutsInResponseBody, outcome.Unknown, 1},
+		{cutsNever, outcome.Completed, 1},
+		{responds500, outcome.Failed, 1},
+		{refusesConnections, outcome.NotRun, 0},
 	}
 	for _, cell := range cells {
-		if cell.when == diesClosed {
+		if cell.when == refusesConnections {
 			target = nowhere
 			b := l.Boxes[0]
 			assert.NilError(t, b.Sidecar.Stop(ctx))
@@ -209,18 +209,18 @@
 			"with a key":     {"Idempotency-Key": fmt.Sprintf("key-%s", strings.ReplaceAll(string(cell.when), " ", "-"))},
 		} {
 			t.Run(string(cell.when)+"/"+name, func(t *testing.T) {
-				d.set(cell.when)
+				d.setCut(cell.when)
 				want := cell.want
-				if cell.when == diesClosed && name == "with a key" {
+				if cell.when == refusesConnections && name == "with a key" {
 					want = outcome.Unknown // the home has started again and cannot know
 				}
-				_, got, text := l.call(t, 0, http.MethodPost, "some body", header)
+				_, got, text := l.callService(t, 0, http.MethodPost, "some body", header)
 				assert.Equal(t, got, want, text)
 				if name != "repeatable" {
-					assert.Equal(t, d.runs(), cell.runs, "a request that is not repeatable was repeated, or did not run")
+					assert.Equal(t, d.requestCount(), cell.runs, "a request that is not repeatable was repeated, or did not run")
 				}
 				if got == outcome.NotRun {
-					assert.Equal(t, d.runs(), 0, "not run was said of a request that ran")
+					assert.Equal(t, d.requestCount(), 0, "not run was said of a request that ran")
 				}
 			})
 		}
@@ -246,14 +246,14 @@
 // TestDoubtOutlivesLaterRefusals has one endpoint that dies after it has
 // read the request and another that refuses connections: whichever is tried
 // last, the request ran, so "not run" must not be said.
-func TestDoubtOutlivesLaterRefusals(t *testing.T) {
-	d := newDying(t)
-	d.set(diesNever)
-	closed, err := net.Listen("tcp", loopback)
+func TestUnknownOutlastsLaterRefusals(t *testing.T) {
+	d := newFaultyService(t)
+	d.setCut(cutsNever)
+	closed, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
 	nowhere := closed.Addr().String()
 	targets := []string{d.ln.Addr().String(), nowhere}
-	l, ctx := start(t, Config{Gateways: 1, Services: 2, SidecarSettings: func(s *settings.Sidecar) {
+	l, ctx := startLab(t, Config{Gateways: 1, Services: 2, SidecarSettings: func(s *settings.Sidecar) {
 		s.Endpoint = targets[0]
 		targets = targets[1:]
 	}})
@@ -261,16 +261,16 @@
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
 	header := map[string]string{"Mintlift-Repeatable": "true"}
 	for {
-		if _, o, _ := l.call(t, 0, http.MethodPost, "warm", header); o == outcome.Completed {
+		if _, o, _ := l.callService(t, 0, http.MethodPost, "warm", header); o == outcome.Completed {
 			break
 		}
 		assert.NilError(t, ctx.Err())
 		time.Sleep(20 * time.Millisecond)
 	}
 	for range 20 {
-		d.set(diesAfterBody)
-		_, o, text := l.call(t, 0, http.MethodPost, "some body", header)
-		if d.runs() > 0 {
+		d.setCut(cutsAfterRequest)
+		_, o, text := l.callService(t, 0, http.MethodPost, "some body", header)
+		if d.requestCount() > 0 {
 			assert.Equal(t, o, outcome.Unknown, text)
 		}
 	}
--- a/internal/lab/pairs_test.go
+++ b/internal/lab/pairs_test.go
@@ -21,12 +21,12 @@
 
 // failure is one of the brief's failures, switched on and off again.
 type failure struct {
-	name string
-	on   func(l *Lab)
-	off  func(l *Lab) error
+	name    string
+	inject  func(l *Lab)
+	recover func(l *Lab) error
 }
 
-func nothing(*Lab) error { return nil }
+func noRecovery(*Lab) error { return nil }
 
 // failures are those that a lab can cause in one process.
 func failures() []failure {
@@ -38,7 +38,7 @@
 	}
 	make := func(name string, on func(*Lab), off func(*Lab) error) failure { return failure{name, on, off} }
 	logDown, logUp := logFault(standin.FaultSettings{Down: true})
-	logOld, logNow := logFault(standin.FaultSettings{ShowOffset: 2})
+	logOld, logNow := logFault(standin.FaultSettings{EndOffset: 2})
 	storeDown, storeUp := storeFault(standin.FaultSettings{Down: true})
 	storeBad, storeGood := storeFault(standin.FaultSettings{CorruptEvery: 3})
 	return []failure{
@@ -46,15 +46,15 @@
 		make("log answers older", logOld, logNow),
 		make("origin down", storeDown, storeUp),
 		make("chunks corrupt", storeBad, storeGood),
-		make("box list lags", func(l *Lab) { l.List.Faults.Set(standin.FaultSettings{LagMS: 3000}) }, func(l *Lab) error { l.List.Faults.Set(standin.FaultSettings{}); return nil }),
+		make("box list lags", func(l *Lab) { l.BoxList.Faults.Set(standin.FaultSettings{LagMS: 3000}) }, func(l *Lab) error { l.BoxList.Faults.Set(standin.FaultSettings{}); return nil }),
 		make("orders' answers lost", func(l *Lab) {
 			for _, b := range l.Boxes[:3] {
-				b.Engine.Faults.Set(standin.FaultSettings{LoseAnswers: 1})
+				b.Engine.Faults.Set(standin.FaultSettings{DropResponses: 1})
 			}
-		}, nothing),
-		make("box dies", func(l *Lab) { l.KillBox(l.Boxes[3], true) }, nothing),
+		}, noRecovery),
+		make("box dies", func(l *Lab) { l.KillBox(l.Boxes[3], true) }, noRecovery),
 		make("sidecar starts again empty", func(l *Lab) { l.Boxes[0].Sidecar.Kill() }, func(l *Lab) error { return l.StartSidecar(l.Boxes[0]) }),
-		make("gateway dies", func(l *Lab) { l.Gateways[1].Kill() }, nothing),
+		make("gateway dies", func(l *Lab) { l.Gateways[1].Kill() }, noRecovery),
 	}
 }
 
@@ -66,15 +66,15 @@
 		for _, b := range all[i+1:] {
 			t.Run(a.name+" and "+b.name, func(t *testing.T) {
 				t.Parallel()
-				pair(t, a, b)
+				testFailurePair(t, a, b)
 			})
 		}
 	}
 }
 
-func pair(t *testing.T, a, b failure) {
+func testFailurePair(t *testing.T, a, b failure) {
 	const size = 1 << 20
-	l, ctx := start(t, Config{Gateways: 2, Engines: 4, Services: 2, ChecksFences: true, TokenTime: time.Millisecond, Links: settings.Links{Origin: 2 * size, Box: size}})
+	l, ctx := startLab(t, Config{Gateways: 2, Engines: 4, Services: 2, ChecksFences: true, TokenTime: time.Millisecond, Links: settings.Links{Origin: 2 * size, Box: size}})
 	l.Store.Publish(standin.NewManifest(v1, size, 32<<10))
 	l.Store.Publish(standin.NewManifest(v2, size, 32<<10))
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
@@ -83,7 +83,7 @@
 	assert.NilError(t, err)
 	_, err = l.AwaitDone(ctx, p.ID)
 	assert.NilError(t, err)
-	l.awaitServed(t)
+	l.awaitServing(t)
 
 	report := make(chan load.Report, 1)
 	m := load.Mix{Name: "pair", Rate: 40, Seconds: 6, Seed: 5, Targets: []string{l.Gateways[0].CallerAddress(), l.Gateways[1].CallerAddress()}}
@@ -99,20 +99,20 @@
 	p, err = l.Rollout(ctx, in)
 	assert.NilError(t, err)
 	time.Sleep(200 * time.Millisecond)
-	a.on(l)
-	b.on(l)
+	a.inject(l)
+	b.inject(l)
 	time.Sleep(3 * time.Second)
-	assert.NilError(t, a.off(l))
-	assert.NilError(t, b.off(l))
-	assert.NilError(t, l.awaitLiving(ctx, p.ID))
+	assert.NilError(t, a.recover(l))
+	assert.NilError(t, b.recover(l))
+	assert.NilError(t, l.awaitRollout(ctx, p.ID))
 	r := <-report
 	assert.NilError(t, l.resend(ctx))
 
-	runs := append(l.engineRuns(), l.runs()...)
+	runs := append(l.engineRuns(), l.serviceRuns()...)
 	violations := invariant.Journal(runs)
 	violations = append(violations, invariant.NotRun(r.NotRun, runs)...)
 	for _, c := range r.Classes {
-		if c.Broken > 0 && !dies(a) && !dies(b) {
+		if c.Broken > 0 && !cutsCallers(a) && !cutsCallers(b) {
 			violations = append(violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: fmt.Sprintf("%s: %d broken answers", c.Name, c.Broken)})
 		}
 	}
@@ -123,10 +123,10 @@
 }
 
 // dies reports whether a failure cuts connections to callers by itself.
-func dies(f failure) bool { return f.name == "gateway dies" }
+func cutsCallers(f failure) bool { return f.name == "gateway dies" }
 
 // awaitLiving waits until every engine that lives serves the plan.
-func (l *Lab) awaitLiving(ctx context.Context, plan string) error {
+func (l *Lab) awaitRollout(ctx context.Context, plan string) error {
 	ctx, cancel := context.WithTimeout(ctx, 40*time.Second)
 	defer cancel()
 	_, err := l.AwaitDone(ctx, plan)
@@ -147,7 +147,7 @@
 		}()
 	}
 	wg.Wait()
-	if n := ranWith(l.runs(), key); n > 1 {
+	if n := runsWithKey(l.serviceRuns(), key); n > 1 {
 		return fmt.Errorf("key %s ran %d times", key, n)
 	}
 	return nil
--- a/internal/lab/proxy_test.go
+++ b/internal/lab/proxy_test.go
@@ -14,43 +14,43 @@
 
 // cutter is a TCP pipe to a sidecar that can be cut: after so many bytes
 // of answers, or altogether, as a network partition would.
-type cutter struct {
+type faultyProxy struct {
 	ln net.Listener
 
-	mu     sync.Mutex
-	target string
-	after  int64 // bytes of the next answers until a cut, 0 for none
-	down   bool
-	conns  []net.Conn
-	cuts   int
+	mu          sync.Mutex
+	target      string
+	cutBytes    int64 // bytes of the next answers until a cut, 0 for none
+	partitioned bool
+	conns       []net.Conn
+	cuts        int
 }
 
-func newCutter(t *testing.T, target string) *cutter {
-	ln, err := net.Listen("tcp", loopback)
+func newFaultyProxy(t *testing.T, target string) *faultyProxy {
+	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
-	c := &cutter{ln: ln, target: target}
-	t.Cleanup(func() { _ = ln.Close(); c.partition(true) })
+	c := &faultyProxy{ln: ln, target: target}
+	t.Cleanup(func() { _ = ln.Close(); c.setPartitioned(true) })
 	go c.accept()
 	return c
 }
 
-func (c *cutter) address() string { return c.ln.Addr().String() }
+func (c *faultyProxy) address() string { return c.ln.Addr().String() }
 
 // cutAfter cuts one connection after n more bytes of answers.
-func (c *cutter) cutAfter(n int64) {
+func (c *faultyProxy) cutAfter(n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.after = n
+	c.cutBytes = n
 }
 
-func (c *cutter) count() int {
+func (c *faultyProxy) cutCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cuts
 }
 
 // awaitUse waits until somebody connects.
-func (c *cutter) awaitUse(t *testing.T) {
+func (c *faultyProxy) awaitConnection(t *testing.T) {
 	t.Helper()
 	used := func() bool {
 		c.mu.Lock()
@@ -63,24 +63,24 @@
 }
 
 // partition cuts all connections and refuses new ones while on.
-func (c *cutter) partition(on bool) {
+func (c *faultyProxy) setPartitioned(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down = on
+	c.partitioned = on
 	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
 	c.conns = nil
 }
 
-func (c *cutter) accept() {
+func (c *faultyProxy) accept() {
 	for {
 		conn, err := c.ln.Accept()
 		if err != nil {
 			return
 		}
 		c.mu.Lock()
-		down, target := c.down, c.target
+		down, target := c.partitioned, c.target
 		c.mu.Unlock()
 		if down {
 			_ = conn.Close()
@@ -95,19 +95,19 @@
 		c.conns = append(c.conns, conn, up)
 		c.mu.Unlock()
 		go func() { _, _ = io.Copy(up, conn); _ = up.Close() }()
-		go c.answers(conn, up)
+		go c.copyResponses(conn, up)
 	}
 }
 
 // answers copies from the sidecar until the cut.
-func (c *cutter) answers(conn, up net.Conn) {
+func (c *faultyProxy) copyResponses(conn, up net.Conn) {
 	defer conn.Close()
 	defer up.Close()
 	buf := make([]byte, 4096)
 	for {
 		n, err := up.Read(buf)
 		if n > 0 {
-			n, stop := c.budget(int64(n))
+			n, stop := c.takeBytes(int64(n))
 			if _, werr := conn.Write(buf[:n]); werr != nil || stop {
 				return
 			}
@@ -118,15 +118,15 @@
 	}
 }
 
-func (c *cutter) budget(n int64) (int64, bool) {
+func (c *faultyProxy) takeBytes(n int64) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.after == 0 || n < c.after {
-		c.after = max(c.after-n, 0)
+	if c.cutBytes == 0 || n < c.cutBytes {
+		c.cutBytes = max(c.cutBytes-n, 0)
 		return n, false
 	}
-	n = c.after
-	c.after = 0
+	n = c.cutBytes
+	c.cutBytes = 0
 	c.cuts++
 	return n, true
 }
--- a/internal/lab/rollover_test.go
+++ b/internal/lab/rollover_test.go
@@ -25,7 +25,7 @@
 // and no request fails.
 func TestRolloverKeepsFloor(t *testing.T) {
 	const size, floor = 1 << 20, 2
-	l, ctx := start(t, Config{Gateways: 2, Engines: 4, EngineMemory: size * 3 / 2, TokenTime: 2 * time.Millisecond})
+	l, ctx := startLab(t, Config{Gateways: 2, Engines: 4, EngineMemory: size * 3 / 2, TokenTime: 2 * time.Millisecond})
 	for _, ref := range []weights.Ref{v1, v2} {
 		l.Store.Publish(standin.NewManifest(ref, size, 64<<10))
 	}
@@ -34,7 +34,7 @@
 	assert.NilError(t, err)
 	_, err = l.AwaitDone(ctx, p.ID)
 	assert.NilError(t, err)
-	l.awaitServed(t)
+	l.awaitServing(t)
 
 	stop, stopTraffic := context.WithCancel(ctx)
 	var callers sync.WaitGroup
@@ -50,7 +50,7 @@
 				if err != nil {
 					panic(err)
 				}
-				text, done, _ := textOf(resp.Body)
+				text, done, _ := readStream(resp.Body)
 				_ = resp.Body.Close()
 				mu.Lock()
 				if resp.StatusCode != http.StatusOK || !done {
@@ -109,7 +109,7 @@
 // TestFloorRefusesPlan asks for a rollover that cannot keep the floor.
 func TestFloorRefusesPlan(t *testing.T) {
 	const size = 1 << 20
-	l, ctx := start(t, Config{Gateways: 1, Engines: 2, EngineMemory: size * 3 / 2})
+	l, ctx := startLab(t, Config{Gateways: 1, Engines: 2, EngineMemory: size * 3 / 2})
 	for _, ref := range []weights.Ref{v1, v2} {
 		l.Store.Publish(standin.NewManifest(ref, size, 64<<10))
 	}
@@ -119,18 +119,18 @@
 	_, err = l.AwaitDone(ctx, p.ID)
 	assert.NilError(t, err)
 	_, err = l.Admin(0).CreateIntent(ctx, intent.Intent{Ref: v2, Workspaces: []string{"liceo"}})
-	assert.Equal(t, code(err), admin.CodeFloor, "%v", err)
+	assert.Equal(t, errorCode(err), admin.CodeFloor, "%v", err)
 }
 
 // TestSupersededInFlight confirms a newer version while an older one is on
 // its way: the older one's chunks stop and the newer one serves.
 func TestSupersededInFlight(t *testing.T) {
 	const size = 4 << 20
-	l, ctx := start(t, Config{Gateways: 1, Engines: 3})
+	l, ctx := startLab(t, Config{Gateways: 1, Engines: 3})
 	for _, ref := range []weights.Ref{v1, v2} {
 		l.Store.Publish(standin.NewManifest(ref, size, 64<<10))
 	}
-	l.Store.Faults.Set(standin.FaultSettings{SlowMS: 100})
+	l.Store.Faults.Set(standin.FaultSettings{DelayMS: 100})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
 	in := intent.Intent{Ref: v1, Workspaces: []string{"liceo"}}
 	_, err := l.Rollout(ctx, in)
--- a/internal/lab/signals_test.go
+++ b/internal/lab/signals_test.go
@@ -14,9 +14,9 @@
 )
 
 // twoEngines starts two engines that serve a model.
-func twoEngines(t *testing.T) *Lab {
+func startTwoEngines(t *testing.T) *Lab {
 	t.Helper()
-	l, ctx := start(t, Config{Gateways: 2, Engines: 2})
+	l, ctx := startLab(t, Config{Gateways: 2, Engines: 2})
 	l.Store.Publish(standin.NewManifest(v1, 1<<20, 64<<10))
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 1))
 	p, err := l.Rollout(ctx, intent.Intent{Ref: v1, Workspaces: []string{"liceo"}, Weighing: intent.OriginBytes})
@@ -35,7 +35,7 @@
 
 // press asks both gateways by turns for so long, and returns how many requests an
 // engine ran meanwhile, and how many were answered.
-func press(t *testing.T, l *Lab, e *standin.Engine, long time.Duration) (ran, answered int) {
+func sendRequests(t *testing.T, l *Lab, e *standin.Engine, long time.Duration) (ran, answered int) {
 	t.Helper()
 	before := len(e.Journal())
 	for began, n := time.Now(), 0; time.Since(began) < long; n++ {
@@ -48,7 +48,7 @@
 }
 
 // An engine that names a limit, drains or asks for backoff is heard by its sidecar.
-func TestEnginesAreHeardByTheirSidecars(t *testing.T) {
+func TestEngineBackpressure(t *testing.T) {
 	const long = 4 * time.Second
 	for _, test := range []struct {
 		name    string
@@ -61,12 +61,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			l := twoEngines(t)
+			l := startTwoEngines(t)
 			e := l.Boxes[0].Engine
-			press(t, l, e, time.Second)
+			sendRequests(t, l, e, time.Second)
 			e.Faults.Set(test.signals)
-			press(t, l, e, time.Second/2) // it is heard
-			ran, answered := press(t, l, e, long)
+			sendRequests(t, l, e, time.Second/2) // it is heard
+			ran, answered := sendRequests(t, l, e, long)
 			t.Logf("%d ran, %d answered", ran, answered)
 			assert.Assert(t, ran <= test.most, "%d ran", ran)
 			assert.Assert(t, answered > 60, "%d answered: the other engine serves", answered)
@@ -75,13 +75,13 @@
 }
 
 // An engine that has left is back in another life, which says nothing of the kind.
-func TestEngineIsBackAfterItLeft(t *testing.T) {
+func TestEngineReturnsAfterDraining(t *testing.T) {
 	t.Parallel()
-	l := twoEngines(t)
+	l := startTwoEngines(t)
 	e := l.Boxes[0].Engine
 	e.Faults.Set(standin.FaultSettings{Draining: true})
-	press(t, l, e, time.Second)
+	sendRequests(t, l, e, time.Second)
 	e.Faults.Set(standin.FaultSettings{})
-	ran, _ := press(t, l, e, 14*time.Second)
+	ran, _ := sendRequests(t, l, e, 14*time.Second)
 	assert.Assert(t, ran > 5, "%d ran", ran)
 }
--- a/internal/lab/stream_test.go
+++ b/internal/lab/stream_test.go
@@ -22,21 +22,21 @@
 )
 
 // served starts a lab that serves v1 on all engines to workspace liceo.
-func served(t *testing.T, c Config) (*Lab, context.Context) {
+func startServing(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
-	l, ctx := start(t, c)
+	l, ctx := startLab(t, c)
 	l.Store.Publish(standin.NewManifest(v1, 1<<20, 64<<10))
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
 	p, err := l.Rollout(ctx, intent.Intent{Ref: v1, Workspaces: []string{"liceo"}})
 	assert.NilError(t, err)
 	_, err = l.AwaitDone(ctx, p.ID)
 	assert.NilError(t, err)
-	l.awaitServed(t)
+	l.awaitServing(t)
 	return l, ctx
 }
 
 // awaitServed waits until every gateway answers.
-func (l *Lab) awaitServed(t *testing.T) {
+func (l *Lab) awaitServing(t *testing.T) {
 	t.Helper()
 	for g := range l.Gateways {
 		for {
@@ -63,7 +63,7 @@
 }
 
 // textOf joins a stream's tokens; done says that it ended with its mark.
-func textOf(body io.Reader) (text string, done bool, err error) {
+func readStream(body io.Reader) (text string, done bool, err error) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -92,38 +92,38 @@
 
 // TestCutStreamHeals cuts the connection between gateway and sidecar in the
 // middle of a stream, and the engine's own: every token comes once.
-func TestCutStreamHeals(t *testing.T) {
+func TestCutStreamResumes(t *testing.T) {
 	const tokens = 60
-	l, ctx := served(t, Config{Gateways: 1, Engines: 1, TokenTime: 2 * time.Millisecond})
+	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1, TokenTime: 2 * time.Millisecond})
 	b := l.Boxes[0]
-	c := newCutter(t, b.Sidecar.Address())
+	c := newFaultyProxy(t, b.Sidecar.Address())
 	entry := b.Entry
 	entry.Address = c.address()
-	l.List.Put(entry)
-	c.awaitUse(t)               // the gateway has read the list again
+	l.BoxList.Put(entry)
+	c.awaitConnection(t)        // the gateway has read the list again
 	time.Sleep(3 * time.Second) // and has probed the new address
 	for _, where := range []string{"sidecar", "engine"} {
 		t.Run(where, func(t *testing.T) {
 			if where == "sidecar" {
 				c.cutAfter(4000)
 			} else {
-				b.Engine.Faults.Set(standin.FaultSettings{DieAfterTokens: 20})
+				b.Engine.Faults.Set(standin.FaultSettings{CutAfterTokens: 20})
 			}
 			resp, err := openChat(ctx, l, 0, tokens, nil)
 			assert.NilError(t, err)
 			defer resp.Body.Close()
-			text, done, err := textOf(resp.Body)
+			text, done, err := readStream(resp.Body)
 			assert.NilError(t, err)
 			assert.Assert(t, done, "the stream has no end: %s", text)
 			assert.DeepEqual(t, invariant.Answer(text, v1.String(), resp.Header.Get("Mintlift-Request-Id"), tokens), []invariant.Violation(nil))
 		})
 	}
-	assert.Assert(t, c.count() > 0, "nothing was cut")
+	assert.Assert(t, c.cutCount() > 0, "nothing was cut")
 }
 
 // TestCancelReachesEngine hangs up in the middle of a stream.
 func TestCancelReachesEngine(t *testing.T) {
-	l, ctx := served(t, Config{Gateways: 1, Engines: 1, TokenTime: 5 * time.Millisecond})
+	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1, TokenTime: 5 * time.Millisecond})
 	callCtx, hangUp := context.WithCancel(ctx)
 	resp, err := openChat(callCtx, l, 0, 1000000, nil)
 	assert.NilError(t, err)
@@ -147,9 +147,9 @@
 
 // TestForeignAnswerIsBroken has the engine answer under another request's
 // id: the caller gets a clear outcome and not a word of it.
-func TestForeignAnswerIsBroken(t *testing.T) {
-	l, ctx := served(t, Config{Gateways: 1, Engines: 1})
-	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{ForeignAnswers: true})
+func TestMismatchedResponseIsRejected(t *testing.T) {
+	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
+	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{MismatchedResponses: true})
 	resp, err := openChat(ctx, l, 0, 3, nil)
 	assert.NilError(t, err)
 	defer resp.Body.Close()
@@ -161,9 +161,9 @@
 
 // TestForeignEventIsBroken has an event of another request appear inside a
 // stream.
-func TestForeignEventIsBroken(t *testing.T) {
-	l, ctx := served(t, Config{Gateways: 1, Engines: 1})
-	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{ForeignEvents: true})
+func TestMismatchedEventIsRejected(t *testing.T) {
+	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
+	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{MismatchedEvents: true})
 	resp, err := openChat(ctx, l, 0, 3, nil)
 	assert.NilError(t, err)
 	defer resp.Body.Close()
@@ -177,7 +177,7 @@
 // streams are in progress.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	const tokens, streams = 200, 8
-	l, ctx := served(t, Config{Gateways: 2, Engines: 2, TokenTime: 5 * time.Millisecond})
+	l, ctx := startServing(t, Config{Gateways: 2, Engines: 2, TokenTime: 5 * time.Millisecond})
 	type end struct {
 		text, id string
 		done     bool
@@ -192,7 +192,7 @@
 				return
 			}
 			defer resp.Body.Close()
-			text, done, err := textOf(resp.Body)
+			text, done, err := readStream(resp.Body)
 			ends <- end{text: text, id: resp.Header.Get("Mintlift-Request-Id"), done: done, err: err}
 		}()
 	}
--- a/internal/lab/tls_test.go
+++ b/internal/lab/tls_test.go
@@ -24,15 +24,15 @@
 )
 
 // authority signs the certificates of a test.
-type authority struct {
-	dir  string
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	next int64
+type testCA struct {
+	dir        string
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	lastSerial int64
 }
 
-func newAuthority(t *testing.T) *authority {
-	a := &authority{dir: t.TempDir(), next: 1}
+func newTestCA(t *testing.T) *testCA {
+	a := &testCA{dir: t.TempDir(), lastSerial: 1}
 	var err error
 	a.key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -45,18 +45,18 @@
 	return a
 }
 
-func (a *authority) write(t *testing.T, name, kind string, der []byte) string {
+func (a *testCA) write(t *testing.T, name, kind string, der []byte) string {
 	file := filepath.Join(a.dir, name)
 	assert.NilError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 	return file
 }
 
 // issue writes a new certificate for 127.0.0.1 over the former.
-func (a *authority) issue(t *testing.T) settings.TLS {
-	a.next++
+func (a *testCA) issue(t *testing.T) settings.TLS {
+	a.lastSerial++
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
-	template := &x509.Certificate{SerialNumber: big.NewInt(a.next), NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, KeyUsage: x509.KeyUsageDigitalSignature}
+	template := &x509.Certificate{SerialNumber: big.NewInt(a.lastSerial), NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, KeyUsage: x509.KeyUsageDigitalSignature}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	assert.NilError(t, err)
 	raw, err := x509.MarshalECPrivateKey(key)
@@ -67,12 +67,12 @@
 // TestTLSAndKeyBetweenProcesses runs the whole path with certificates on
 // both sides and a shared key, keeps strangers out, and replaces the
 // certificate while the processes run.
-func TestTLSAndKeyBetweenProcesses(t *testing.T) {
-	a := newAuthority(t)
+func TestTLSAndPeerKey(t *testing.T) {
+	a := newTestCA(t)
 	pair := a.issue(t)
 	key := filepath.Join(a.dir, "peer.key")
 	assert.NilError(t, os.WriteFile(key, []byte("shared-peer-key\n"), 0o600))
-	l, ctx := served(t, Config{
+	l, ctx := startServing(t, Config{
 		Gateways:        1,
 		Engines:         2,
 		GatewaySettings: func(s *settings.Gateway) { s.PeerTLS, s.PeerKeyFile = pair, key },
@@ -106,7 +106,7 @@
 	assert.Equal(t, status(), http.StatusUnauthorized, "a process without the key got in")
 
 	a.issue(t)
-	for status(); serials[len(serials)-1] != a.next; status() {
+	for status(); serials[len(serials)-1] != a.lastSerial; status() {
 		assert.NilError(t, ctx.Err(), "the new certificate is not shown")
 		time.Sleep(200 * time.Millisecond)
 	}
--- a/internal/linksim/faults.go
+++ b/internal/linksim/faults.go
@@ -13,38 +13,38 @@
 // and the stalls, from random moments.
 func (s *sim) scheduleFaults() {
 	order := s.rng.Perm(s.Boxes)
-	deaths := int(s.DeathShare * float64(s.Boxes))
+	deaths := int(s.CrashShare * float64(s.Boxes))
 	for i, id := range order[:deaths] {
 		b := s.boxes[id]
-		s.after(time.Duration(float64(s.floor)*(float64(i)+0.5)/float64(deaths)), func() { s.die(b) })
+		s.schedule(time.Duration(float64(s.minTime)*(float64(i)+0.5)/float64(deaths)), func() { s.crash(b) })
 	}
 	stalls := int(s.StallShare * float64(s.Boxes))
 	for _, id := range order[deaths : deaths+stalls] {
 		b := s.boxes[id]
-		from := time.Duration(s.rng.Float64() * float64(s.floor))
-		s.after(from, func() { s.stall(b, true) })
-		s.after(from+s.floor/5, func() { s.stall(b, false) })
+		from := time.Duration(s.rng.Float64() * float64(s.minTime))
+		s.schedule(from, func() { s.setStalled(b, true) })
+		s.schedule(from+s.minTime/5, func() { s.setStalled(b, false) })
 	}
 }
 
-func (s *sim) die(b *box) {
+func (s *sim) crash(b *box) {
 	if b.done {
 		s.finished--
 	}
-	b.dead = true
-	s.living--
-	s.res.Deaths++
-	for _, f := range s.ordered(b.active) {
-		s.land(f, false)
+	b.crashed = true
+	s.running--
+	s.res.Crashes++
+	for _, t := range s.sorted(b.transfers) {
+		s.endTransfer(t, false)
 	}
-	for _, id := range sortedIDs(b.waiting) {
-		r := b.waiting[id]
-		s.after(s.latency(r.from, b), func() { s.failed(r.from, r.pull) })
+	for _, id := range sortedIDs(b.queued) {
+		r := b.queued[id]
+		s.schedule(s.latency(r.from, b), func() { s.pullFailed(r.from, r.pull) })
 	}
-	clear(b.waiting)
+	clear(b.queued)
 }
 
-func sortedIDs(m map[uint64]*request) []uint64 {
+func sortedIDs(m map[uint64]*pullRequest) []uint64 {
 	var out []uint64
 	for id := range m {
 		out = append(out, id)
@@ -53,12 +53,12 @@
 	return out
 }
 
-func (s *sim) stall(b *box, on bool) {
+func (s *sim) setStalled(b *box, on bool) {
 	b.stalled = on
-	s.reshare(b)
+	s.updateRates(b)
 }
 
-func quantile(times []time.Duration, q float64, floor time.Duration) float64 {
+func relativeQuantile(times []time.Duration, q float64, floor time.Duration) float64 {
 	if len(times) == 0 {
 		return 0
 	}
@@ -69,9 +69,9 @@
 
 // planned builds the baselines: each box gets its chunks in order from one
 // parent that was planned ahead.
-func (s *sim) planned() {
+func (s *sim) startPlanned() {
 	for i, b := range s.boxes {
-		b.next = make(map[int]int)
+		b.nextChunk = make(map[int]int)
 		switch s.Strategy {
 		case Chain:
 			if i+1 < len(s.boxes) {
@@ -85,49 +85,49 @@
 			}
 		}
 		if s.Strategy == OriginOnly || i == 0 {
-			s.after(0, func() { s.originNext(b) })
+			s.schedule(0, func() { s.sendNextFromOrigin(b) })
 		}
 	}
 }
 
 // originNext sends the box its next chunk from the origin.
-func (s *sim) originNext(b *box) {
-	if c := int(b.held.Count()); c < s.Chunks && !b.dead {
+func (s *sim) sendNextFromOrigin(b *box) {
+	if c := int(b.held.Count()); c < s.Chunks && !b.crashed {
 		s.pulls++
-		s.launch(&flight{to: b, chunk: c, pull: transfer.Pull{Kind: transfer.FromOrigin, Chunk: c}})
+		s.startTransfer(&chunkTransfer{to: b, chunk: c, pull: transfer.Pull{Kind: transfer.FromOrigin, Chunk: c}})
 	}
 }
 
-func (s *sim) plannedLanded(f *flight) {
-	b := f.to
-	b.held.Set(uint(f.chunk))
+func (s *sim) handlePlannedEnd(t *chunkTransfer) {
+	b := t.to
+	b.held.Set(uint(t.chunk))
 	if int(b.held.Count()) == s.Chunks {
 		s.finish(b)
 	}
-	if f.from == nil {
-		s.originNext(b)
+	if t.from == nil {
+		s.sendNextFromOrigin(b)
 	} else {
-		s.pass(f.from, b.id)
+		s.sendNextToChild(t.from, b.id)
 	}
 	for _, c := range b.children {
-		if n := b.next[c]; n == f.chunk {
-			s.pass(b, c)
+		if n := b.nextChunk[c]; n == t.chunk {
+			s.sendNextToChild(b, c)
 		}
 	}
 }
 
 // pass sends a child its next chunk, if the parent holds it already.
-func (s *sim) pass(b *box, child int) {
-	c := b.next[child]
+func (s *sim) sendNextToChild(b *box, child int) {
+	c := b.nextChunk[child]
 	if c >= s.Chunks || !b.held.Test(uint(c)) {
 		return
 	}
-	for f := range b.active {
-		if f.from == b && f.to.id == child {
+	for t := range b.transfers {
+		if t.from == b && t.to.id == child {
 			return
 		}
 	}
-	b.next[child] = c + 1
+	b.nextChunk[child] = c + 1
 	s.pulls++
-	s.launch(&flight{from: b, to: s.boxes[child], chunk: c})
+	s.startTransfer(&chunkTransfer{from: b, to: s.boxes[child], chunk: c})
 }
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -35,14 +35,14 @@
 	// Latencies, one way.
 	InZone, InRegion, CrossRegion time.Duration
 	// Faults.
-	DeathShare   float64 // of the boxes, spread evenly over the transfer
+	CrashShare   float64 // of the boxes, spread evenly over the transfer
 	StallShare   float64 // of the boxes' links, for 0.2 T* each
 	CorruptShare float64 // of the chunks
 	Seed         uint64
 	// Strategy replaces the swarm for the baselines.
 	Strategy Strategy
 	// Downloads, Slots and Waiting override the defaults of transfer.
-	Downloads, Slots, Waiting int
+	Downloads, Slots, QueueLength int
 }
 
 // Strategy is the way that chunks spread.
@@ -58,66 +58,66 @@
 
 // Result is what a run measured, times as multiples of T*.
 type Result struct {
-	Boxes             int     `json:"boxes"`
-	Half, Most, All   float64 // to 50%, 95% and all of the living boxes
-	OriginCopies      float64
-	CrossCopies       float64
-	ControlBytesABox  float64
-	Deaths            int
-	CorruptChunks     int
-	UnverifiedPassed  int
-	Unfinished        int
-	MaxOriginTogether int
+	Boxes              int     `json:"boxes"`
+	P50, P95, Max      float64 // to 50%, 95% and all of the living boxes
+	OriginCopies       float64
+	CrossCopies        float64
+	ControlBytesPerBox float64
+	Crashes            int
+	CorruptChunks      int
+	UnverifiedPassed   int
+	Unfinished         int
+	MaxOriginTransfers int
 }
 
 // controlBytes is what one pull costs besides the chunk: request and answer
 // heads, and two bitmaps.
-func controlBytes(chunks int) float64 { return 400 + 3*float64(chunks)/8 }
+func controlBytesPerPull(chunks int) float64 { return 400 + 3*float64(chunks)/8 }
 
 type box struct {
-	id       int
-	name     string
-	region   int
-	zone     int
-	swarm    *transfer.Swarm
-	picker   *transfer.Picker
-	queue    *prio.Queue
-	active   map[*flight]bool // both directions
-	up, down int
-	dead     bool
-	stalled  bool
-	doneAt   time.Duration
-	done     bool
-	asking   bool
-	waiting  map[uint64]*request
+	id            int
+	name          string
+	region        int
+	zone          int
+	swarm         *transfer.Swarm
+	picker        *transfer.Picker
+	queue         *prio.Queue
+	transfers     map[*chunkTransfer]bool // both directions
+	up, down      int
+	crashed       bool
+	stalled       bool
+	doneAt        time.Duration
+	done          bool
+	pollScheduled bool
+	queued        map[uint64]*pullRequest
 	// for the planned strategies
-	held     *bitset.BitSet
-	children []int
-	next     map[int]int
+	held      *bitset.BitSet
+	children  []int
+	nextChunk map[int]int
 }
 
-type request struct {
-	from *box
-	to   *box
-	pull transfer.Pull
-	id   uint64
-	has  *bitset.BitSet
+type pullRequest struct {
+	from    *box
+	to      *box
+	pull    transfer.Pull
+	id      uint64
+	exclude *bitset.BitSet
 }
 
 // flight is a chunk on its way.
-type flight struct {
-	from    *box // nil for the origin
-	to      *box
-	pull    transfer.Pull
-	chunk   int
-	left    float64 // share of a chunk still to go
-	rate    float64 // chunks a second
-	at      time.Duration
-	began   time.Duration
-	gen     int
-	corrupt bool
-	over    bool
-	stalled bool
+type chunkTransfer struct {
+	from      *box // nil for the origin
+	to        *box
+	pull      transfer.Pull
+	chunk     int
+	remaining float64 // share of a chunk still to go
+	rate      float64 // chunks a second
+	updated   time.Duration
+	started   time.Duration
+	revision  int
+	corrupt   bool
+	ended     bool
+	stalled   bool
 }
 
 type event struct {
@@ -126,15 +126,15 @@
 	run func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -143,61 +143,61 @@
 
 type sim struct {
 	Config
-	now       time.Duration
-	seq       int
-	ids       uint64
-	queue     events
-	rng       *rand.Rand
-	boxes     []*box
-	byName    map[string]*box
-	origin    map[*flight]bool
-	boxRate   float64 // chunks a second
-	floor     time.Duration
-	res       Result
-	originSum float64
-	crossSum  float64
-	pulls     float64
-	living    int
-	finished  int
-	epoch     time.Time
+	now               time.Duration
+	seq               int
+	lastID            uint64
+	events            eventQueue
+	rng               *rand.Rand
+	boxes             []*box
+	byName            map[string]*box
+	originTransfers   map[*chunkTransfer]bool
+	boxRate           float64 // chunks a second
+	minTime           time.Duration
+	res               Result
+	originChunks      float64
+	crossRegionChunks float64
+	pulls             float64
+	running           int
+	finished          int
+	epoch             time.Time
 }
 
 // stopAfter is when a run is stopped, as a multiple of T*.
 const stopAfter = 40
 
 // Floor is T* for the configuration.
-func (c Config) Floor() time.Duration {
+func (c Config) MinTime() time.Duration {
 	u, o, n := 2/c.Window.Seconds(), 4/c.Window.Seconds(), float64(c.Boxes)
 	return time.Duration(max(1/u, 1/o, n/(o+n*u)) * float64(time.Second))
 }
 
 // Run plays one transfer to its end.
 func Run(c Config) Result {
-	s := &sim{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 7)), byName: make(map[string]*box), origin: make(map[*flight]bool)}
+	s := &sim{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 7)), byName: make(map[string]*box), originTransfers: make(map[*chunkTransfer]bool)}
 	s.epoch = time.Unix(0, 0)
-	s.floor = c.Floor()
+	s.minTime = c.MinTime()
 	s.boxRate = 2 / c.Window.Seconds() * float64(c.Chunks)
 	s.res.Boxes = c.Boxes
 	s.build()
 	s.scheduleFaults()
-	for len(s.queue) > 0 && s.finished < s.living && s.now < stopAfter*s.floor {
-		e := heap.Pop(&s.queue).(event)
+	for len(s.events) > 0 && s.finished < s.running && s.now < stopAfter*s.minTime {
+		e := heap.Pop(&s.events).(event)
 		s.now = e.at
 		e.run()
 	}
 	return s.result()
 }
 
-func (s *sim) after(d time.Duration, run func()) {
+func (s *sim) schedule(d time.Duration, run func()) {
 	s.seq++
-	heap.Push(&s.queue, event{at: s.now + d, seq: s.seq, run: run})
+	heap.Push(&s.events, event{at: s.now + d, seq: s.seq, run: run})
 }
 
 func (s *sim) build() {
 	p := transfer.Params{
 		Chunks:      s.Chunks,
 		ChunkTurn:   time.Duration(s.Window.Seconds() / 4 / float64(s.Chunks) * float64(time.Second)),
-		TakeOver:    transfer.TakeOver(s.floor),
+		TakeOver:    transfer.TakeOver(s.minTime),
 		Downloads:   s.Downloads,
 		ExtraOrigin: transfer.ExtraOrigin(s.Chunks, s.Boxes, s.ExtraCopies),
 	}
@@ -206,22 +206,22 @@
 	}
 	for i := range s.Boxes {
 		zone := i % s.Zones
-		b := &box{id: i, name: boxName(i), zone: zone, region: zone % s.Regions, active: make(map[*flight]bool), waiting: make(map[uint64]*request), held: bitset.New(uint(s.Chunks))}
+		b := &box{id: i, name: boxName(i), zone: zone, region: zone % s.Regions, transfers: make(map[*chunkTransfer]bool), queued: make(map[uint64]*pullRequest), held: bitset.New(uint(s.Chunks))}
 		s.boxes = append(s.boxes, b)
 		s.byName[b.name] = b
 		p.Peers = append(p.Peers, transfer.Peer{Box: b.name, Region: regionName(b.region), Zone: zoneName(zone)})
 	}
-	s.living = s.Boxes
+	s.running = s.Boxes
 	if s.Strategy != Swarm {
-		s.planned()
+		s.startPlanned()
 		return
 	}
 	o := transfer.NewOrder(p)
 	for _, b := range s.boxes {
 		b.swarm = transfer.NewSwarm(p, o, b.name, b.held, s.epoch)
 		b.picker = transfer.NewPicker(s.Chunks, uint64(b.id))
-		b.queue = &prio.Queue{Slots: cmp.Or(s.Slots, transfer.UploadSlots), Waiting: cmp.Or(s.Waiting, transfer.UploadWaiting)}
-		s.after(0, func() { s.ask(b) })
+		b.queue = &prio.Queue{Slots: cmp.Or(s.Slots, transfer.UploadSlots), Waiting: cmp.Or(s.QueueLength, transfer.UploadWaiting)}
+		s.schedule(0, func() { s.startPulls(b) })
 	}
 }
 
@@ -242,156 +242,156 @@
 	}
 }
 
-func (s *sim) clock() time.Time { return s.epoch.Add(s.now) }
+func (s *sim) time() time.Time { return s.epoch.Add(s.now) }
 
 // ask lets a box start pulls until it has nothing more to start.
-func (s *sim) ask(b *box) {
-	for !b.dead && !b.done {
-		p := b.swarm.Next(s.clock())
+func (s *sim) startPulls(b *box) {
+	for !b.crashed && !b.done {
+		p := b.swarm.Next(s.time())
 		if p.Kind == transfer.None {
-			if !b.asking {
-				b.asking = true
-				s.after(p.Wait, func() { b.asking = false; s.ask(b) })
+			if !b.pollScheduled {
+				b.pollScheduled = true
+				s.schedule(p.Wait, func() { b.pollScheduled = false; s.startPulls(b) })
 			}
 			return
 		}
 		s.pulls++
 		if p.Kind == transfer.FromOrigin {
-			s.fromOrigin(b, p)
+			s.pullFromOrigin(b, p)
 			continue
 		}
-		s.ids++
-		r := &request{from: b, to: s.byName[p.Peer], pull: p, id: s.ids, has: b.swarm.Wants()}
-		s.after(s.latency(b, r.to), func() { s.asked(r) })
+		s.lastID++
+		r := &pullRequest{from: b, to: s.byName[p.Peer], pull: p, id: s.lastID, exclude: b.swarm.Wants()}
+		s.schedule(s.latency(b, r.to), func() { s.receiveRequest(r) })
 	}
 }
 
-func (s *sim) fromOrigin(b *box, p transfer.Pull) {
-	s.after(2*s.latency(nil, b), func() {
-		s.launch(&flight{to: b, pull: p, chunk: p.Chunk})
-		s.res.MaxOriginTogether = max(s.res.MaxOriginTogether, len(s.origin))
+func (s *sim) pullFromOrigin(b *box, p transfer.Pull) {
+	s.schedule(2*s.latency(nil, b), func() {
+		s.startTransfer(&chunkTransfer{to: b, pull: p, chunk: p.Chunk})
+		s.res.MaxOriginTransfers = max(s.res.MaxOriginTransfers, len(s.originTransfers))
 	})
 }
 
 // asked is a pull reaching its peer.
-func (s *sim) asked(r *request) {
-	if r.to.dead {
-		s.after(s.latency(r.from, r.to), func() { s.failed(r.from, r.pull) })
+func (s *sim) receiveRequest(r *pullRequest) {
+	if r.to.crashed {
+		s.schedule(s.latency(r.from, r.to), func() { s.pullFailed(r.from, r.pull) })
 		return
 	}
 	granted, queued, out := r.to.queue.Admit(prio.Waiter{ID: r.id})
 	if out != nil {
-		pushed := r.to.waiting[out.ID]
-		delete(r.to.waiting, out.ID)
+		pushed := r.to.queued[out.ID]
+		delete(r.to.queued, out.ID)
 		s.refuse(pushed)
 	}
 	switch {
 	case granted:
 		s.serve(r)
 	case queued:
-		r.to.waiting[r.id] = r
+		r.to.queued[r.id] = r
 	default:
 		s.refuse(r)
 	}
 }
 
-func (s *sim) refuse(r *request) {
-	s.after(s.latency(r.from, r.to), func() {
-		r.from.swarm.Busy(r.pull, 0, s.clock())
-		s.ask(r.from)
+func (s *sim) refuse(r *pullRequest) {
+	s.schedule(s.latency(r.from, r.to), func() {
+		r.from.swarm.Busy(r.pull, 0, s.time())
+		s.startPulls(r.from)
 	})
 }
 
 // serve picks the chunk for a pull that has got a slot.
-func (s *sim) serve(r *request) {
+func (s *sim) serve(r *pullRequest) {
 	known := r.to.swarm.Knows()
 	held := known.Held
 	chunk := r.pull.Chunk
 	if chunk < 0 {
-		chunk = r.to.picker.Pick(held, r.has)
+		chunk = r.to.picker.Pick(held, r.exclude)
 	} else if !held.Test(uint(chunk)) {
 		chunk = -1
 	}
 	if chunk < 0 {
-		s.release(r.to)
-		s.after(s.latency(r.from, r.to), func() {
-			r.from.swarm.Nothing(r.pull, known, s.clock())
-			s.ask(r.from)
+		s.releaseSlot(r.to)
+		s.schedule(s.latency(r.from, r.to), func() {
+			r.from.swarm.Nothing(r.pull, known, s.time())
+			s.startPulls(r.from)
 		})
 		return
 	}
-	s.after(s.latency(r.from, r.to), func() { s.offered(r, chunk) })
+	s.schedule(s.latency(r.from, r.to), func() { s.receiveOffer(r, chunk) })
 }
 
-func (s *sim) offered(r *request, chunk int) {
-	if r.from.dead || r.to.dead {
-		s.failed(r.from, r.pull)
+func (s *sim) receiveOffer(r *pullRequest, chunk int) {
+	if r.from.crashed || r.to.crashed {
+		s.pullFailed(r.from, r.pull)
 		return
 	}
 	p := r.pull
 	if !r.from.swarm.Offered(&p, chunk) {
 		r.from.swarm.Drop(p)
-		s.after(s.latency(r.from, r.to), func() { s.release(r.to) })
-		s.ask(r.from)
+		s.schedule(s.latency(r.from, r.to), func() { s.releaseSlot(r.to) })
+		s.startPulls(r.from)
 		return
 	}
-	s.launch(&flight{from: r.to, to: r.from, pull: p, chunk: chunk})
+	s.startTransfer(&chunkTransfer{from: r.to, to: r.from, pull: p, chunk: chunk})
 }
 
-func (s *sim) failed(b *box, p transfer.Pull) {
-	if b.dead {
+func (s *sim) pullFailed(b *box, p transfer.Pull) {
+	if b.crashed {
 		return
 	}
-	b.swarm.Bad(p, s.clock())
-	s.ask(b)
+	b.swarm.Bad(p, s.time())
+	s.startPulls(b)
 }
 
-func (s *sim) release(b *box) {
-	if b.dead {
+func (s *sim) releaseSlot(b *box) {
+	if b.crashed {
 		return
 	}
 	w, ok := b.queue.Release("")
 	if !ok {
 		return
 	}
-	r := b.waiting[w.ID]
-	delete(b.waiting, w.ID)
+	r := b.queued[w.ID]
+	delete(b.queued, w.ID)
 	s.serve(r)
 }
 
 // launch starts a flight and shares the links anew.
-func (s *sim) launch(f *flight) {
-	f.left, f.at, f.began = 1, s.now, s.now
-	f.corrupt = s.rng.Float64() < s.CorruptShare
-	f.to.active[f] = true
-	f.to.down++
-	if f.from == nil {
-		s.origin[f] = true
+func (s *sim) startTransfer(t *chunkTransfer) {
+	t.remaining, t.updated, t.started = 1, s.now, s.now
+	t.corrupt = s.rng.Float64() < s.CorruptShare
+	t.to.transfers[t] = true
+	t.to.down++
+	if t.from == nil {
+		s.originTransfers[t] = true
 	} else {
-		f.from.active[f] = true
-		f.from.up++
+		t.from.transfers[t] = true
+		t.from.up++
 	}
-	s.reshare(f.from, f.to)
+	s.updateRates(t.from, t.to)
 }
 
 // reshare recomputes the rates of all flights at the given ends.
-func (s *sim) reshare(ends ...*box) {
+func (s *sim) updateRates(ends ...*box) {
 	for _, b := range ends {
-		flights := s.origin
+		flights := s.originTransfers
 		if b != nil {
-			flights = b.active
+			flights = b.transfers
 		}
-		for _, f := range s.ordered(flights) {
-			s.rerate(f)
+		for _, t := range s.sorted(flights) {
+			s.updateRate(t)
 		}
 	}
 }
 
 // ordered makes the walk over a set the same in every run.
-func (s *sim) ordered(set map[*flight]bool) []*flight {
-	out := make([]*flight, 0, len(set))
-	for f := range set {
-		out = append(out, f)
+func (s *sim) sorted(set map[*chunkTransfer]bool) []*chunkTransfer {
+	out := make([]*chunkTransfer, 0, len(set))
+	for t := range set {
+		out = append(out, t)
 	}
 	for i := 1; i < len(out); i++ {
 		for j := i; j > 0 && less(out[j], out[j-1]); j-- {
@@ -401,116 +401,116 @@
 	return out
 }
 
-func less(a, b *flight) bool {
+func less(a, b *chunkTransfer) bool {
 	if a.to.id != b.to.id {
 		return a.to.id < b.to.id
 	}
 	return a.chunk < b.chunk
 }
 
-func (s *sim) rerate(f *flight) {
-	f.left -= f.rate * (s.now - f.at).Seconds()
-	f.at = s.now
-	f.gen++
-	f.rate = s.boxRate / float64(f.to.down)
+func (s *sim) updateRate(t *chunkTransfer) {
+	t.remaining -= t.rate * (s.now - t.updated).Seconds()
+	t.updated = s.now
+	t.revision++
+	t.rate = s.boxRate / float64(t.to.down)
 	switch {
-	case f.from == nil:
-		f.rate = min(f.rate, 2*s.boxRate/float64(len(s.origin)))
+	case t.from == nil:
+		t.rate = min(t.rate, 2*s.boxRate/float64(len(s.originTransfers)))
 	default:
-		f.rate = min(f.rate, s.boxRate/float64(f.from.up))
+		t.rate = min(t.rate, s.boxRate/float64(t.from.up))
 	}
-	if f.to.stalled || f.from != nil && f.from.stalled {
-		f.rate = 0
+	if t.to.stalled || t.from != nil && t.from.stalled {
+		t.rate = 0
 	}
-	gen := f.gen
-	if f.rate == 0 {
-		s.after(s.stallLimit(f), func() {
-			if f.gen == gen && !f.over {
-				f.stalled = true
-				s.land(f, false)
+	gen := t.revision
+	if t.rate == 0 {
+		s.schedule(s.stallTimeout(t), func() {
+			if t.revision == gen && !t.ended {
+				t.stalled = true
+				s.endTransfer(t, false)
 			}
 		})
 		return
 	}
-	s.after(time.Duration(max(f.left, 0)/f.rate*float64(time.Second))+1, func() {
-		if f.gen == gen && !f.over {
-			s.land(f, true)
+	s.schedule(time.Duration(max(t.remaining, 0)/t.rate*float64(time.Second))+1, func() {
+		if t.revision == gen && !t.ended {
+			s.endTransfer(t, true)
 		}
 	})
 }
 
-func (s *sim) stallLimit(f *flight) time.Duration {
-	if f.to.swarm == nil {
+func (s *sim) stallTimeout(t *chunkTransfer) time.Duration {
+	if t.to.swarm == nil {
 		return time.Hour
 	}
-	return f.to.swarm.StallLimit()
+	return t.to.swarm.StallLimit()
 }
 
 // land ends a flight, whole or not.
-func (s *sim) land(f *flight, whole bool) {
-	if f.over {
+func (s *sim) endTransfer(t *chunkTransfer, whole bool) {
+	if t.ended {
 		return
 	}
-	f.over = true
-	f.left -= f.rate * (s.now - f.at).Seconds()
-	f.rate = 0
-	delete(f.to.active, f)
-	f.to.down--
-	s.account(f)
-	if f.from == nil {
-		delete(s.origin, f)
+	t.ended = true
+	t.remaining -= t.rate * (s.now - t.updated).Seconds()
+	t.rate = 0
+	delete(t.to.transfers, t)
+	t.to.down--
+	s.countBytes(t)
+	if t.from == nil {
+		delete(s.originTransfers, t)
 	} else {
-		delete(f.from.active, f)
-		f.from.up--
+		delete(t.from.transfers, t)
+		t.from.up--
 		if s.Strategy == Swarm {
-			s.release(f.from)
+			s.releaseSlot(t.from)
 		}
 	}
-	s.reshare(f.from, f.to)
-	s.landed(f, whole)
+	s.updateRates(t.from, t.to)
+	s.handleTransferEnd(t, whole)
 }
 
-func (s *sim) account(f *flight) {
-	moved := 1 - max(f.left, 0)
-	if f.from == nil {
-		s.originSum += moved
-	} else if f.from.region != f.to.region {
-		s.crossSum += moved
+func (s *sim) countBytes(t *chunkTransfer) {
+	moved := 1 - max(t.remaining, 0)
+	if t.from == nil {
+		s.originChunks += moved
+	} else if t.from.region != t.to.region {
+		s.crossRegionChunks += moved
 	}
 }
 
-func (s *sim) landed(f *flight, whole bool) {
-	b := f.to
-	if b.dead {
+func (s *sim) handleTransferEnd(t *chunkTransfer, whole bool) {
+	b := t.to
+	if b.crashed {
 		return
 	}
 	if s.Strategy != Swarm {
-		s.plannedLanded(f)
+		s.handlePlannedEnd(t)
 		return
 	}
-	if f.stalled {
-		b.swarm.Stalled(f.pull, s.clock())
-		s.ask(b)
+	if t.stalled {
+		b.swarm.Stalled(t.pull, s.time())
+		s.startPulls(b)
 		return
 	}
-	if !whole || f.corrupt {
-		if f.corrupt {
+	if !whole || t.corrupt {
+		if t.corrupt {
 			s.res.CorruptChunks++
 		}
-		b.swarm.Bad(f.pull, s.clock())
-		s.ask(b)
+		b.swarm.Bad(t.pull, s.time())
+		s.startPulls(b)
 		return
 	}
 	var known transfer.Knowledge
-	if f.from != nil && !f.from.dead {
-		known = f.from.swarm.Knows()
+	if t.from != nil && !t.from.crashed {
+		known = t.from.swarm.Knows()
 	}
-	b.swarm.Arrived(f.pull, known, s.now-f.began, s.clock())
+	b.swarm.Arrived(t.pull, known, s.now-t.started, s.time())
 	if b.swarm.Done() {
 		s.finish(b)
 		return
 	}
-	s.ask(b)
+	s.startPulls(b)
 }
 
 func (s *sim) finish(b *box) {
@@ -521,7 +521,7 @@
 func (s *sim) result() Result {
 	var times []time.Duration
 	for _, b := range s.boxes {
-		if b.dead {
+		if b.crashed {
 			continue
 		}
 		if !b.done {
@@ -530,11 +530,11 @@
 		}
 		times = append(times, b.doneAt)
 	}
-	s.res.Half = quantile(times, 0.5, s.floor)
-	s.res.Most = quantile(times, 0.95, s.floor)
-	s.res.All = quantile(times, 1, s.floor)
-	s.res.OriginCopies = s.originSum / float64(s.Chunks)
-	s.res.CrossCopies = s.crossSum / float64(s.Chunks)
-	s.res.ControlBytesABox = s.pulls * controlBytes(s.Chunks) / float64(s.Boxes)
+	s.res.P50 = relativeQuantile(times, 0.5, s.minTime)
+	s.res.P95 = relativeQuantile(times, 0.95, s.minTime)
+	s.res.Max = relativeQuantile(times, 1, s.minTime)
+	s.res.OriginCopies = s.originChunks / float64(s.Chunks)
+	s.res.CrossCopies = s.crossRegionChunks / float64(s.Chunks)
+	s.res.ControlBytesPerBox = s.pulls * controlBytesPerPull(s.Chunks) / float64(s.Boxes)
 	return s.res
 }
--- a/internal/linksim/linksim_test.go
+++ b/internal/linksim/linksim_test.go
@@ -12,18 +12,18 @@
 	"gotest.tools/v3/assert"
 )
 
-const committed = "../../docs/transfer.json"
+const committedFile = "../../docs/transfer.json"
 
-func rows(t *testing.T) []Row {
+func committedRows(t *testing.T) []Row {
 	t.Helper()
-	b, err := os.ReadFile(committed)
+	b, err := os.ReadFile(committedFile)
 	assert.NilError(t, err)
 	var out []Row
 	assert.NilError(t, json.Unmarshal(b, &out))
 	return out
 }
 
-func find(t *testing.T, all []Row, name string, boxes int) Row {
+func findRow(t *testing.T, all []Row, name string, boxes int) Row {
 	t.Helper()
 	for _, r := range all {
 		if r.Name == name && r.Boxes == boxes {
@@ -36,25 +36,25 @@
 
 // TestTransferBounds holds the committed table to its bounds.
 func TestTransferBounds(t *testing.T) {
-	all := rows(t)
+	all := committedRows(t)
 	assert.Equal(t, len(all), len(Sizes)*len(Cases(1)))
 	for _, n := range Sizes {
-		plain := find(t, all, "swarm", n)
-		assert.Assert(t, plain.All <= 1.15, "%d boxes: %.3f T*", n, plain.All)
+		plain := findRow(t, all, "swarm", n)
+		assert.Assert(t, plain.Max <= 1.15, "%d boxes: %.3f T*", n, plain.Max)
 		assert.Assert(t, plain.OriginCopies <= 1.05, "%d boxes: %.3f copies", n, plain.OriginCopies)
-		faults := find(t, all, "swarm, all three faults", n)
-		assert.Assert(t, faults.All <= 1.5, "%d boxes with faults: %.3f T*", n, faults.All)
+		faults := findRow(t, all, "swarm, all three faults", n)
+		assert.Assert(t, faults.Max <= 1.5, "%d boxes with faults: %.3f T*", n, faults.Max)
 		assert.Assert(t, faults.OriginCopies <= 1.3, "%d boxes with faults: %.3f copies", n, faults.OriginCopies)
 		assert.Equal(t, plain.Unfinished+faults.Unfinished, 0)
 	}
-	growth := find(t, all, "swarm", 1024).All / find(t, all, "swarm", 64).All
+	growth := findRow(t, all, "swarm", 1024).Max / findRow(t, all, "swarm", 64).Max
 	assert.Assert(t, growth < 1.25, "from 64 to 1,024 boxes the time grows %.3f times", growth)
 }
 
 // TestPageAgrees fails when docs/TRANSFER.md and the data disagree.
 func TestPageAgrees(t *testing.T) {
 	var want strings.Builder
-	Markdown(&want, rows(t))
+	Markdown(&want, committedRows(t))
 	b, err := os.ReadFile("../../docs/TRANSFER.md")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(b), want.String()))
@@ -64,7 +64,7 @@
 // of today's aim without faults and with all, and compares them with the
 // committed table: the figures are the same every run.
 func TestTransferRows(t *testing.T) {
-	all := rows(t)
+	all := committedRows(t)
 	cases := append(append(Cases(12), Cases(16)...), Cases(64)...)
 	for _, c := range Cases(410) {
 		if c.Name == "swarm" || c.Name == "swarm, all three faults" {
@@ -74,23 +74,23 @@
 	for _, c := range cases {
 		t.Run(strings.ReplaceAll(c.Name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			assert.DeepEqual(t, RunCase(c), find(t, all, c.Name, c.Config.Boxes))
+			assert.DeepEqual(t, RunCase(c), findRow(t, all, c.Name, c.Config.Boxes))
 		})
 	}
 }
 
 // TestSeeds plays the faults under other seeds: the bounds must not hang on
 // one drawing.
-func TestSeeds(t *testing.T) {
+func TestTransferBoundsOtherSeeds(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			c := base(48)
+			c := baseConfig(48)
 			c.Seed = 100 + seed
-			c.DeathShare, c.StallShare, c.CorruptShare = 0.1, 0.1, 0.01
+			c.CrashShare, c.StallShare, c.CorruptShare = 0.1, 0.1, 0.01
 			r := Run(c)
 			assert.Equal(t, r.Unfinished, 0)
-			assert.Assert(t, r.All <= 1.5, "%.3f T*", r.All)
+			assert.Assert(t, r.Max <= 1.5, "%.3f T*", r.Max)
 			assert.Assert(t, r.OriginCopies <= 1.3, "%.3f copies", r.OriginCopies)
 		})
 	}
@@ -100,16 +100,16 @@
 // that send three chunks at once, as on boxes with narrow links. The last box
 // has it in 1.7 times the time of its own link, the origin sends one copy, and
 // each chunk crosses to each other region once.
-func TestRegionsAtSize(t *testing.T) {
+func TestManyBoxesInFiveRegions(t *testing.T) {
 	const regions, atOnce = 5, 3
 	for _, n := range []int{120, 288} {
 		r := Run(Config{
 			Boxes: n, Chunks: 64, Regions: regions, Zones: regions, Window: 5 * time.Second, OriginRegions: 1,
 			InZone: time.Millisecond, InRegion: time.Millisecond, CrossRegion: 2 * time.Millisecond,
-			Downloads: atOnce, Slots: atOnce, Waiting: atOnce, Seed: 1,
+			Downloads: atOnce, Slots: atOnce, QueueLength: atOnce, Seed: 1,
 		})
-		assert.Assert(t, r.Half <= 1.55, "%d boxes: half after %.2f T*", n, r.Half)
-		assert.Assert(t, r.All <= 1.7, "%d boxes: all after %.2f T*", n, r.All)
+		assert.Assert(t, r.P50 <= 1.55, "%d boxes: half after %.2f T*", n, r.P50)
+		assert.Assert(t, r.Max <= 1.7, "%d boxes: all after %.2f T*", n, r.Max)
 		assert.Assert(t, r.OriginCopies <= 1.1, "%d boxes: %.2f copies", n, r.OriginCopies)
 		assert.Assert(t, r.CrossCopies <= 1.05*(regions-1), "%d boxes: %.2f copies between regions", n, r.CrossCopies)
 	}
--- a/internal/linksim/table.go
+++ b/internal/linksim/table.go
@@ -17,9 +17,9 @@
 	Chunks int    `json:"chunks"`
 	// Half, Most and All are the times to 50%, 95% and all of the living
 	// boxes, as multiples of T*.
-	Half         float64 `json:"half"`
-	Most         float64 `json:"most"`
-	All          float64 `json:"all"`
+	P50          float64 `json:"half"`
+	P95          float64 `json:"most"`
+	Max          float64 `json:"all"`
 	OriginCopies float64 `json:"origin_copies"`
 	CrossCopies  float64 `json:"cross_copies"`
 	ControlBytes float64 `json:"control_bytes_a_box"`
@@ -39,7 +39,7 @@
 	tableSeed   = 1
 )
 
-func base(n int) Config {
+func baseConfig(n int) Config {
 	return Config{
 		Boxes:         n,
 		Chunks:        tableChunks,
@@ -57,7 +57,7 @@
 // Cases returns the benchmark's rows for one number of boxes.
 func Cases(n int) []Case {
 	with := func(name string, change func(*Config)) Case {
-		c := base(n)
+		c := baseConfig(n)
 		change(&c)
 		return Case{Name: name, Config: c}
 	}
@@ -67,12 +67,12 @@
 		with("one tree", func(c *Config) { c.Strategy = Tree }),
 		with("swarm", func(*Config) {}),
 		with("swarm, one extra copy", func(c *Config) { c.ExtraCopies = 1 }),
-		with("swarm, a tenth die", func(c *Config) { c.DeathShare = 0.1 }),
+		with("swarm, a tenth die", func(c *Config) { c.CrashShare = 0.1 }),
 		with("swarm, a tenth of links stall", func(c *Config) { c.StallShare = 0.1 }),
 		with("swarm, one chunk in 100 corrupt", func(c *Config) { c.CorruptShare = 0.01 }),
-		with("swarm, all three faults", func(c *Config) { c.DeathShare, c.StallShare, c.CorruptShare = 0.1, 0.1, 0.01 }),
+		with("swarm, all three faults", func(c *Config) { c.CrashShare, c.StallShare, c.CorruptShare = 0.1, 0.1, 0.01 }),
 		with("swarm, all three faults, one extra copy", func(c *Config) {
-			c.DeathShare, c.StallShare, c.CorruptShare, c.ExtraCopies = 0.1, 0.1, 0.01, 1
+			c.CrashShare, c.StallShare, c.CorruptShare, c.ExtraCopies = 0.1, 0.1, 0.01, 1
 		}),
 	}
 }
@@ -87,17 +87,17 @@
 		Name:         c.Name,
 		Boxes:        c.Config.Boxes,
 		Chunks:       c.Config.Chunks,
-		Half:         round(r.Half),
-		Most:         round(r.Most),
-		All:          round(r.All),
-		OriginCopies: round(r.OriginCopies),
-		CrossCopies:  round(r.CrossCopies),
-		ControlBytes: math.Round(r.ControlBytesABox),
+		P50:          roundToThousandth(r.P50),
+		P95:          roundToThousandth(r.P95),
+		Max:          roundToThousandth(r.Max),
+		OriginCopies: roundToThousandth(r.OriginCopies),
+		CrossCopies:  roundToThousandth(r.CrossCopies),
+		ControlBytes: math.Round(r.ControlBytesPerBox),
 		Unfinished:   r.Unfinished,
 	}
 }
 
-func round(v float64) float64 { return math.Round(v*1000) / 1000 }
+func roundToThousandth(v float64) float64 { return math.Round(v*1000) / 1000 }
 
 // Table plays all cases of the given sizes, a few at once.
 func Table(sizes []int) []Row {
@@ -127,7 +127,7 @@
 	fmt.Fprintln(w, "| boxes | way | to 50% | to 95% | to all | origin copies | cross-region copies | control KB a box |")
 	fmt.Fprintln(w, "|---:|---|---:|---:|---:|---:|---:|---:|")
 	for _, r := range rows {
-		times := fmt.Sprintf("%.3f | %.3f | %.3f", r.Half, r.Most, r.All)
+		times := fmt.Sprintf("%.3f | %.3f | %.3f", r.P50, r.P95, r.Max)
 		if r.Unfinished > 0 {
 			times = fmt.Sprintf("> %d | > %d | > %d (%d not done)", stopAfter, stopAfter, stopAfter, r.Unfinished)
 		}
--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -13,17 +13,18 @@
 	"github.com/mintlift/mintlift/membership"
 )
 
-// BoxList is the platform's list of live and leaving boxes. It lags by
-// Faults.LagMS. The zero value is an empty list.
+// BoxList is the platform's list of live and leaving boxes. Readers see a
+// change only after Faults.LagMS. The zero value is an empty list.
 type BoxList struct {
 	Faults Faults
 
 	mu      sync.Mutex
-	history []listed
+	history []boxSnapshot
 	reads   int
 }
 
-type listed struct {
+// boxSnapshot is the list as set at a time.
+type boxSnapshot struct {
 	at    time.Time
 	boxes []membership.Box
 }
@@ -32,41 +33,45 @@
 func (l *BoxList) Set(boxes []membership.Box) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.history = append(l.history, listed{at: time.Now(), boxes: slices.Clone(boxes)})
+	l.history = append(l.history, boxSnapshot{at: time.Now(), boxes: slices.Clone(boxes)})
 }
 
-// Put adds a box, or replaces the one of the same identity.
+// Put adds a box, or replaces the one with the same ID.
 func (l *BoxList) Put(b membership.Box) {
-	l.edit(func(boxes []membership.Box) []membership.Box {
+	l.update(func(boxes []membership.Box) []membership.Box {
 		boxes = slices.DeleteFunc(boxes, func(o membership.Box) bool { return o.ID == b.ID })
 		return append(boxes, b)
 	})
 }
 
-// Remove takes a box off the list.
+// Remove deletes the box with the given ID, if it is listed.
 func (l *BoxList) Remove(id string) {
-	l.edit(func(boxes []membership.Box) []membership.Box {
+	l.update(func(boxes []membership.Box) []membership.Box {
 		return slices.DeleteFunc(boxes, func(o membership.Box) bool { return o.ID == id })
 	})
 }
 
-func (l *BoxList) edit(f func([]membership.Box) []membership.Box) {
+// update appends a snapshot with the boxes that f returns for a copy of the
+// latest ones.
+func (l *BoxList) update(f func([]membership.Box) []membership.Box) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var now []membership.Box
+	var latest []membership.Box
 	if n := len(l.history); n > 0 {
-		now = slices.Clone(l.history[n-1].boxes)
+		latest = slices.Clone(l.history[n-1].boxes)
 	}
-	l.history = append(l.history, listed{at: time.Now(), boxes: f(now)})
+	l.history = append(l.history, boxSnapshot{at: time.Now(), boxes: f(latest)})
 }
 
-// Reads returns how often the list has been read.
+// Reads returns the number of reads over HTTP so far.
 func (l *BoxList) Reads() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reads
 }
 
+// visible counts a read and returns the latest list that is at least as old
+// as the configured lag.
 func (l *BoxList) visible() []membership.Box {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +90,7 @@
 func (l *BoxList) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /boxes", func(w http.ResponseWriter, r *http.Request) {
-		if l.Faults.gate(w) {
+		if l.Faults.beforeCall(w) {
 			boxes := l.visible()
 			httpserve.WriteTagged(w, r, httpserve.Tag(boxes), boxes)
 		}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,101 +16,108 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Engine is a model engine: it holds staged chunks and loaded versions in
-// bounded memory, takes orders, and generates tokens that spell out which
-// version answers which request. Use NewEngine.
+// Engine is a model engine. It holds staged chunks and loaded versions in
+// bounded memory, executes orders, and generates tokens that name the version
+// and the request (see Token). Use NewEngine.
 type Engine struct {
 	Faults Faults
-	// ChecksFences makes it refuse orders of an older holder or fence.
+	// ChecksFences rejects orders with an older epoch or fence.
 	ChecksFences bool
-	// MemoryBytes bounds the loaded versions; 0 does not.
+	// MemoryBytes limits the size of the loaded versions; 0 means no limit.
 	MemoryBytes int64
-	// TokenTime is the time for each token; FirstTokenTime for the first.
+	// FirstTokenTime is the time until the first token of a response,
+	// TokenTime the time between tokens.
 	TokenTime, FirstTokenTime time.Duration
-	// Slots bounds the requests that generate at once; the others wait by
-	// priority.
+	// Slots is the number of requests that generate concurrently; others
+	// queue by priority.
 	Slots int
-	// Forget keeps no bytes of staged chunks, and makes them up anew.
+	// DiscardChunks discards the bytes of valid staged chunks; reads generate them
+	// again with Content.
 	Forget bool
 
-	mu      sync.Mutex
-	epoch   int64
-	fence   int64
-	staged  map[weights.Ref]*staging
-	loaded  []loaded
-	runs    map[string]*run
-	journal []Run
-	active  int
-	waiting []*waiter
-	orders  []string
-	fences  []int64 // of the orders, as they took effect
+	mu          sync.Mutex
+	epoch       int64
+	fence       int64
+	staged      map[weights.Ref]*stagedVersion
+	loaded      []loadedVersion
+	generations map[string]*generation // by request ID
+	journal     []Run
+	active      int
+	waiting     []*waiter
+	orders      []string
+	fences      []int64 // of the accepted orders, in order
 }
 
-type staging struct {
+// stagedVersion holds the chunks that were staged for a version.
+type stagedVersion struct {
 	manifest *weights.Manifest
-	chunks   map[int][]byte
+	chunks   map[int][]byte // by index; nil for a valid chunk whose bytes were discarded
 }
 
-type loaded struct {
+type loadedVersion struct {
 	engine.Loaded
-	// whole says that what was loaded is what the version truly is.
+	// whole is true if all chunks were staged with their correct content.
 	whole bool
 }
 
+// waiter is a request that is queued for a slot.
 type waiter struct {
 	priority int
-	ready    chan struct{}
+	ready    chan struct{} // closed when the slot is granted
 }
 
-// Run is an entry of the engine's own eventlog.
+// Run is a journal entry: one request that an endpoint ran.
 type Run struct {
 	Request   string `json:"request"`
 	Version   string `json:"version"`
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
-	// Whole says that the version was loaded whole.
+	// Whole is true if the version was loaded with the correct content.
 	Whole bool `json:"whole"`
-	Done  bool `json:"done"`
+	// Done is true once the response has been generated in full.
+	Done bool `json:"done"`
 }
 
-// run is a generation under way.
-type run struct {
-	mu      sync.Mutex
-	id      string
-	version weights.Ref
-	whole   bool
-	tokens  []string
-	total   int
-	done    bool
-	changed chan struct{}
-	readers int
-	cancel  chan struct{}
-	once    sync.Once
+// generation is the response to one request. It outlives the connection of
+// its reader, so that the stream can be resumed.
+type generation struct {
+	mu         sync.Mutex
+	id         string // of the request
+	version    weights.Ref
+	whole      bool
+	tokens     []string
+	total      int
+	done       bool          // no token will be added
+	changed    chan struct{} // closed and replaced with each new token and at the end
+	readers    int
+	cancel     chan struct{} // closed to cancel the generation
+	cancelOnce sync.Once
 }
 
-// resumeGrace is how long a generation without a reader goes on.
-const resumeGrace = 3 * time.Second
+// resumeTimeout is how long a generation continues without a reader, and how
+// long it can be resumed after its end.
+const resumeTimeout = 3 * time.Second
 
 // NewEngine returns an empty engine with 64 slots.
 func NewEngine() *Engine {
-	return &Engine{Slots: 64, staged: make(map[weights.Ref]*staging), runs: make(map[string]*run)}
+	return &Engine{Slots: 64, staged: make(map[weights.Ref]*stagedVersion), generations: make(map[string]*generation)}
 }
 
-// Journal returns a copy of the engine's eventlog.
+// Journal returns a copy of the engine's journal, oldest entry first.
 func (e *Engine) Journal() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.journal)
 }
 
-// Orders returns the orders that took effect, in order.
+// Orders returns the executed orders in order, such as "load model@version".
 func (e *Engine) Orders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders)
 }
 
-// Fences returns the fences of the orders that took effect, in order.
+// Fences returns the fences of the accepted orders, in order.
 func (e *Engine) Fences() []int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,10 +139,10 @@
 	mux.HandleFunc("POST "+engine.PathCompletions, e.generate)
 	mux.HandleFunc("GET /v1/resume/{id}", e.resume)
 	mux.HandleFunc("POST /control/cancel/{id}", e.cancelRun)
-	mux.HandleFunc("GET /control/journal", func(w http.ResponseWriter, _ *http.Request) { answerJSON(w, http.StatusOK, e.Journal()) })
+	mux.HandleFunc("GET /control/journal", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Journal()) })
 	mux.HandleFunc("POST /faults", e.Faults.handle)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != "/faults" && !e.Faults.gate(w) {
+		if r.URL.Path != "/faults" && !e.Faults.beforeCall(w) {
 			return
 		}
 		mux.ServeHTTP(w, r)
@@ -150,14 +157,14 @@
 		s.Loaded = append(s.Loaded, l.Loaded)
 	}
 	for ref, st := range e.staged {
-		g := engine.Staged{Ref: ref, ManifestDigest: st.manifest.Digest()}
+		staged := engine.Staged{Ref: ref, ManifestDigest: st.manifest.Digest()}
 		for c := range st.chunks {
-			g.Chunks = append(g.Chunks, c)
+			staged.Chunks = append(staged.Chunks, c)
 		}
-		slices.Sort(g.Chunks)
-		s.Staged = append(s.Staged, g)
+		slices.Sort(staged.Chunks)
+		s.Staged = append(s.Staged, staged)
 	}
-	answerJSON(w, http.StatusOK, s)
+	writeJSON(w, http.StatusOK, s)
 }
 
 func (e *Engine) claim(w http.ResponseWriter, _ *http.Request) {
@@ -165,7 +172,7 @@
 	e.epoch++
 	c := engine.Claim{Epoch: e.epoch, Fence: e.fence}
 	e.mu.Unlock()
-	answerJSON(w, http.StatusOK, c)
+	writeJSON(w, http.StatusOK, c)
 }
 
 func (e *Engine) stage(w http.ResponseWriter, r *http.Request) {
@@ -177,7 +184,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.staged[m.Ref] == nil {
-		e.staged[m.Ref] = &staging{manifest: m, chunks: make(map[int][]byte)}
+		e.staged[m.Ref] = &stagedVersion{manifest: m, chunks: make(map[int][]byte)}
 	}
 }
 
@@ -187,10 +194,10 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	i, _ := strconv.Atoi(r.PathValue("chunk")) // a bad number is chunk 0 of whatever digest
+	i, _ := strconv.Atoi(r.PathValue("chunk")) // an invalid number selects chunk 0
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	st := e.staged[refOf(r)]
+	st := e.staged[refFromPath(r)]
 	if st == nil {
 		http.Error(w, "nothing staged", http.StatusNotFound)
 		return
@@ -202,9 +209,9 @@
 }
 
 func (e *Engine) getChunk(w http.ResponseWriter, r *http.Request) {
-	i, _ := strconv.Atoi(r.PathValue("chunk")) // a bad number finds no chunk or the first
+	i, _ := strconv.Atoi(r.PathValue("chunk")) // an invalid number selects chunk 0
 	e.mu.Lock()
-	st := e.staged[refOf(r)]
+	st := e.staged[refFromPath(r)]
 	var b []byte
 	ok := false
 	if st != nil {
@@ -218,22 +225,24 @@
 	if b == nil {
 		b = Content(st.manifest.Ref, i, st.manifest.Size(i))
 	}
-	if e.Faults.corrupt() {
+	if e.Faults.corruptChunk() {
 		b = slices.Clone(b)
 		b[0] ^= 1
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	_, _ = w.Write(b) // the client has gone if this fails
+	_, _ = w.Write(b) // fails only if the client has disconnected
 }
 
 func (e *Engine) dropStaging(_ http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.staged, refOf(r))
+	delete(e.staged, refFromPath(r))
 }
 
-// admit checks an order's fence; the caller holds the lock.
-func (e *Engine) admit(w http.ResponseWriter, o engine.Order) bool {
+// acceptOrder records the order's fence and reports whether the order may be
+// executed. A stale order gets a 409 response if ChecksFences is set. The
+// caller holds e.mu.
+func (e *Engine) acceptOrder(w http.ResponseWriter, o engine.Order) bool {
 	if e.ChecksFences && (o.Epoch < e.epoch || o.Fence < e.fence) {
 		http.Error(w, fmt.Sprintf("stale order: epoch %d fence %d, have %d and %d", o.Epoch, o.Fence, e.epoch, e.fence), http.StatusConflict)
 		return false
@@ -251,7 +260,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.admit(w, o) {
+	if !e.acceptOrder(w, o) {
 		return
 	}
 	st := e.staged[o.Ref]
@@ -270,18 +279,18 @@
 		return
 	}
 	e.orders = append(e.orders, "load "+o.Ref.String())
-	e.drop(o.Ref)
-	e.loaded = append(e.loaded, loaded{
+	e.removeLoaded(o.Ref)
+	e.loaded = append(e.loaded, loadedVersion{
 		Loaded: engine.Loaded{Ref: o.Ref, Bytes: st.manifest.Bytes, ManifestDigest: st.manifest.Digest(), Fence: o.Fence},
 		whole:  st.whole(),
 	})
-	if e.Faults.lose() {
-		cut()
+	if e.Faults.dropResponse() {
+		abortConnection()
 	}
 }
 
-// whole compares what is staged with what the version truly is.
-func (s *staging) whole() bool {
+// whole reports whether all chunks are staged with their correct content.
+func (s *stagedVersion) whole() bool {
 	for i := range s.manifest.Chunks {
 		b, ok := s.chunks[i]
 		if !ok {
@@ -294,8 +303,9 @@
 	return true
 }
 
-func (e *Engine) drop(ref weights.Ref) {
-	e.loaded = slices.DeleteFunc(e.loaded, func(l loaded) bool { return l.Ref == ref })
+// removeLoaded unloads a version; the caller holds e.mu.
+func (e *Engine) removeLoaded(ref weights.Ref) {
+	e.loaded = slices.DeleteFunc(e.loaded, func(l loadedVersion) bool { return l.Ref == ref })
 }
 
 func (e *Engine) unload(w http.ResponseWriter, r *http.Request) {
@@ -306,11 +316,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.admit(w, o) {
+	if e.acceptOrder(w, o) {
 		e.orders = append(e.orders, "unload "+o.Ref.String())
-		e.drop(o.Ref)
-		if e.Faults.lose() {
-			cut()
+		e.removeLoaded(o.Ref)
+		if e.Faults.dropResponse() {
+			abortConnection()
 		}
 	}
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -2,9 +2,9 @@
 
 // Package standin holds small stand-ins for the platform: the log service,
 // the weight store with its origin, the box list, a model engine and a
-// plain service. Each speaks the protocol that mintlift expects of the real
-// thing (docs/PLATFORM.md) and has its faults switchable, in process or by
-// POST /faults. They exist for tests, the demo and benchmarks.
+// plain service. Each implements the protocol of the real service
+// (docs/PLATFORM.md). Faults can be injected in process or with POST /faults.
+// The stand-ins are for tests, the demo and benchmarks.
 package standin
 
 import (
@@ -18,63 +18,68 @@
 	"github.com/mintlift/mintlift/engine"
 )
 
-// FaultSettings are the faults that a stand-in shows now.
+// FaultSettings are the faults that a stand-in injects.
 type FaultSettings struct {
-	// Down answers 503 to everything.
+	// Down rejects every call with 503.
 	Down bool `json:"down"`
-	// SlowMS delays every answer.
-	SlowMS int `json:"slow_ms"`
-	// LoseAnswers cuts the connection of the next calls that change
-	// something, after the effect.
-	LoseAnswers int `json:"lose_answers"`
-	// LagMS delays what a reader sees of a change.
+	// DelayMS delays every response, in milliseconds.
+	DelayMS int `json:"slow_ms"`
+	// DropResponses is the number of state-changing calls whose connection is
+	// cut after they have taken effect.
+	DropResponses int `json:"lose_answers"`
+	// LagMS hides changes from readers for so many milliseconds.
 	LagMS int `json:"lag_ms"`
-	// CorruptEvery spoils every n-th chunk; 0 spoils none.
+	// CorruptEvery corrupts every n-th chunk sent; 0 corrupts none.
 	CorruptEvery int `json:"corrupt_every"`
-	// ShowOffset, when positive, makes the log answer as it stood when this
-	// was its end.
-	ShowOffset int64 `json:"show_offset"`
-	// DieAfterTokens cuts every stream after so many tokens, once.
-	DieAfterTokens int `json:"die_after_tokens"`
-	// ForeignAnswers answers under another request's id; ForeignEvents puts
-	// an event of another request into each stream.
-	ForeignAnswers bool `json:"foreign_answers"`
-	ForeignEvents  bool `json:"foreign_events"`
-	// LimitRate is a limit that an engine names, in requests a second, if Limited;
-	// Draining says in each answer that it takes nothing new; BackoffSeconds, when positive, turns
-	// all requests away and asks for backoff.
-	Limited        bool    `json:"limited"`
-	LimitRate      float64 `json:"limit_rate"`
-	Draining       bool    `json:"draining"`
+	// EndOffset, if positive, hides the log's entries from this offset on.
+	EndOffset int64 `json:"show_offset"`
+	// CutAfterTokens, if positive, cuts the next stream when it has sent this
+	// many tokens.
+	CutAfterTokens int `json:"die_after_tokens"`
+	// MismatchedResponses sends responses with another request's ID.
+	MismatchedResponses bool `json:"foreign_answers"`
+	// MismatchedEvents replaces the second event of each stream by one of
+	// another request.
+	MismatchedEvents bool `json:"foreign_events"`
+	// Limited makes the engine report LimitRate as its rate limit.
+	Limited bool `json:"limited"`
+	// LimitRate is in requests per second.
+	LimitRate float64 `json:"limit_rate"`
+	// Draining makes the engine report in each response that it drains.
+	Draining bool `json:"draining"`
+	// BackoffSeconds, if positive, rejects all requests with 503 and this
+	// Retry-After.
 	BackoffSeconds float64 `json:"backoff_seconds"`
 }
 
-// Faults guards FaultSettings. The zero value shows no faults.
+// Faults holds FaultSettings that may be changed at any time. The zero value
+// injects no faults.
 type Faults struct {
-	mu     sync.Mutex
-	s      FaultSettings
-	served int
+	mu         sync.Mutex
+	settings   FaultSettings
+	chunksSent int
 }
 
-// Set replaces the settings.
+// Set replaces the fault settings.
 func (f *Faults) Set(s FaultSettings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.s = s
+	f.settings = s
 }
 
-// Get returns the settings.
+// Get returns the current fault settings.
 func (f *Faults) Get() FaultSettings {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.s
+	return f.settings
 }
 
-// gate delays or refuses a call; it reports whether the call goes on.
-func (f *Faults) gate(w http.ResponseWriter) bool {
+// beforeCall injects DelayMS and Down. It reports whether the call may
+// proceed; otherwise it has written the response.
+func (f *Faults) beforeCall(w http.ResponseWriter) bool {
 	s := f.Get()
-	if s.SlowMS > 0 {
-		time.Sleep(time.Duration(s.SlowMS) * time.Millisecond)
+	if s.DelayMS > 0 {
+		time.Sleep(time.Duration(s.DelayMS) * time.Millisecond)
 	}
 	if s.Down {
 		http.Error(w, "down", http.StatusServiceUnavailable)
@@ -83,9 +88,9 @@
 	return true
 }
 
-// speak says of the engine what it is to say of itself; it reports whether the
-// request is taken.
-func (f *Faults) speak(w http.ResponseWriter) bool {
+// writeBackpressure adds the configured backpressure headers. It reports
+// whether the request is accepted; otherwise it has written the response.
+func (f *Faults) writeBackpressure(w http.ResponseWriter) bool {
 	s := f.Get()
 	if s.Limited {
 		w.Header().Set(engine.HeaderLimit, strconv.FormatFloat(s.LimitRate, 'f', -1, 64))
@@ -101,32 +106,33 @@
 	return false
 }
 
-// lose reports whether the answer of a call that has taken effect is lost.
-func (f *Faults) lose() bool {
+// dropResponse reports whether the response of the current call must be
+// dropped, and counts it.
+func (f *Faults) dropResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.s.LoseAnswers == 0 {
+	if f.settings.DropResponses == 0 {
 		return false
 	}
-	f.s.LoseAnswers--
+	f.settings.DropResponses--
 	return true
 }
 
-// corrupt reports whether the chunk now sent is to be spoiled.
-func (f *Faults) corrupt() bool {
+// corruptChunk counts a sent chunk and reports whether to corrupt it.
+func (f *Faults) corruptChunk() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.served++
-	return f.s.CorruptEvery > 0 && f.served%f.s.CorruptEvery == 0
+	f.chunksSent++
+	return f.settings.CorruptEvery > 0 && f.chunksSent%f.settings.CorruptEvery == 0
 }
 
-// dieAt returns after how many tokens the next stream is cut, or 0, and
-// resets the fault.
-func (f *Faults) dieAt() int {
+// takeStreamCut returns the number of tokens after which to cut the current
+// stream, 0 for never, and clears CutAfterTokens.
+func (f *Faults) takeStreamCut() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.s.DieAfterTokens
-	f.s.DieAfterTokens = 0
+	n := f.settings.CutAfterTokens
+	f.settings.CutAfterTokens = 0
 	return n
 }
 
@@ -139,16 +145,17 @@
 	f.Set(s)
 }
 
-// cut closes the connection without an answer.
-func cut() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection of the current call without
+// completing its response.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-// Server is a stand-in that listens.
+// Server is a stand-in's HTTP server.
 type Server struct {
 	http *http.Server
 	addr string
 }
 
-// Serve listens on address ("127.0.0.1:0" for any port).
+// Serve starts a server on address ("127.0.0.1:0" for any port).
 func Serve(address string, h http.Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -159,14 +166,14 @@
 	return s, nil
 }
 
-// Address is the address that the stand-in listens on.
+// Address returns the listener's IP:port.
 func (s *Server) Address() string { return s.addr }
 
-// Close cuts every connection.
+// Close stops the server and closes all connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
-func answerJSON(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client has gone if this fails
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -14,14 +14,15 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// foreignID is the request that ForeignAnswers and ForeignEvents claim.
-const foreignID = "foreign-request"
+// mismatchedID is the request ID sent by MismatchedResponses and
+// MismatchedEvents.
+const mismatchedID = "foreign-request"
 
-// defaultTokens is the length of an answer when the caller does not say.
+// defaultTokens is the length of a response if max_tokens is not set.
 const defaultTokens = 16
 
-// Token is the text of an answer's i-th token: it names the version and the
-// request, so that a mixed or foreign answer shows.
+// Token returns the text of a response's i-th token. It names the version and
+// the request, so that mixed or mismatched responses can be detected.
 func Token(version, request string, i int) string {
 	return fmt.Sprintf("%s/%s/%d ", version, request, i)
 }
@@ -46,72 +47,75 @@
 	if total <= 0 {
 		total = defaultTokens
 	}
-	if !e.Faults.speak(w) {
+	if !e.Faults.writeBackpressure(w) {
 		return
 	}
-	g, ok := e.begin(r, ref, total)
+	g, ok := e.startGeneration(r, ref, total)
 	if !ok {
 		http.Error(w, "version is not loaded", http.StatusNotFound)
 		return
 	}
-	e.attach(w, r, g, 0, body.Stream)
+	e.respond(w, r, g, 0, body.Stream)
 }
 
-// begin notes a run in the journal and starts it.
-func (e *Engine) begin(r *http.Request, ref weights.Ref, total int) (*run, bool) {
+// startGeneration adds a request to the journal and starts to generate its
+// response. It returns false if the version is not loaded.
+func (e *Engine) startGeneration(r *http.Request, ref weights.Ref, total int) (*generation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at := slices.IndexFunc(e.loaded, func(l loaded) bool { return l.Ref == ref })
+	at := slices.IndexFunc(e.loaded, func(l loadedVersion) bool { return l.Ref == ref })
 	if at < 0 {
 		return nil, false
 	}
 	id := r.Header.Get(engine.HeaderRequest)
-	g := &run{id: id, version: ref, whole: e.loaded[at].whole, total: total, changed: make(chan struct{}), cancel: make(chan struct{})}
-	e.runs[id] = g
+	g := &generation{id: id, version: ref, whole: e.loaded[at].whole, total: total, changed: make(chan struct{}), cancel: make(chan struct{})}
+	e.generations[id] = g
 	e.journal = append(e.journal, Run{Request: id, Version: ref.String(), Workspace: r.Header.Get(engine.HeaderWorkspace), Key: r.Header.Get(engine.HeaderKey), Whole: g.whole})
 	entry := len(e.journal) - 1
-	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority)) // missing counts as lowest
+	priority, _ := strconv.Atoi(r.Header.Get(engine.HeaderPriority)) // 0, the lowest, if missing
 	go func() {
-		if e.enter(g, priority) {
-			e.produce(g)
-			e.leave()
+		if e.acquireSlot(g, priority) {
+			e.generateTokens(g)
+			e.releaseSlot()
 		}
-		e.finish(g, entry)
+		e.endGeneration(g, entry)
 	}()
 	return g, true
 }
 
-// enter waits for a slot, the highest priority first.
-func (e *Engine) enter(g *run, priority int) bool {
+// acquireSlot waits for a slot. Waiters get slots by priority, then in order
+// of arrival. It returns false if the generation was cancelled meanwhile.
+func (e *Engine) acquireSlot(g *generation, priority int) bool {
 	e.mu.Lock()
 	if e.active < e.Slots {
 		e.active++
 		e.mu.Unlock()
 		return true
 	}
-	me := &waiter{priority: priority, ready: make(chan struct{})}
+	self := &waiter{priority: priority, ready: make(chan struct{})}
 	at := slices.IndexFunc(e.waiting, func(o *waiter) bool { return o.priority < priority })
 	if at < 0 {
 		at = len(e.waiting)
 	}
-	e.waiting = slices.Insert(e.waiting, at, me)
+	e.waiting = slices.Insert(e.waiting, at, self)
 	e.mu.Unlock()
 	select {
-	case <-me.ready:
+	case <-self.ready:
 		return true
 	case <-g.cancel:
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if at := slices.Index(e.waiting, me); at >= 0 {
+	if at := slices.Index(e.waiting, self); at >= 0 {
 		e.waiting = slices.Delete(e.waiting, at, at+1)
 		return false
 	}
-	e.active-- // the slot had been handed over already
+	e.active-- // the slot was granted concurrently with the cancellation
 	return false
 }
 
-func (e *Engine) leave() {
+// releaseSlot passes the slot to the first waiter, if there is one.
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.waiting) == 0 {
@@ -122,7 +126,8 @@
 	e.waiting = e.waiting[1:]
 }
 
-func (e *Engine) produce(g *run) {
+// generateTokens adds tokens until the response is complete or cancelled.
+func (e *Engine) generateTokens(g *generation) {
 	pause := e.FirstTokenTime
 	for i := range g.total {
 		select {
@@ -134,12 +139,12 @@
 		if !g.whole {
 			version = "broken-weights"
 		}
-		g.add(Token(version, g.id, i))
+		g.addToken(Token(version, g.id, i))
 		pause = e.TokenTime
 	}
 }
 
-func (g *run) add(token string) {
+func (g *generation) addToken(token string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tokens = append(g.tokens, token)
@@ -147,29 +152,33 @@
 	g.changed = make(chan struct{})
 }
 
-func (e *Engine) finish(g *run, entry int) {
+// endGeneration marks the generation as done, updates its journal entry, and
+// removes it when it can no longer be resumed.
+func (e *Engine) endGeneration(g *generation, entry int) {
 	g.mu.Lock()
 	g.done = true
-	whole := len(g.tokens) == g.total
+	complete := len(g.tokens) == g.total
 	close(g.changed)
 	g.changed = make(chan struct{})
 	g.mu.Unlock()
 	e.mu.Lock()
-	e.journal[entry].Done = whole
+	e.journal[entry].Done = complete
 	e.mu.Unlock()
-	time.AfterFunc(resumeGrace, func() {
+	time.AfterFunc(resumeTimeout, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.runs[g.id] == g {
-			delete(e.runs, g.id)
+		if e.generations[g.id] == g {
+			delete(e.generations, g.id)
 		}
 	})
 }
 
-func (g *run) stop() { g.once.Do(func() { close(g.cancel) }) }
+// stop cancels the generation; it may be called more than once.
+func (g *generation) stop() { g.cancelOnce.Do(func() { close(g.cancel) }) }
 
-// next waits for token i; ok is false when the run has ended without it.
-func (g *run) next(i int, gone <-chan struct{}) (token string, ok bool) {
+// token waits for token i. It returns false if the generation has ended
+// without it, or when disconnected is closed.
+func (g *generation) token(i int, disconnected <-chan struct{}) (token string, ok bool) {
 	for {
 		g.mu.Lock()
 		changed, done := g.changed, g.done
@@ -184,7 +193,7 @@
 		}
 		select {
 		case <-changed:
-		case <-gone:
+		case <-disconnected:
 			return "", false
 		}
 	}
@@ -192,41 +201,42 @@
 
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	g := e.runs[r.PathValue("id")]
+	g := e.generations[r.PathValue("id")]
 	e.mu.Unlock()
 	if g == nil {
 		http.Error(w, "no such run", http.StatusNotFound)
 		return
 	}
 	after, _ := strconv.Atoi(r.URL.Query().Get("after")) // a missing value starts at 0
-	e.attach(w, r, g, after, true)
+	e.respond(w, r, g, after, true)
 }
 
 func (e *Engine) cancelRun(_ http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	g := e.runs[r.PathValue("id")]
+	g := e.generations[r.PathValue("id")]
 	e.mu.Unlock()
 	if g != nil {
 		g.stop()
 	}
 }
 
-// attach sends a run's tokens from the given one on to a reader. A run that
-// loses its last reader goes on for resumeGrace and is then cancelled.
-func (e *Engine) attach(w http.ResponseWriter, r *http.Request, g *run, from int, stream bool) {
-	g.attached(1)
+// respond writes a generation as a stream that starts with token from, or as
+// one JSON body. A generation whose last reader disconnects is cancelled
+// after resumeTimeout, unless it is resumed.
+func (e *Engine) respond(w http.ResponseWriter, r *http.Request, g *generation, from int, stream bool) {
+	g.addReaders(1)
 	defer func() {
-		if g.attached(-1) == 0 {
-			time.AfterFunc(resumeGrace, func() {
-				if g.attached(0) == 0 {
+		if g.addReaders(-1) == 0 {
+			time.AfterFunc(resumeTimeout, func() {
+				if g.addReaders(0) == 0 {
 					g.stop()
 				}
 			})
 		}
 	}()
 	w.Header().Set(engine.HeaderRequest, g.id)
-	if e.Faults.Get().ForeignAnswers {
-		w.Header().Set(engine.HeaderRequest, foreignID)
+	if e.Faults.Get().MismatchedResponses {
+		w.Header().Set(engine.HeaderRequest, mismatchedID)
 	}
 	w.Header().Set(engine.HeaderVersion, g.version.String())
 	if stream {
@@ -235,56 +245,61 @@
 	}
 	text := ""
 	for i := 0; ; i++ {
-		token, ok := g.next(i, r.Context().Done())
+		token, ok := g.token(i, r.Context().Done())
 		if !ok {
 			break
 		}
 		text += token
 	}
 	if !g.complete() {
-		cut()
+		abortConnection()
 	}
-	answerJSON(w, http.StatusOK, completion(g, text))
+	writeJSON(w, http.StatusOK, newCompletion(g, text))
 }
 
-func (g *run) attached(d int) int {
+// addReaders adds n to the number of readers and returns the result.
+func (g *generation) addReaders(n int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.readers += d
+	g.readers += n
 	return g.readers
 }
 
-func (g *run) complete() bool {
+// complete reports whether all tokens have been generated.
+func (g *generation) complete() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.tokens) == g.total
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *run, from int) {
+// stream writes the tokens from the given one on as server-sent events. It
+// cuts the connection if the generation ends before it is complete.
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
-	die := e.Faults.dieAt()
+	cutAfter := e.Faults.takeStreamCut()
 	for i := from; ; i++ {
-		token, ok := g.next(i, r.Context().Done())
+		token, ok := g.token(i, r.Context().Done())
 		if !ok {
 			break
 		}
-		shown := g.id
-		if e.Faults.Get().ForeignEvents && i == 1 {
-			shown, token = foreignID, "somebody-else"
+		id := g.id
+		if e.Faults.Get().MismatchedEvents && i == 1 {
+			id, token = mismatchedID, "somebody-else"
 		}
-		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i+1, chunkJSON(shown, g, token))
-		_ = rc.Flush() // the client has gone if this fails
-		if die > 0 && i+1 == die {
-			cut()
+		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i+1, completionChunkJSON(id, g, token))
+		_ = rc.Flush() // fails only if the client has disconnected
+		if cutAfter > 0 && i+1 == cutAfter {
+			abortConnection()
 		}
 	}
 	if !g.complete() {
-		cut()
+		abortConnection()
 	}
 	fmt.Fprintf(w, "data: [DONE]\n\n")
 }
 
+// choice is a choice of a completion: Delta in a stream, Message otherwise.
 type choice struct {
 	Index        int      `json:"index"`
 	Delta        *message `json:"delta,omitempty"`
@@ -297,19 +312,20 @@
 	Content string `json:"content"`
 }
 
-type answer struct {
+// completionResponse is a completion or one chunk of a streamed completion.
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Model   string   `json:"model"`
 	Choices []choice `json:"choices"`
 }
 
-func chunkJSON(id string, g *run, token string) []byte {
-	b, _ := json.Marshal(answer{ID: id, Object: "chat.completion.chunk", Model: g.version.String(), Choices: []choice{{Delta: &message{Content: token}}}}) // plain fields always marshal
+func completionChunkJSON(id string, g *generation, token string) []byte {
+	b, _ := json.Marshal(completionResponse{ID: id, Object: "chat.completion.chunk", Model: g.version.String(), Choices: []choice{{Delta: &message{Content: token}}}}) // plain fields always marshal
 	return b
 }
 
-func completion(g *run, text string) answer {
+func newCompletion(g *generation, text string) completionResponse {
 	stop := "stop"
-	return answer{ID: g.id, Object: "chat.completion", Model: g.version.String(), Choices: []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}}
+	return completionResponse{ID: g.id, Object: "chat.completion", Model: g.version.String(), Choices: []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}}
 }
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -15,19 +15,20 @@
 	"github.com/mintlift/mintlift/eventlog"
 )
 
-// appendsPerSecond is a quarter of the rate that the smallest deployment's
-// store bears: what passes here has room to spare there.
+// appendsPerSecond limits appends over HTTP to a quarter of what the log of
+// the smallest deployment accepts.
 const appendsPerSecond = 100
 
 // Log is the log service: append-only streams with offsets, a bounded rate
 // of appends and bounded retention. Use NewLog.
 type Log struct {
 	Faults Faults
-	// Keep is how many records a stream keeps; 0 keeps all.
+	// Keep is the number of newest records that a stream retains; 0 retains
+	// all.
 	Keep int
 
 	mu      sync.Mutex
-	era     int64
+	era     int64 // incremented by each rollback
 	streams map[string]*stream
 	limit   *rate.Limiter
 	appends int
@@ -35,10 +36,10 @@
 }
 
 type stream struct {
-	first   int64
+	first   int64 // offset of the oldest retained entry
 	entries []eventlog.Entry
-	times   []time.Time
-	changed chan struct{}
+	times   []time.Time   // append time of each entry
+	changed chan struct{} // closed and replaced with each change
 }
 
 // NewLog returns an empty log.
@@ -55,20 +56,22 @@
 	return mux
 }
 
-// Counts returns how many appends and reads have been answered.
+// Counts returns the number of appends, and of pages read, so far.
 func (l *Log) Counts() (appends, reads int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends, l.reads
 }
 
-// Entries returns a copy of a stream's kept entries.
+// Entries returns a copy of a stream's retained entries.
 func (l *Log) Entries(name string) []eventlog.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]eventlog.Entry(nil), l.stream(name).entries...)
 }
 
+// stream returns the named stream, which it creates if necessary; the caller
+// holds l.mu.
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
@@ -79,7 +82,7 @@
 }
 
 func (l *Log) append(w http.ResponseWriter, r *http.Request) {
-	if !l.Faults.gate(w) {
+	if !l.Faults.beforeCall(w) {
 		return
 	}
 	if !l.limit.Allow() {
@@ -93,13 +96,14 @@
 		return
 	}
 	offset := l.Add(r.PathValue("stream"), data)
-	if l.Faults.lose() {
-		cut()
+	if l.Faults.dropResponse() {
+		abortConnection()
 	}
-	answerJSON(w, http.StatusOK, eventlog.Appended{Offset: offset})
+	writeJSON(w, http.StatusOK, eventlog.Appended{Offset: offset})
 }
 
-// Add appends data, past the rate and the faults.
+// Add appends a record and returns its offset. It is not subject to the rate
+// limit and the faults.
 func (l *Log) Add(name string, data []byte) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,8 +121,9 @@
 	return offset
 }
 
-// GoBack leaves the first n entries of a stream that are kept: what was appended
-// since is gone, and its offsets are given out again. A new era begins.
+// Rollback rolls a stream back to its first n retained entries, as if the log
+// had been restored from an older copy. The offsets of the removed entries are
+// reused, in a new era.
 func (l *Log) GoBack(name string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,22 +136,22 @@
 }
 
 func (l *Log) read(w http.ResponseWriter, r *http.Request) {
-	if !l.Faults.gate(w) {
+	if !l.Faults.beforeCall(w) {
 		return
 	}
 	q := r.URL.Query()
-	from, _ := strconv.ParseInt(q.Get("from"), 10, 64) // a missing value reads from the start
+	from, _ := strconv.ParseInt(q.Get("from"), 10, 64) // 0 if missing
 	limit, _ := strconv.Atoi(q.Get("limit"))
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
 	deadline := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		page, changed := l.page(r.PathValue("stream"), from, limit)
 		if from < page.First {
-			answerJSON(w, http.StatusGone, page)
+			writeJSON(w, http.StatusGone, page)
 			return
 		}
 		if len(page.Records) > 0 || wait == 0 {
-			answerJSON(w, http.StatusOK, page)
+			writeJSON(w, http.StatusOK, page)
 			return
 		}
 		select {
@@ -159,6 +164,9 @@
 	}
 }
 
+// page counts a read and returns the visible entries from offset from on, at
+// most limit unless it is 0, and a channel that is closed when the stream
+// changes.
 func (l *Log) page(name string, from int64, limit int) (eventlog.Page, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,12 +174,12 @@
 	s := l.stream(name)
 	f := l.Faults.Get()
 	p := eventlog.Page{Era: l.era, First: s.first, Next: s.first + int64(len(s.entries)), Records: []eventlog.Entry{}}
-	if f.ShowOffset > 0 {
-		p.Next = min(p.Next, f.ShowOffset)
+	if f.EndOffset > 0 {
+		p.Next = min(p.Next, f.EndOffset)
 	}
 	for i, e := range s.entries {
-		seen := time.Since(s.times[i]) >= time.Duration(f.LagMS)*time.Millisecond
-		if e.Offset >= from && e.Offset < p.Next && seen && (limit == 0 || len(p.Records) < limit) {
+		visible := time.Since(s.times[i]) >= time.Duration(f.LagMS)*time.Millisecond
+		if e.Offset >= from && e.Offset < p.Next && visible && (limit == 0 || len(p.Records) < limit) {
 			p.Records = append(p.Records, e)
 		}
 	}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,25 +13,25 @@
 	"github.com/mintlift/mintlift/engine"
 )
 
-// Service is a plain service. It answers each call with what it received
-// and keeps a eventlog. The zero value is ready for use.
+// Service is a plain service. It responds to each call with an Echo and adds
+// it to its journal. The zero value is ready for use.
 type Service struct {
 	Faults Faults
-	// Time is how long a call takes.
-	Time time.Duration
+	// Latency is the duration of each call.
+	Latency time.Duration
 
 	mu      sync.Mutex
 	journal []Run
 }
 
-// Echo is a plain service's answer.
+// Echo is the response body of a plain service: what it received.
 type Echo struct {
 	Request string `json:"request"`
 	Path    string `json:"path"`
 	Body    string `json:"body"`
 }
 
-// Journal returns a copy of the service's eventlog.
+// Journal returns a copy of the service's journal, oldest entry first.
 func (s *Service) Journal() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,13 +42,13 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", s.Faults.handle)
-	mux.HandleFunc("GET /control/journal", func(w http.ResponseWriter, _ *http.Request) { answerJSON(w, http.StatusOK, s.Journal()) })
-	mux.HandleFunc("/", s.run)
+	mux.HandleFunc("GET /control/journal", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Journal()) })
+	mux.HandleFunc("/", s.handleCall)
 	return mux
 }
 
-func (s *Service) run(w http.ResponseWriter, r *http.Request) {
-	if !s.Faults.gate(w) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
+	if !s.Faults.beforeCall(w) {
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -59,11 +59,11 @@
 	s.mu.Lock()
 	s.journal = append(s.journal, Run{Request: id, Workspace: r.Header.Get(engine.HeaderWorkspace), Key: r.Header.Get(engine.HeaderKey), Whole: true, Done: true})
 	s.mu.Unlock()
-	time.Sleep(s.Time)
-	if s.Faults.lose() {
-		cut()
+	time.Sleep(s.Latency)
+	if s.Faults.dropResponse() {
+		abortConnection()
 	}
 	w.Header().Set(engine.HeaderRequest, id)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Echo{Request: id, Path: r.URL.Path, Body: string(body)}) // the client has gone if this fails
+	_ = json.NewEncoder(w).Encode(Echo{Request: id, Path: r.URL.Path, Body: string(body)}) // fails only if the client has disconnected
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -18,8 +18,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Content returns the true bytes of a chunk. They follow from the version's
-// name, so that nothing has to keep them.
+// Content returns the correct bytes of a chunk. They are generated from the
+// version's name and the chunk's index, so that they need not be stored.
 func Content(ref weights.Ref, chunk int, size int64) []byte {
 	var seed [32]byte
 	binary.LittleEndian.PutUint64(seed[:], xxhash.Sum64String(ref.String()))
@@ -29,10 +29,11 @@
 	return b
 }
 
-// NewManifest returns the manifest of a version with the given size.
-func NewManifest(ref weights.Ref, size, chunk int64) *weights.Manifest {
-	m := &weights.Manifest{Ref: ref, Bytes: size, ChunkBytes: chunk}
-	n := int((size + chunk - 1) / chunk)
+// NewManifest returns the manifest of a version of size bytes in chunks of
+// chunkSize bytes.
+func NewManifest(ref weights.Ref, size, chunkSize int64) *weights.Manifest {
+	m := &weights.Manifest{Ref: ref, Bytes: size, ChunkBytes: chunkSize}
+	n := int((size + chunkSize - 1) / chunkSize)
 	m.Chunks = make([]weights.Digest, n)
 	for i := range m.Chunks {
 		m.Chunks[i] = weights.Sum(Content(ref, i, m.Size(i)))
@@ -40,41 +41,41 @@
 	return m
 }
 
-// Store is the weight store, which hands out manifests at a limited rate,
-// and the origin, which hands out chunks over a link of limited speed. Use
+// Store is the weight store, which serves manifests at a limited request
+// rate, and the origin, which serves chunks at a limited bandwidth. Use
 // NewStore.
 type Store struct {
 	Faults Faults
 
-	mu        sync.Mutex
-	manifests map[weights.Ref][]byte
-	parsed    map[weights.Ref]*weights.Manifest
-	link      *rate.Limiter
-	requests  *rate.Limiter
-	sent      int64
+	mu           sync.Mutex
+	manifests    map[weights.Ref][]byte
+	parsed       map[weights.Ref]*weights.Manifest
+	originLimit  *rate.Limiter
+	requestLimit *rate.Limiter
+	sent         int64 // bytes of chunks
 }
 
 const (
 	storeRequestsPerSecond = 50
-	originBurst            = 256 << 10
+	originBurst            = 256 << 10 // bytes
 )
 
-// NewStore returns a store whose origin sends bytesPerSecond; 0 sends as
-// fast as it can.
+// NewStore returns a store whose origin is limited to bytesPerSecond; 0 means
+// no limit.
 func NewStore(bytesPerSecond float64) *Store {
 	limit := rate.Inf
 	if bytesPerSecond > 0 {
 		limit = rate.Limit(bytesPerSecond)
 	}
 	return &Store{
-		manifests: make(map[weights.Ref][]byte),
-		parsed:    make(map[weights.Ref]*weights.Manifest),
-		link:      rate.NewLimiter(limit, originBurst),
-		requests:  rate.NewLimiter(storeRequestsPerSecond, storeRequestsPerSecond),
+		manifests:    make(map[weights.Ref][]byte),
+		parsed:       make(map[weights.Ref]*weights.Manifest),
+		originLimit:  rate.NewLimiter(limit, originBurst),
+		requestLimit: rate.NewLimiter(storeRequestsPerSecond, storeRequestsPerSecond),
 	}
 }
 
-// Publish adds a version.
+// Publish adds a version; its chunks have the bytes of Content.
 func (s *Store) Publish(m *weights.Manifest) {
 	b, err := json.Marshal(m)
 	if err != nil {
@@ -86,14 +87,14 @@
 	s.parsed[m.Ref] = m
 }
 
-// PublishRaw adds a manifest as it is, broken or not.
+// PublishRaw adds a manifest without validation and without chunks.
 func (s *Store) PublishRaw(ref weights.Ref, manifest []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.manifests[ref] = manifest
 }
 
-// OriginBytes returns the bytes of weights sent so far.
+// OriginBytes returns the number of bytes that the origin has sent.
 func (s *Store) OriginBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,61 +107,63 @@
 	mux.HandleFunc("GET /store/{model}/{version}/manifest", s.manifest)
 	mux.HandleFunc("GET /origin/{model}/{version}/chunks/{chunk}", s.chunk)
 	mux.HandleFunc("GET /origin/sent", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, map[string]int64{"bytes": s.OriginBytes()})
+		writeJSON(w, http.StatusOK, map[string]int64{"bytes": s.OriginBytes()})
 	})
 	mux.HandleFunc("POST /faults", s.Faults.handle)
 	return mux
 }
 
-func refOf(r *http.Request) weights.Ref {
+func refFromPath(r *http.Request) weights.Ref {
 	return weights.Ref{Model: r.PathValue("model"), Version: r.PathValue("version")}
 }
 
 func (s *Store) manifest(w http.ResponseWriter, r *http.Request) {
-	if !s.Faults.gate(w) {
+	if !s.Faults.beforeCall(w) {
 		return
 	}
-	if !s.requests.Allow() {
+	if !s.requestLimit.Allow() {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "over the rate of requests", http.StatusTooManyRequests)
 		return
 	}
 	s.mu.Lock()
-	b, ok := s.manifests[refOf(r)]
+	b, ok := s.manifests[refFromPath(r)]
 	s.mu.Unlock()
 	if !ok {
 		http.Error(w, "no such version", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(b) // the client has gone if this fails
+	_, _ = w.Write(b) // fails only if the client has disconnected
 }
 
 func (s *Store) chunk(w http.ResponseWriter, r *http.Request) {
-	if !s.Faults.gate(w) {
+	if !s.Faults.beforeCall(w) {
 		return
 	}
 	i, err := strconv.Atoi(r.PathValue("chunk"))
 	s.mu.Lock()
-	m := s.parsed[refOf(r)]
+	m := s.parsed[refFromPath(r)]
 	s.mu.Unlock()
 	if err != nil || m == nil || i < 0 || i >= len(m.Chunks) {
 		http.Error(w, "no such chunk", http.StatusNotFound)
 		return
 	}
 	b := Content(m.Ref, i, m.Size(i))
-	if s.Faults.corrupt() {
+	if s.Faults.corruptChunk() {
 		b[len(b)/2] ^= 1
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	s.send(r.Context(), w, b)
 }
 
+// send writes b at the origin's bandwidth and counts the bytes. It stops early
+// if ctx ends or a write fails.
 func (s *Store) send(ctx context.Context, w io.Writer, b []byte) {
 	const piece = 64 << 10
 	for len(b) > 0 {
 		n := min(piece, len(b))
-		if s.link.WaitN(ctx, n) != nil {
+		if s.originLimit.WaitN(ctx, n) != nil {
 			return
 		}
 		if _, err := w.Write(b[:n]); err != nil {
