--- a/internal/linksim/faults.go
+++ b/internal/linksim/faults.go
@@ -9,24 +9,25 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// scheduleFaults draws the deaths, spread evenly over the floor on time,
-// and the stalls, from random moments.
+// scheduleFaults schedules crashes of random boxes, evenly spread over T*, and
+// stalls of other boxes' links at random times.
 func (s *sim) scheduleFaults() {
 	order := s.rng.Perm(s.Boxes)
-	deaths := int(s.CrashShare * float64(s.Boxes))
-	for i, id := range order[:deaths] {
+	crashes := int(s.CrashShare * float64(s.Boxes))
+	for i, id := range order[:crashes] {
 		b := s.boxes[id]
-		s.schedule(time.Duration(float64(s.minTime)*(float64(i)+0.5)/float64(deaths)), func() { s.crash(b) })
+		s.schedule(time.Duration(float64(s.minTime)*(float64(i)+0.5)/float64(crashes)), func() { s.crash(b) })
 	}
 	stalls := int(s.StallShare * float64(s.Boxes))
-	for _, id := range order[deaths : deaths+stalls] {
+	for _, id := range order[crashes : crashes+stalls] {
 		b := s.boxes[id]
-		from := time.Duration(s.rng.Float64() * float64(s.minTime))
-		s.schedule(from, func() { s.setStalled(b, true) })
-		s.schedule(from+s.minTime/5, func() { s.setStalled(b, false) })
+		start := time.Duration(s.rng.Float64() * float64(s.minTime))
+		s.schedule(start, func() { s.setStalled(b, true) })
+		s.schedule(start+s.minTime/5, func() { s.setStalled(b, false) })
 	}
 }
 
+// crash ends all transfers of a box and fails the pulls queued at it.
 func (s *sim) crash(b *box) {
 	if b.done {
 		s.finished--
@@ -53,22 +54,24 @@
 	return out
 }
 
-func (s *sim) setStalled(b *box, on bool) {
-	b.stalled = on
+func (s *sim) setStalled(b *box, stalled bool) {
+	b.stalled = stalled
 	s.updateRates(b)
 }
 
-func relativeQuantile(times []time.Duration, q float64, floor time.Duration) float64 {
+// relativeQuantile sorts times and returns their q-quantile as a multiple of
+// unit, or 0 if there are none.
+func relativeQuantile(times []time.Duration, q float64, unit time.Duration) float64 {
 	if len(times) == 0 {
 		return 0
 	}
 	slices.Sort(times)
 	at := min(int(q*float64(len(times))), len(times)-1)
-	return times[at].Seconds() / floor.Seconds()
+	return times[at].Seconds() / unit.Seconds()
 }
 
-// planned builds the baselines: each box gets its chunks in order from one
-// parent that was planned ahead.
+// startPlanned starts the baseline strategies: each box receives its chunks in
+// order from a fixed parent, or from the origin if it has none.
 func (s *sim) startPlanned() {
 	for i, b := range s.boxes {
 		b.nextChunk = make(map[int]int)
@@ -90,7 +93,7 @@
 	}
 }
 
-// originNext sends the box its next chunk from the origin.
+// sendNextFromOrigin starts the transfer of a box's next chunk from the origin.
 func (s *sim) sendNextFromOrigin(b *box) {
 	if c := int(b.held.Count()); c < s.Chunks && !b.crashed {
 		s.pulls++
@@ -98,6 +101,8 @@
 	}
 }
 
+// handlePlannedEnd records a chunk that arrived under a baseline strategy and
+// starts the transfers that it makes possible.
 func (s *sim) handlePlannedEnd(t *chunkTransfer) {
 	b := t.to
 	b.held.Set(uint(t.chunk))
@@ -116,7 +121,8 @@
 	}
 }
 
-// pass sends a child its next chunk, if the parent holds it already.
+// sendNextToChild starts the transfer of a child's next chunk, if b holds it
+// and is not sending to the child already.
 func (s *sim) sendNextToChild(b *box, child int) {
 	c := b.nextChunk[child]
 	if c >= s.Chunks || !b.held.Test(uint(c)) {
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -1,10 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package linksim is a small fake of links in virtual time: boxes with an
-// up and a down rate, an origin with a rate, latencies, and the faults that
-// links have. It drives the real decisions of package transfer and gives
-// the same figures every run. It models no packets: a transfer gets the
-// lesser of its sender's and its receiver's equal shares.
+// Package linksim is a deterministic discrete-event simulation of the transfer
+// of a version to many boxes. It models upload and download rates of boxes, the
+// rate of the origin, latencies, crashes, stalled links and corrupt chunks, and
+// runs the real decisions of package transfer. It does not model packets: a
+// transfer's rate is the lesser of its equal shares of the sender's and the
+// receiver's links.
+//
+// Times are given as multiples of T*, the least time in which all boxes can
+// receive all chunks at the given link rates.
 package linksim
 
 import (
@@ -24,54 +28,65 @@
 	Boxes   int
 	Chunks  int
 	Regions int
-	Zones   int // in all, spread over the regions
-	// Window is the time in which the origin's link carries four copies and
-	// a box's link two.
+	Zones   int // of all regions together
+	// Window is the time in which the origin's link carries four copies of
+	// the version, and a box's link two.
 	Window time.Duration
-	// OriginRegions is how many regions read from the origin.
+	// OriginRegions is the number of regions that read from the origin.
 	OriginRegions int
-	// ExtraCopies from the origin that boxes may share.
+	// ExtraCopies is the number of additional copies that all boxes together
+	// may read from the origin.
 	ExtraCopies float64
-	// Latencies, one way.
+	// One-way latencies within a zone, within a region and between regions.
 	InZone, InRegion, CrossRegion time.Duration
-	// Faults.
-	CrashShare   float64 // of the boxes, spread evenly over the transfer
-	StallShare   float64 // of the boxes' links, for 0.2 T* each
-	CorruptShare float64 // of the chunks
+	// CrashShare is the share of boxes that crash, at times spread evenly
+	// over T*.
+	CrashShare float64
+	// StallShare is the share of boxes whose links stall, for 0.2 T* each.
+	StallShare float64
+	// CorruptShare is the probability that a transferred chunk is corrupt.
+	CorruptShare float64
 	Seed         uint64
-	// Strategy replaces the swarm for the baselines.
+	// Strategy is Swarm or one of the baselines.
 	Strategy Strategy
-	// Downloads, Slots and Waiting override the defaults of transfer.
+	// Limits of package transfer: concurrent downloads, upload slots and the
+	// length of the upload queue; 0 means the default.
 	Downloads, Slots, QueueLength int
 }
 
-// Strategy is the way that chunks spread.
+// Strategy determines which box receives which chunk from whom.
 type Strategy int
 
-// The strategies.
 const (
+	// Swarm uses package transfer.
 	Swarm Strategy = iota
+	// OriginOnly sends all chunks from the origin to each box.
 	OriginOnly
+	// Chain sends all chunks from each box to the next one.
 	Chain
+	// Tree sends all chunks along a binary tree.
 	Tree
 )
 
-// Result is what a run measured, times as multiples of T*.
+// Result holds the measurements of a run. Copies are multiples of the
+// version's size.
 type Result struct {
-	Boxes              int     `json:"boxes"`
-	P50, P95, Max      float64 // to 50%, 95% and all of the living boxes
+	Boxes int `json:"boxes"`
+	// Times until 50%, 95% and all of the boxes that did not crash have all
+	// chunks, as multiples of T*.
+	P50, P95, Max      float64
 	OriginCopies       float64
-	CrossCopies        float64
+	CrossCopies        float64 // between regions
 	ControlBytesPerBox float64
 	Crashes            int
 	CorruptChunks      int
 	UnverifiedPassed   int
-	Unfinished         int
-	MaxOriginTransfers int
+	Unfinished         int // boxes that did not crash and lack chunks
+	MaxOriginTransfers int // concurrent transfers from the origin
 }
 
-// controlBytes is what one pull costs besides the chunk: request and answer
-// heads, and two bitmaps.
+// controlBytesPerPull returns the bytes of a pull besides the chunk: request
+// and response headers, and bitmaps.
 func controlBytesPerPull(chunks int) float64 { return 400 + 3*float64(chunks)/8 }
 
 type box struct {
@@ -82,39 +97,40 @@
 	swarm         *transfer.Swarm
 	picker        *transfer.Picker
 	queue         *prio.Queue
-	transfers     map[*chunkTransfer]bool // both directions
-	up, down      int
+	transfers     map[*chunkTransfer]bool // in both directions
+	up, down      int                     // number of transfers in each direction
 	crashed       bool
 	stalled       bool
 	doneAt        time.Duration
 	done          bool
 	pollScheduled bool
-	queued        map[uint64]*pullRequest
-	// for the planned strategies
-	held      *bitset.BitSet
+	queued        map[uint64]*pullRequest // waiting for an upload slot, by ID
+	held          *bitset.BitSet
+	// Only for the baselines: the boxes to send to, and each one's next chunk.
 	children  []int
 	nextChunk map[int]int
 }
 
+// pullRequest is a request from a box to its peer for a chunk.
 type pullRequest struct {
-	from    *box
-	to      *box
+	from    *box // receives the chunk
+	to      *box // sends it
 	pull    transfer.Pull
 	id      uint64
-	exclude *bitset.BitSet
+	exclude *bitset.BitSet // chunks that from holds or is receiving
 }
 
-// flight is a chunk on its way.
+// chunkTransfer is a transfer of one chunk.
 type chunkTransfer struct {
 	from      *box // nil for the origin
 	to        *box
 	pull      transfer.Pull
 	chunk     int
-	remaining float64 // share of a chunk still to go
-	rate      float64 // chunks a second
+	remaining float64 // share of the chunk, as of updated
+	rate      float64 // chunks per second
 	updated   time.Duration
 	started   time.Duration
-	revision  int
+	revision  int // of rate; events of older revisions are ignored
 	corrupt   bool
 	ended     bool
 	stalled   bool
@@ -151,27 +167,29 @@
 	boxes             []*box
 	byName            map[string]*box
 	originTransfers   map[*chunkTransfer]bool
-	boxRate           float64 // chunks a second
-	minTime           time.Duration
+	boxRate           float64       // of a box's link in each direction, in chunks per second
+	minTime           time.Duration // T*
 	res               Result
 	originChunks      float64
 	crossRegionChunks float64
 	pulls             float64
-	running           int
-	finished          int
+	running           int // boxes that have not crashed
+	finished          int // running boxes that have all chunks
 	epoch             time.Time
 }
 
-// stopAfter is when a run is stopped, as a multiple of T*.
+// stopAfter is the maximum duration of a run as a multiple of T*.
 const stopAfter = 40
 
-// Floor is T* for the configuration.
+// MinTime returns T* for the configuration.
 func (c Config) MinTime() time.Duration {
-	u, o, n := 2/c.Window.Seconds(), 4/c.Window.Seconds(), float64(c.Boxes)
-	return time.Duration(max(1/u, 1/o, n/(o+n*u)) * float64(time.Second))
+	// Copies per second of a box's link and of the origin's.
+	boxRate, originRate, n := 2/c.Window.Seconds(), 4/c.Window.Seconds(), float64(c.Boxes)
+	return time.Duration(max(1/boxRate, 1/originRate, n/(originRate+n*boxRate)) * float64(time.Second))
 }
 
-// Run plays one transfer to its end.
+// Run simulates one transfer until all boxes that have not crashed are done,
+// at most for stopAfter.
 func Run(c Config) Result {
 	s := &sim{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 7)), byName: make(map[string]*box), originTransfers: make(map[*chunkTransfer]bool)}
 	s.epoch = time.Unix(0, 0)
@@ -188,6 +206,7 @@
 	return s.result()
 }
 
+// schedule runs a function after virtual time d.
 func (s *sim) schedule(d time.Duration, run func()) {
 	s.seq++
 	heap.Push(&s.events, event{at: s.now + d, seq: s.seq, run: run})
@@ -231,6 +250,7 @@
 	return "box-" + string([]byte{byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)})
 }
 
+// latency returns the one-way latency between two boxes; nil is the origin.
 func (s *sim) latency(a, b *box) time.Duration {
 	switch {
 	case a == nil || b == nil || a.region != b.region:
@@ -244,7 +264,8 @@
 
 func (s *sim) time() time.Time { return s.epoch.Add(s.now) }
 
-// ask lets a box start pulls until it has nothing more to start.
+// startPulls starts pulls of a box until it has none to start, and schedules
+// the next attempt.
 func (s *sim) startPulls(b *box) {
 	for !b.crashed && !b.done {
 		p := b.swarm.Next(s.time())
@@ -273,17 +294,17 @@
 	})
 }
 
-// asked is a pull reaching its peer.
+// receiveRequest handles a pull request that has reached its peer.
 func (s *sim) receiveRequest(r *pullRequest) {
 	if r.to.crashed {
 		s.schedule(s.latency(r.from, r.to), func() { s.pullFailed(r.from, r.pull) })
 		return
 	}
-	granted, queued, out := r.to.queue.Admit(prio.Waiter{ID: r.id})
-	if out != nil {
-		pushed := r.to.queued[out.ID]
-		delete(r.to.queued, out.ID)
-		s.refuse(pushed)
+	granted, queued, evicted := r.to.queue.Admit(prio.Waiter{ID: r.id})
+	if evicted != nil {
+		request := r.to.queued[evicted.ID]
+		delete(r.to.queued, evicted.ID)
+		s.refuse(request)
 	}
 	switch {
 	case granted:
@@ -295,6 +316,7 @@
 	}
 }
 
+// refuse responds to a pull request that the peer is busy.
 func (s *sim) refuse(r *pullRequest) {
 	s.schedule(s.latency(r.from, r.to), func() {
 		r.from.swarm.Busy(r.pull, 0, s.time())
@@ -302,10 +324,10 @@
 	})
 }
 
-// serve picks the chunk for a pull that has got a slot.
+// serve selects the chunk for a pull request that has been granted a slot.
 func (s *sim) serve(r *pullRequest) {
-	known := r.to.swarm.Knows()
-	held := known.Held
+	available := r.to.swarm.Knows()
+	held := available.Held
 	chunk := r.pull.Chunk
 	if chunk < 0 {
 		chunk = r.to.picker.Pick(held, r.exclude)
@@ -315,7 +337,7 @@
 	if chunk < 0 {
 		s.releaseSlot(r.to)
 		s.schedule(s.latency(r.from, r.to), func() {
-			r.from.swarm.Nothing(r.pull, known, s.time())
+			r.from.swarm.Nothing(r.pull, available, s.time())
 			s.startPulls(r.from)
 		})
 		return
@@ -323,6 +345,8 @@
 	s.schedule(s.latency(r.from, r.to), func() { s.receiveOffer(r, chunk) })
 }
 
+// receiveOffer handles a response with a chunk: the requesting box accepts it,
+// or drops it if it has got the chunk meanwhile.
 func (s *sim) receiveOffer(r *pullRequest, chunk int) {
 	if r.from.crashed || r.to.crashed {
 		s.pullFailed(r.from, r.pull)
@@ -338,6 +362,7 @@
 	s.startTransfer(&chunkTransfer{from: r.to, to: r.from, pull: p, chunk: chunk})
 }
 
+// pullFailed handles a pull of box b whose peer has crashed.
 func (s *sim) pullFailed(b *box, p transfer.Pull) {
 	if b.crashed {
 		return
@@ -346,6 +371,8 @@
 	s.startPulls(b)
 }
 
+// releaseSlot releases an upload slot of a box and serves the next request in
+// its queue.
 func (s *sim) releaseSlot(b *box) {
 	if b.crashed {
 		return
@@ -359,7 +386,8 @@
 	s.serve(r)
 }
 
-// launch starts a flight and shares the links anew.
+// startTransfer starts a transfer and updates the rates of those that share a
+// link with it.
 func (s *sim) startTransfer(t *chunkTransfer) {
 	t.remaining, t.updated, t.started = 1, s.now, s.now
 	t.corrupt = s.rng.Float64() < s.CorruptShare
@@ -374,20 +402,22 @@
 	s.updateRates(t.from, t.to)
 }
 
-// reshare recomputes the rates of all flights at the given ends.
-func (s *sim) updateRates(ends ...*box) {
-	for _, b := range ends {
-		flights := s.originTransfers
+// updateRates recomputes the rates of all transfers of the given boxes; nil is
+// the origin.
+func (s *sim) updateRates(boxes ...*box) {
+	for _, b := range boxes {
+		transfers := s.originTransfers
 		if b != nil {
-			flights = b.transfers
+			transfers = b.transfers
 		}
-		for _, t := range s.sorted(flights) {
+		for _, t := range s.sorted(transfers) {
 			s.updateRate(t)
 		}
 	}
 }
 
-// ordered makes the walk over a set the same in every run.
+// sorted returns the elements of a set in an order that does not depend on
+// map iteration, so that runs are reproducible.
 func (s *sim) sorted(set map[*chunkTransfer]bool) []*chunkTransfer {
 	out := make([]*chunkTransfer, 0, len(set))
 	for t := range set {
@@ -408,6 +438,9 @@
 	return a.chunk < b.chunk
 }
 
+// updateRate accounts for the progress of a transfer at its old rate, computes
+// the new rate and schedules the transfer's end or, if its rate is 0, its stall
+// timeout.
 func (s *sim) updateRate(t *chunkTransfer) {
 	t.remaining -= t.rate * (s.now - t.updated).Seconds()
 	t.updated = s.now
@@ -422,10 +455,10 @@
 	if t.to.stalled || t.from != nil && t.from.stalled {
 		t.rate = 0
 	}
-	gen := t.revision
+	revision := t.revision
 	if t.rate == 0 {
 		s.schedule(s.stallTimeout(t), func() {
-			if t.revision == gen && !t.ended {
+			if t.revision == revision && !t.ended {
 				t.stalled = true
 				s.endTransfer(t, false)
 			}
@@ -433,12 +466,14 @@
 		return
 	}
 	s.schedule(time.Duration(max(t.remaining, 0)/t.rate*float64(time.Second))+1, func() {
-		if t.revision == gen && !t.ended {
+		if t.revision == revision && !t.ended {
 			s.endTransfer(t, true)
 		}
 	})
 }
 
+// stallTimeout returns the stall timeout of the receiver, or an hour for the
+// baselines.
 func (s *sim) stallTimeout(t *chunkTransfer) time.Duration {
 	if t.to.swarm == nil {
 		return time.Hour
@@ -446,8 +481,9 @@
 	return t.to.swarm.StallLimit()
 }
 
-// land ends a flight, whole or not.
-func (s *sim) endTransfer(t *chunkTransfer, whole bool) {
+// endTransfer ends a transfer, complete or not, and updates the rates of those
+// that shared a link with it.
+func (s *sim) endTransfer(t *chunkTransfer, complete bool) {
 	if t.ended {
 		return
 	}
@@ -467,19 +503,22 @@
 		}
 	}
 	s.updateRates(t.from, t.to)
-	s.handleTransferEnd(t, whole)
+	s.handleTransferEnd(t, complete)
 }
 
+// countBytes adds the transferred share of a chunk to the totals.
 func (s *sim) countBytes(t *chunkTransfer) {
-	moved := 1 - max(t.remaining, 0)
+	transferred := 1 - max(t.remaining, 0)
 	if t.from == nil {
-		s.originChunks += moved
+		s.originChunks += transferred
 	} else if t.from.region != t.to.region {
-		s.crossRegionChunks += moved
+		s.crossRegionChunks += transferred
 	}
 }
 
-func (s *sim) handleTransferEnd(t *chunkTransfer, whole bool) {
+// handleTransferEnd reports the result of a transfer to the receiver and
+// starts its next pulls.
+func (s *sim) handleTransferEnd(t *chunkTransfer, complete bool) {
 	b := t.to
 	if b.crashed {
 		return
@@ -493,7 +532,7 @@
 		s.startPulls(b)
 		return
 	}
-	if !whole || t.corrupt {
+	if !complete || t.corrupt {
 		if t.corrupt {
 			s.res.CorruptChunks++
 		}
@@ -501,11 +540,11 @@
 		s.startPulls(b)
 		return
 	}
-	var known transfer.Knowledge
+	var available transfer.Knowledge
 	if t.from != nil && !t.from.crashed {
-		known = t.from.swarm.Knows()
+		available = t.from.swarm.Knows()
 	}
-	b.swarm.Arrived(t.pull, known, s.now-t.started, s.time())
+	b.swarm.Arrived(t.pull, available, s.now-t.started, s.time())
 	if b.swarm.Done() {
 		s.finish(b)
 		return
--- a/internal/linksim/linksim_test.go
+++ b/internal/linksim/linksim_test.go
@@ -34,7 +34,8 @@
 	return Row{}
 }
 
-// TestTransferBounds holds the committed table to its bounds.
+// TestTransferBounds checks that the committed table stays within the bounds on
+// time and origin copies.
 func TestTransferBounds(t *testing.T) {
 	all := committedRows(t)
 	assert.Equal(t, len(all), len(Sizes)*len(Cases(1)))
@@ -51,7 +52,8 @@
 	assert.Assert(t, growth < 1.25, "from 64 to 1,024 boxes the time grows %.3f times", growth)
 }
 
-// TestPageAgrees fails when docs/TRANSFER.md and the data disagree.
+// TestPageAgrees checks that docs/TRANSFER.md contains the table of the
+// committed data.
 func TestPageAgrees(t *testing.T) {
 	var want strings.Builder
 	Markdown(&want, committedRows(t))
@@ -60,9 +62,8 @@
 	assert.Assert(t, strings.Contains(string(b), want.String()))
 }
 
-// TestTransferRows plays the rows of up to 64 boxes, and the largest size
-// of today's aim without faults and with all, and compares them with the
-// committed table: the figures are the same every run.
+// TestTransferRows checks that the simulation reproduces the committed rows:
+// all those of up to 64 boxes, and two of 410 boxes.
 func TestTransferRows(t *testing.T) {
 	all := committedRows(t)
 	cases := append(append(Cases(12), Cases(16)...), Cases(64)...)
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestSeeds plays the faults under other seeds: the bounds must not hang on
-// one drawing.
+// TestTransferBoundsOtherSeeds checks the bounds with all faults for seeds
+// other than the table's.
 func TestTransferBoundsOtherSeeds(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run("", func(t *testing.T) {
@@ -96,17 +97,16 @@
 	}
 }
 
-// TestRegionsAtSize spreads a version of few chunks over boxes in five regions
-// that send three chunks at once, as on boxes with narrow links. The last box
-// has it in 1.7 times the time of its own link, the origin sends one copy, and
-// each chunk crosses to each other region once.
+// TestManyBoxesInFiveRegions checks the bounds on time, origin copies and
+// cross-region copies for a version of few chunks, five regions and boxes that
+// send only three chunks at a time.
 func TestManyBoxesInFiveRegions(t *testing.T) {
-	const regions, atOnce = 5, 3
+	const regions, concurrency = 5, 3
 	for _, n := range []int{120, 288} {
 		r := Run(Config{
 			Boxes: n, Chunks: 64, Regions: regions, Zones: regions, Window: 5 * time.Second, OriginRegions: 1,
 			InZone: time.Millisecond, InRegion: time.Millisecond, CrossRegion: 2 * time.Millisecond,
-			Downloads: atOnce, Slots: atOnce, QueueLength: atOnce, Seed: 1,
+			Downloads: concurrency, Slots: concurrency, QueueLength: concurrency, Seed: 1,
 		})
 		assert.Assert(t, r.P50 <= 1.55, "%d boxes: half after %.2f T*", n, r.P50)
 		assert.Assert(t, r.Max <= 1.7, "%d boxes: all after %.2f T*", n, r.Max)
--- a/internal/linksim/table.go
+++ b/internal/linksim/table.go
@@ -10,35 +10,38 @@
 	"time"
 )
 
-// Row is one line of the transfer benchmark.
+// Row is one row of the transfer benchmark.
 type Row struct {
 	Name   string `json:"name"`
 	Boxes  int    `json:"boxes"`
 	Chunks int    `json:"chunks"`
-	// Half, Most and All are the times to 50%, 95% and all of the living
-	// boxes, as multiples of T*.
-	P50          float64 `json:"half"`
-	P95          float64 `json:"most"`
-	Max          float64 `json:"all"`
+	// Times until 50%, 95% and all of the boxes that did not crash have all
+	// chunks, as multiples of T*.
+	P50 float64 `json:"half"`
+	P95 float64 `json:"most"`
+	Max float64 `json:"all"`
+	// Bytes sent by the origin and between regions, as multiples of the
+	// version's size.
 	OriginCopies float64 `json:"origin_copies"`
 	CrossCopies  float64 `json:"cross_copies"`
 	ControlBytes float64 `json:"control_bytes_a_box"`
-	Unfinished   int     `json:"unfinished"`
+	Unfinished   int     `json:"unfinished"` // boxes
 }
 
-// Case is a row's name and configuration.
+// Case is the name and the configuration of a row.
 type Case struct {
 	Name   string
 	Config Config
 }
 
-// Conditions of the benchmark: they stand beside the table.
+// Parameters of the benchmark; docs/TRANSFER.md states them.
 const (
 	tableChunks = 1024
 	tableWindow = 4 * time.Minute
 	tableSeed   = 1
 )
 
+// baseConfig returns the configuration of a swarm of n boxes without faults.
 func baseConfig(n int) Config {
 	return Config{
 		Boxes:         n,
@@ -54,7 +57,7 @@
 	}
 }
 
-// Cases returns the benchmark's rows for one number of boxes.
+// Cases returns the benchmark's cases for n boxes.
 func Cases(n int) []Case {
 	with := func(name string, change func(*Config)) Case {
 		c := baseConfig(n)
@@ -80,7 +83,7 @@
 // Sizes are the numbers of boxes of the committed table.
 var Sizes = []int{12, 16, 64, 256, 410, 1024}
 
-// RunCase plays one case.
+// RunCase simulates one case.
 func RunCase(c Case) Row {
 	r := Run(c.Config)
 	return Row{
@@ -99,15 +102,15 @@
 
 func roundToThousandth(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// Table plays all cases of the given sizes, a few at once.
+// Table simulates all cases of the given sizes, a few of them concurrently.
 func Table(sizes []int) []Row {
-	const atOnce = 4
+	const concurrency = 4
 	var cases []Case
 	for _, n := range sizes {
 		cases = append(cases, Cases(n)...)
 	}
 	rows := make([]Row, len(cases))
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, concurrency)
 	var wg sync.WaitGroup
 	for i, c := range cases {
 		wg.Add(1)
