--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package demo shows the whole path in one process: an intent, its plan,
-// the chunks, the first answer, a version change under traffic, a box that
-// dies in flight, a request that must not run twice. It prints what happens
-// and ends with the checks of package invariant.
+// Package demo runs a demonstration in one process, on stand-ins for the
+// platform: an intent and its plan, the transfer of the chunks, the first
+// response, a version change under traffic, the crash of a box during a
+// transfer, and a non-repeatable request that is sent several times. It prints
+// each step and checks the invariants of package invariant at the end.
 package demo
 
 import (
@@ -28,10 +29,10 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// ErrViolated says that an invariant did not hold.
+// ErrViolated is the error of a run in which an invariant was violated.
 const ErrViolated = errors.ConstError("invariant does not hold")
 
-// Sizes of the demo.
+// Parameters of the demo.
 const (
 	engineCount  = 6
 	gatewayCount = 2
@@ -39,9 +40,9 @@
 	workspace    = "liceo-salto"
 	modelBytes   = 24 << 20
 	chunkBytes   = 128 << 10
-	originRate   = 12 << 20
-	boxRate      = 6 << 20
-	corruptEvery = 60
+	originRate   = 12 << 20 // bytes per second
+	boxRate      = 6 << 20  // bytes per second
+	corruptEvery = 60       // chunks
 	callerCount  = 4
 	stepTimeout  = 40 * time.Second
 )
@@ -55,10 +56,12 @@
 	fences     map[string][]int64
 }
 
-// Run plays the demo and prints it to out; logs go to logTo if it is set.
-func Run(ctx context.Context, out, logTo io.Writer) error {
+// Run runs the demo and prints its steps to out. The processes' logs are
+// written to logOutput, unless it is nil. The error matches ErrViolated if an
+// invariant was violated.
+func Run(ctx context.Context, out, logOutput io.Writer) error {
 	d := &demo{out: out, started: time.Now(), fences: make(map[string][]int64)}
-	if err := d.start(logTo); err != nil {
+	if err := d.start(logOutput); err != nil {
 		return err
 	}
 	defer d.lab.Close()
@@ -74,15 +77,18 @@
 	return d.printSummary()
 }
 
+// printf prints a line with the time since the start.
 func (d *demo) printf(format string, args ...any) {
 	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
+// addFigure adds a line to the figures of the summary.
 func (d *demo) addFigure(format string, args ...any) {
 	d.figures = append(d.figures, fmt.Sprintf(format, args...))
 }
 
-func (d *demo) start(logTo io.Writer) error {
+// start starts the lab and publishes the three versions of the model.
+func (d *demo) start(logOutput io.Writer) error {
 	l, err := lab.Start(lab.Config{
 		Gateways:     gatewayCount,
 		Engines:      engineCount,
@@ -96,7 +102,7 @@
 			{Region: "maldonado", Zone: "maldonado-1"},
 		},
 		Links:     settings.Links{Origin: originRate, Box: boxRate},
-		LogOutput: logTo,
+		LogOutput: logOutput,
 	})
 	if err != nil {
 		return err
@@ -110,6 +116,7 @@
 
 func modelRef(version string) weights.Ref { return weights.Ref{Model: model, Version: version} }
 
+// prepare waits for the boxes and adds the workspace.
 func (d *demo) prepare(ctx context.Context) error {
 	d.printf("%d gateways, %d model engines and 2 plain services in 3 regions, each with its sidecar, on 127.0.0.1", gatewayCount, engineCount)
 	if err := d.lab.AwaitBoxes(ctx, engineCount+2); err != nil {
@@ -122,12 +129,13 @@
 	return nil
 }
 
-// rollout takes a version from an intent to a confirmed plan.
+// rollout creates an intent through one gateway and confirms its plan through
+// the other.
 func (d *demo) rollout(ctx context.Context, version string) (*intent.Plan, error) {
-	api := d.lab.Admin(0)
+	client := d.lab.Admin(0)
 	in := intent.Intent{Ref: modelRef(version), Workspaces: []string{workspace}, Weighing: intent.OriginBytes}
 	d.printf("intent: %s shall serve %s", in.Ref, workspace)
-	p, err := api.CreateIntent(ctx, in)
+	p, err := client.CreateIntent(ctx, in)
 	if err != nil {
 		return nil, err
 	}
@@ -142,51 +150,52 @@
 	return p, nil
 }
 
-// watch prints a plan's progress until it is done.
-func (d *demo) awaitPlan(ctx context.Context, p *intent.Plan, then func(*admin.Progress)) (*admin.Progress, error) {
-	ask := func(ctx context.Context) (*admin.Progress, error) { return d.lab.Admin(0).Progress(ctx, p.ID) }
-	return d.poll(ctx, ask, then)
+// awaitPlan polls a plan's progress until it is done; see poll.
+func (d *demo) awaitPlan(ctx context.Context, p *intent.Plan, onProgress func(*admin.Progress)) (*admin.Progress, error) {
+	fetch := func(ctx context.Context) (*admin.Progress, error) { return d.lab.Admin(0).Progress(ctx, p.ID) }
+	return d.poll(ctx, fetch, onProgress)
 }
 
-// await asks until what is asked for is done. An answer that does not come is
-// asked for again: beside other work a machine may keep a dial waiting for
-// longer than its time-out.
-func (d *demo) poll(ctx context.Context, ask func(context.Context) (*admin.Progress, error), then func(*admin.Progress)) (*admin.Progress, error) {
-	const every = 250 * time.Millisecond
+// poll fetches and prints progress until it is done. Failed requests are
+// retried, since they may time out on a busy machine. onProgress, unless nil,
+// is called with each result.
+func (d *demo) poll(ctx context.Context, fetch func(context.Context) (*admin.Progress, error), onProgress func(*admin.Progress)) (*admin.Progress, error) {
+	const interval = 250 * time.Millisecond
 	last := ""
 	for {
-		now, err := ask(ctx)
-		line := progressLine(now, err)
+		progress, err := fetch(ctx)
+		line := progressLine(progress, err)
 		if line != last {
 			d.printf("%s", line)
 			last = line
 		}
-		if err == nil && then != nil {
-			then(now)
+		if err == nil && onProgress != nil {
+			onProgress(progress)
 		}
-		if err == nil && now.Done() {
-			return now, nil
+		if err == nil && progress.Done() {
+			return progress, nil
 		}
 		select {
 		case <-ctx.Done():
-			return nil, errors.Annotatef(ctx.Err(), "not done: %s", line)
-		case <-time.After(every):
+			return nil, errors.Annotatef(ctx.Err(), "rollout not done: %s", line)
+		case <-time.After(interval):
 		}
 	}
 }
 
-// progressLine is what is said of an answer, or of one that did not come.
-func progressLine(now *admin.Progress, err error) string {
+// progressLine formats a progress, or the error of a request for it.
+func progressLine(p *admin.Progress, err error) string {
 	if err != nil {
-		return "progress not known: " + err.Error()
+		return "progress not available: " + err.Error()
 	}
-	return fmt.Sprintf("progress: %d/%d serving, %.2f copies from the origin, %.2f from peers, %d bad chunks thrown away",
-		now.Serving, len(now.Boxes), copies(now.OriginBytes), copies(now.PeerBytes), now.BadChunks)
+	return fmt.Sprintf("progress: %d/%d serving, %.2f copies from the origin, %.2f from peers, %d corrupt chunks discarded",
+		p.Serving, len(p.Boxes), copies(p.OriginBytes), copies(p.PeerBytes), p.BadChunks)
 }
 
+// copies converts bytes to multiples of the model's size.
 func copies(n int64) float64 { return float64(n) / modelBytes }
 
-// first brings the first version to all boxes.
+// firstVersion rolls the first version out to all engines.
 func (d *demo) firstVersion(ctx context.Context) error {
 	before := d.lab.Store.OriginBytes()
 	p, err := d.rollout(ctx, "v1")
@@ -204,7 +213,8 @@
 	return nil
 }
 
-func (d *demo) callers() []string {
+// callerAddresses returns the gateways' addresses for callers.
+func (d *demo) callerAddresses() []string {
 	var out []string
 	for _, g := range d.lab.Gateways {
 		out = append(out, g.CallerAddress())
@@ -212,28 +222,28 @@
 	return out
 }
 
-// answer waits for the first streamed answer.
+// firstResponse sends requests until one is completed.
 func (d *demo) firstResponse(ctx context.Context) error {
 	for {
-		r, err := chat(ctx, d.callers()[0], lab.WorkspaceKey(workspace), model, "")
+		r, err := chat(ctx, d.callerAddresses()[0], lab.WorkspaceKey(workspace), model, "")
 		if err != nil {
 			return err
 		}
 		if r.outcome == outcome.Completed {
-			d.printf("first streamed answer by %s, first token after %v: %.60s...", r.version, r.firstToken.Round(time.Millisecond), r.text)
+			d.printf("first streamed response by %s, first token after %v: %.60s...", r.version, r.firstToken.Round(time.Millisecond), r.text)
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// change rolls the second version out under traffic, with chunks spoiled on
-// the way.
+// versionChange rolls out the second version under traffic, while the origin
+// and one box send corrupt chunks.
 func (d *demo) versionChange(ctx context.Context) error {
 	d.lab.Store.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
 	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
-	d.printf("from now on every %dth chunk of the origin and of box %s is spoiled", corruptEvery, d.lab.Boxes[0].Entry.ID)
-	t := startTraffic(d.callers(), lab.WorkspaceKey(workspace), model, callerCount)
+	d.printf("from now on the origin and box %s corrupt every %dth chunk", d.lab.Boxes[0].Entry.ID, corruptEvery)
+	t := startTraffic(d.callerAddresses(), lab.WorkspaceKey(workspace), model, callerCount)
 	p, err := d.rollout(ctx, "v2")
 	if err != nil {
 		return err
@@ -243,16 +253,18 @@
 		return err
 	}
 	time.Sleep(time.Second)
-	t.wait()
+	t.stopAndWait()
 	d.printf("version change under traffic: %d requests, %d failed, by version %v", t.sent, len(t.failed), t.versions)
-	d.addFigure("version change under traffic: %d requests, %d failed, %d bad chunks thrown away", t.sent, len(t.failed), done.BadChunks)
+	d.addFigure("version change under traffic: %d requests, %d failed, %d corrupt chunks discarded", t.sent, len(t.failed), done.BadChunks)
 	d.checkTraffic(t)
 	if t.versions[modelRef("v2").String()] == 0 {
-		d.violations = append(d.violations, invariant.Violation{Name: invariant.NoRevert, Detail: "no request was answered by v2"})
+		d.violations = append(d.violations, invariant.Violation{Name: invariant.NoRevert, Detail: "v2 served no request"})
 	}
 	return nil
 }
 
+// checkTraffic adds the violations that the callers observed. No request may
+// fail.
 func (d *demo) checkTraffic(t *traffic) {
 	d.violations = append(d.violations, t.violations...)
 	for _, f := range t.failed {
@@ -260,9 +272,7 @@
 	}
 }
 
-// death rolls the third version out and kills a box while chunks move.
-// Traffic goes on; a request that ran on the dead box may be sent again,
-// since it is repeatable.
+// boxCrash rolls out the third version and kills a box during the transfer.
 func (d *demo) boxCrash(ctx context.Context) error {
 	d.lab.Store.Faults.Set(standin.FaultSettings{})
 	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{})
@@ -270,58 +280,58 @@
 	if err != nil {
 		return err
 	}
-	victim := d.lab.Boxes[engineCount-1]
+	b := d.lab.Boxes[engineCount-1]
 	killed := false
 	began := time.Now()
-	done, err := d.awaitPlan(ctx, p, func(now *admin.Progress) {
-		if !killed && now.PeerBytes > modelBytes {
+	done, err := d.awaitPlan(ctx, p, func(progress *admin.Progress) {
+		if !killed && progress.PeerBytes > modelBytes {
 			killed = true
-			d.printf("box %s dies", victim.Entry.ID)
-			d.lab.KillBox(victim, true)
+			d.printf("box %s is killed", b.Entry.ID)
+			d.lab.KillBox(b, true)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	d.printf("all %d living boxes serve %s", done.Serving, modelRef("v3"))
-	d.addFigure("box killed in flight: %d living replicas in %.2f s", done.Serving, time.Since(began).Seconds())
+	d.printf("all %d remaining engines serve %s", done.Serving, modelRef("v3"))
+	d.addFigure("box killed during the transfer: %d remaining replicas in %.2f s", done.Serving, time.Since(began).Seconds())
 	if !killed {
-		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeVersion, Detail: "the box was not killed in flight, so nothing was shown"})
+		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeVersion, Detail: "not checked: the transfer ended before the box was killed"})
 	}
 	return nil
 }
 
-// once sends one request that is not repeatable through both gateways at
-// the same moment, and again afterwards.
+// sameKey sends a non-repeatable request several times concurrently, through
+// all gateways and with one idempotency key. It must run once.
 func (d *demo) sameKey(ctx context.Context) error {
 	key := uuid.Must(uuid.NewV7()).String()
 	var wg sync.WaitGroup
-	replies := make([]response, 2*gatewayCount)
-	errs := make([]error, len(replies))
-	for i := range replies {
+	responses := make([]response, 2*gatewayCount)
+	errs := make([]error, len(responses))
+	for i := range responses {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			replies[i], errs[i] = chat(ctx, d.callers()[i%gatewayCount], lab.WorkspaceKey(workspace), model, key)
+			responses[i], errs[i] = chat(ctx, d.callerAddresses()[i%gatewayCount], lab.WorkspaceKey(workspace), model, key)
 		}()
 	}
 	wg.Wait()
 	if err := errors.Trace(firstError(errs)); err != nil {
 		return err
 	}
-	var said []string
-	for _, r := range replies {
-		said = append(said, string(r.outcome))
+	var outcomes []string
+	for _, r := range responses {
+		outcomes = append(outcomes, string(r.outcome))
 	}
-	slices.Sort(said)
+	slices.Sort(outcomes)
 	runs := 0
 	for _, r := range d.journal() {
 		if r.Key == key {
 			runs++
 		}
 	}
-	d.printf("one request that must not run twice, sent %d times at once through %d gateways: ran %d times, callers were told %v", len(replies), gatewayCount, runs, said)
-	d.addFigure("not repeatable, sent %d times: ran %d times", len(replies), runs)
+	d.printf("one request that must not run twice, sent %d times at once through %d gateways: ran %d times, outcomes %v", len(responses), gatewayCount, runs, outcomes)
+	d.addFigure("non-repeatable request sent %d times: ran %d times", len(responses), runs)
 	if runs != 1 {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.AtMostOnce, Detail: fmt.Sprintf("ran %d times, want once", runs)})
 	}
@@ -337,20 +347,20 @@
 	return nil
 }
 
-// service calls a plain service.
+// plainService calls a plain service.
 func (d *demo) plainService(ctx context.Context) error {
-	r, err := callService(ctx, d.callers()[0], lab.WorkspaceKey(workspace), lab.ServiceName, `{"page":12}`)
+	r, err := callService(ctx, d.callerAddresses()[0], lab.WorkspaceKey(workspace), lab.ServiceName, `{"page":12}`)
 	if err != nil {
 		return err
 	}
-	d.printf("plain service %s answered %s: %s", lab.ServiceName, r.outcome, r.text)
+	d.printf("plain service %s: outcome %s, response %s", lab.ServiceName, r.outcome, r.text)
 	if r.outcome != outcome.Completed {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: "service: " + r.text})
 	}
 	return nil
 }
 
-// journal joins the journals of all endpoints.
+// journal returns the concatenated journals of all endpoints.
 func (d *demo) journal() []standin.Run {
 	var out []standin.Run
 	for _, b := range d.lab.Boxes {
@@ -363,7 +373,7 @@
 	return out
 }
 
-// end prints the figures and the verdict.
+// printSummary prints the figures of the run and the violated invariants.
 func (d *demo) printSummary() error {
 	runs := d.journal()
 	d.violations = append(d.violations, invariant.Journal(runs)...)
@@ -377,8 +387,8 @@
 		fmt.Fprintln(d.out, "all invariants hold")
 		return nil
 	}
-	const most = 10
-	for _, v := range d.violations[:min(len(d.violations), most)] {
+	const maxPrinted = 10
+	for _, v := range d.violations[:min(len(d.violations), maxPrinted)] {
 		fmt.Fprintln(d.out, "VIOLATED "+v.String())
 	}
 	return errors.WithType(errors.Errorf("%d violations", len(d.violations)), ErrViolated)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -16,20 +16,20 @@
 	"github.com/mintlift/mintlift/admin"
 )
 
-// One answer that does not come, as on a machine that is busy, ends nothing; a
-// plan that is never done does.
+// TestPollRetriesFailedRequests checks that poll retries a failed request, and
+// that it returns the last error when its context ends.
 func TestPollRetriesFailedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		d := &demo{out: &out, started: time.Now()}
-		asked := 0
+		requests := 0
 		got, err := d.poll(t.Context(), func(context.Context) (*admin.Progress, error) {
-			asked++
-			if asked == 2 {
+			requests++
+			if requests == 2 {
 				return nil, errors.New("dial: i/o timeout")
 			}
 			p := &admin.Progress{Boxes: []admin.BoxProgress{{Reached: true}}}
-			if asked == 3 {
+			if requests == 3 {
 				p.Serving = 1
 			}
 			return p, nil
@@ -40,7 +40,7 @@
 
 		ctx, cancel := context.WithTimeout(t.Context(), stepTimeout)
 		defer cancel()
-		_, err = d.poll(ctx, func(context.Context) (*admin.Progress, error) { return nil, errors.New("gone") }, nil)
-		assert.ErrorContains(t, err, "gone")
+		_, err = d.poll(ctx, func(context.Context) (*admin.Progress, error) { return nil, errors.New("connection refused") }, nil)
+		assert.ErrorContains(t, err, "connection refused")
 	})
 }
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -18,20 +18,20 @@
 	"github.com/mintlift/mintlift/peer"
 )
 
-// tokens is the length of the demo's answers.
+// tokenCount is the length of the responses in tokens.
 const tokenCount = 8
 
-// reply is what a caller got.
+// response is the response to one request.
 type response struct {
-	request    string
+	request    string // ID
 	version    string
 	outcome    outcome.Outcome
 	status     int
 	text       string
-	firstToken time.Duration
+	firstToken time.Duration // since the request; 0 if there was none
 }
 
-// streamEvent is what a caller reads of an event.
+// streamEvent holds the fields of a stream's event that the demo reads.
 type streamEvent struct {
 	Choices []struct {
 		Delta struct {
@@ -41,16 +41,17 @@
 	Error *peer.RefusalError `json:"error"`
 }
 
-// ask sends one streamed chat completion, as a caller would.
-func chat(ctx context.Context, address, key, model, once string) (response, error) {
+// chat sends a request for a streamed chat completion. It is not repeatable if
+// idempotencyKey is set.
+func chat(ctx context.Context, address, key, model, idempotencyKey string) (response, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokenCount)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
-	if once != "" {
-		req.Header.Set("Idempotency-Key", once)
+	if idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(req)
@@ -72,7 +73,7 @@
 	return r, r.readStream(resp.Body, began)
 }
 
-// read collects a stream's text up to its end.
+// readStream reads a stream to its end and sets text, outcome and firstToken.
 func (r *response) readStream(body io.Reader, began time.Time) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -102,19 +103,20 @@
 	return io.ErrUnexpectedEOF
 }
 
-// traffic is a steady load from a few callers.
+// traffic is a load of callers that each send one request after another.
 type traffic struct {
 	mu         sync.Mutex
 	sent       int
 	failed     []string
-	versions   map[string]int
+	versions   map[string]int // completed requests by version
 	violations []invariant.Violation
 	stop       context.CancelFunc
 	callers    sync.WaitGroup
 }
 
-// startTraffic sends requests through all gateways until end is called.
-func startTraffic(gateways []string, key, model string, callers int) *traffic {
+// startTraffic starts callers that send requests to the given addresses in turn
+// until stopAndWait is called.
+func startTraffic(addresses []string, key, model string, callers int) *traffic {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &traffic{versions: make(map[string]int), stop: cancel}
 	for i := range callers {
@@ -122,7 +124,7 @@
 		go func() {
 			defer t.callers.Done()
 			for n := i; ctx.Err() == nil; n++ {
-				r, err := chat(context.WithoutCancel(ctx), gateways[n%len(gateways)], key, model, "")
+				r, err := chat(context.WithoutCancel(ctx), addresses[n%len(addresses)], key, model, "")
 				t.record(r, err)
 			}
 		}()
@@ -130,6 +132,7 @@
 	return t
 }
 
+// record counts a response and checks its text.
 func (t *traffic) record(r response, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,13 +145,14 @@
 	t.violations = append(t.violations, invariant.Answer(r.text, r.version, r.request, tokenCount)...)
 }
 
-// end stops the callers after the answers in progress.
-func (t *traffic) wait() {
+// stopAndWait stops the callers and waits until their requests in flight have
+// ended.
+func (t *traffic) stopAndWait() {
 	t.stop()
 	t.callers.Wait()
 }
 
-// callService sends one call to a plain service.
+// callService sends a request to a plain service.
 func callService(ctx context.Context, address, key, service, body string) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/services/"+service+"/pages", strings.NewReader(body))
 	if err != nil {
