--- a/internal/lab/copy_test.go
+++ b/internal/lab/copy_test.go
@@ -19,17 +19,18 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// measureCopyEnv turns on the measurement of copying; CI does not run it.
+// measureCopyEnv enables TestMeasureCopy, which CI does not run.
 const measureCopyEnv = "MINTLIFT_MEASURE_COPY"
 
+// cpuTime returns the process's CPU time so far.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for RUSAGE_SELF
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// TestMeasureCopy brings a model to 48 sidecars over loopback and compares
-// processor time a copied GB with a bare copy that sums the same bytes.
+// TestMeasureCopy measures the CPU time per GB of a rollout to 48 sidecars over
+// loopback, and of a plain TCP copy with the same digest.
 func TestMeasureCopy(t *testing.T) {
 	if os.Getenv(measureCopyEnv) == "" {
 		t.Skip("set " + measureCopyEnv + "=1 to measure")
@@ -51,14 +52,15 @@
 	moved := float64(done.OriginBytes+done.PeerBytes) / 1e9
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	t.Logf("%d sidecars, %.2f GB moved in %.1f s: %.2f GB/s, %.2f s of processor a GB (with the stand-ins' own work), %.0f MB of heap in use in all, %.3f origin copies", sidecars, moved, took.Seconds(), moved/took.Seconds(), used.Seconds()/moved, float64(mem.HeapInuse)/1e6, float64(l.Store.OriginBytes())/size)
+	t.Logf("%d sidecars, %.2f GB transferred in %.1f s: %.2f GB/s, %.2f s of CPU per GB (stand-ins included), %.0f MB of heap in use in total, %.3f origin copies", sidecars, moved, took.Seconds(), moved/took.Seconds(), used.Seconds()/moved, float64(mem.HeapInuse)/1e6, float64(l.Store.OriginBytes())/size)
 
-	bareMoved, bareTook, bareUsed := bareCopy(t, int64(size)*4)
-	t.Logf("bare copy over TCP with the same digest, one connection: %.2f GB/s, %.2f s of processor a GB", bareMoved/bareTook.Seconds(), bareUsed.Seconds()/bareMoved)
+	plainMoved, plainTook, plainUsed := plainCopy(t, int64(size)*4)
+	t.Logf("plain copy over TCP with the same digest, one connection: %.2f GB/s, %.2f s of CPU per GB", plainMoved/plainTook.Seconds(), plainUsed.Seconds()/plainMoved)
 }
 
-// bareCopy sends n bytes over one TCP connection and sums them.
-func bareCopy(t *testing.T, n int64) (gb float64, took, used time.Duration) {
+// plainCopy sends n bytes over one TCP connection and computes their digest. It
+// returns the GB sent, the elapsed time and the CPU time used.
+func plainCopy(t *testing.T, n int64) (gb float64, took, used time.Duration) {
 	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
 	defer ln.Close()
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package lab puts gateways, sidecars and stand-ins into one process, each
-// on its own TCP port of 127.0.0.1, for the demo and for tests. The parts
-// are the real ones; only the processes around them are missing.
+// Package lab runs gateways, sidecars and stand-ins for the platform in one
+// process, each on its own TCP port of 127.0.0.1, for the demo and for tests.
+// Gateways and sidecars are the daemons that also run in production.
 package lab
 
 import (
@@ -32,7 +32,7 @@
 // OperatorKey is the bootstrap operator's key in a lab.
 const OperatorKey = "lab-operator-key-0123456789"
 
-// loopback binds any port.
+// anyLoopbackPort is a listen address with a free port.
 const anyLoopbackPort = "127.0.0.1:0"
 
 // Config describes a lab.
@@ -40,33 +40,39 @@
 	Gateways int
 	Engines  int
 	Services int
-	// Zones are given to the boxes in turn.
+	// Zones are assigned to the boxes round-robin; by default there is one.
 	Zones []membership.AvailabilityZone
-	// EngineMemory bounds each engine's loaded versions; 0 does not.
+	// EngineMemory limits the bytes of each engine's loaded versions; 0 means
+	// no limit.
 	EngineMemory int64
+	// ChecksFences makes the engines reject orders with an older epoch or
+	// fence.
 	ChecksFences bool
-	TokenTime    time.Duration
-	// Links are put into the settings; the origin is held to Links.Origin.
+	// TokenTime is the engines' time for each token.
+	TokenTime time.Duration
+	// Links are set in the settings of all daemons; Links.Origin also limits
+	// the origin's bandwidth.
 	Links settings.Links
-	// LogTo receives the daemons' logs; nil drops them.
+	// LogOutput receives the daemons' logs; nil discards them.
 	LogOutput io.Writer
-	LogLevel  string
-	// GatewaySettings and SidecarSettings may change the settings before a
-	// start.
+	// LogLevel is a level of package telemetry, by default info.
+	LogLevel string
+	// GatewaySettings and SidecarSettings, unless nil, may change the settings
+	// of each daemon before its start.
 	GatewaySettings func(*settings.Gateway)
 	SidecarSettings func(*settings.Sidecar)
 }
 
 // Box is an endpoint box of the lab.
 type Box struct {
-	Entry    membership.Box
-	Engine   *standin.Engine
-	Service  *standin.Service
-	Sidecar  *sidecar.Daemon
+	Entry    membership.Box   // as listed
+	Engine   *standin.Engine  // nil for a plain service
+	Service  *standin.Service // nil for a model engine
+	Sidecar  *sidecar.Daemon  // nil after KillBox
 	endpoint *standin.Server
 }
 
-// Lab is a running set of parts.
+// Lab is a set of running gateways, boxes and stand-ins.
 type Lab struct {
 	Config
 	Log      *standin.Log
@@ -77,16 +83,16 @@
 
 	log      logr.Logger
 	servers  []*standin.Server
-	platform settings.Platform
+	platform settings.Platform // addresses of the stand-ins
 	dir      string
-	initial  []membership.Box // on the list once all have started
+	initial  []membership.Box // listed when all of them have started
 	started  bool
 }
 
-// ServiceName is the plain service of a lab.
+// ServiceName is the name of a lab's plain service.
 const ServiceName = "orders"
 
-// Start brings a lab up. Call Close at its end.
+// Start starts a lab. The caller must call Close.
 func Start(c Config) (*Lab, error) {
 	httpserve.Quiet()
 	if len(c.Zones) == 0 {
@@ -135,8 +141,8 @@
 	return nil
 }
 
-// list puts a box on the box list; those of the start come all at once, as
-// when a deployment is brought up.
+// publish adds a box to the box list. The initial boxes are published together
+// when all of them have started.
 func (l *Lab) publish(b membership.Box) {
 	if l.started {
 		l.BoxList.Put(b)
@@ -147,6 +153,7 @@
 
 func (l *Lab) keyFile() string { return filepath.Join(l.dir, "operator.key") }
 
+// startPlatform starts the stand-ins for the log, the store and the box list.
 func (l *Lab) startPlatform() error {
 	addresses := make([]string, 3)
 	for i, h := range []http.Handler{l.Log.Handler(), l.Store.Handler(), l.BoxList.Handler()} {
@@ -186,8 +193,9 @@
 	return nil
 }
 
-// AddBox starts another endpoint with its sidecar. An empty service is a
-// model engine.
+// AddBox starts another endpoint with its sidecar in the zone with the given
+// index, modulo the number of zones. The endpoint is a model engine if service
+// is empty.
 func (l *Lab) AddBox(id string, zone int, service string) error {
 	b := &Box{Entry: membership.Box{ID: id, Zone: l.zone(zone), Role: membership.Endpoint, Service: service, State: membership.Live}}
 	var h http.Handler
@@ -208,7 +216,7 @@
 	return l.StartSidecar(b)
 }
 
-// StartSidecar starts a sidecar for a box, after the former one ended.
+// StartSidecar starts a box's sidecar; the previous one must have ended.
 func (l *Lab) StartSidecar(b *Box) error {
 	s := settings.DefaultSidecar()
 	s.Node, s.Platform, s.Links = nodeSettings(b.Entry.ID, b.Entry.Zone), l.platform, l.Links
@@ -226,8 +234,8 @@
 	return nil
 }
 
-// KillBox ends a box as a power failure would: sidecar and endpoint go at
-// once, and the box list drops it a moment later if delist is set.
+// KillBox simulates a power failure of a box: it kills the endpoint and the
+// sidecar. If delist is set, it removes the box from the box list afterwards.
 func (l *Lab) KillBox(b *Box, delist bool) {
 	b.endpoint.Close()
 	b.Sidecar.Kill()
@@ -242,30 +250,30 @@
 	return admin.NewClient(l.Gateways[gateway].AdminAddress(), OperatorKey, call.Options{})
 }
 
-// AddWorkspace adds a workspace whose key is WorkspaceKey(name).
+// AddWorkspace adds a workspace with the key WorkspaceKey(name).
 func (l *Lab) AddWorkspace(ctx context.Context, name string, priority, floor int) error {
 	key := WorkspaceKey(name)
 	_, err := l.Admin(0).SetWorkspace(ctx, name, admin.WorkspaceChange{Key: &key, Priority: &priority, Floor: &floor})
 	return err
 }
 
-// WorkspaceKey is the key of a lab's workspace.
+// WorkspaceKey returns the key of a workspace added by AddWorkspace.
 func WorkspaceKey(name string) string { return "lab-workspace-key-" + name }
 
-// Rollout makes a plan through one gateway and confirms it.
+// Rollout creates an intent through the first gateway and confirms its plan.
 func (l *Lab) Rollout(ctx context.Context, in intent.Intent) (*intent.Plan, error) {
-	api := l.Admin(0)
-	p, err := api.CreateIntent(ctx, in)
+	client := l.Admin(0)
+	p, err := client.CreateIntent(ctx, in)
 	if err != nil {
 		return nil, err
 	}
-	return api.Confirm(ctx, p.ID)
+	return client.Confirm(ctx, p.ID)
 }
 
-// AwaitDone waits until a plan's boxes all serve, those that do not answer
-// left out.
+// AwaitDone polls a plan until it is done: all its boxes that respond serve its
+// version.
 func (l *Lab) AwaitDone(ctx context.Context, plan string) (*admin.Progress, error) {
-	const every = 50 * time.Millisecond
+	const interval = 50 * time.Millisecond
 	for {
 		p, err := l.Admin(0).Progress(ctx, plan)
 		if err != nil {
@@ -276,13 +284,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return p, fmt.Errorf("plan %s is not done: %d of %d serve: %w", plan, p.Serving, len(p.Boxes), ctx.Err())
-		case <-time.After(every):
+			return p, fmt.Errorf("plan %s is not done: %d of %d boxes serve: %w", plan, p.Serving, len(p.Boxes), ctx.Err())
+		case <-time.After(interval):
 		}
 	}
 }
 
-// AwaitBoxes waits until so many endpoints answer a sweep of each gateway.
+// AwaitBoxes waits until each gateway reports at least n boxes as reached.
 func (l *Lab) AwaitBoxes(ctx context.Context, n int) error {
 	for i := range l.Gateways {
 		if err := l.awaitBoxes(ctx, i, n); err != nil {
@@ -293,7 +301,7 @@
 }
 
 func (l *Lab) awaitBoxes(ctx context.Context, gateway, n int) error {
-	const every = 50 * time.Millisecond
+	const interval = 50 * time.Millisecond
 	for {
 		boxes, err := l.Admin(gateway).Boxes(ctx)
 		reached := 0
@@ -307,13 +315,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%d of %d boxes answer: %w", reached, n, ctx.Err())
-		case <-time.After(every):
+			return fmt.Errorf("gateway %d reached %d of %d boxes: %w", gateway, reached, n, ctx.Err())
+		case <-time.After(interval):
 		}
 	}
 }
 
-// Close ends everything at once.
+// Close kills all daemons, stops the stand-ins and removes the temporary
+// folder.
 func (l *Lab) Close() {
 	for _, b := range l.Boxes {
 		if b.Sidecar != nil {
@@ -327,5 +336,5 @@
 	for _, s := range l.servers {
 		s.Close()
 	}
-	_ = os.RemoveAll(l.dir) // a temporary folder
+	_ = os.RemoveAll(l.dir) // a leftover temporary folder does no harm
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,6 +20,8 @@
 
 var v1 = weights.Ref{Model: "celeste-draft", Version: "v1"}
 
+// startLab starts a lab for a test and waits until its gateways reach its
+// boxes. The context ends after a minute.
 func startLab(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
 	l, err := Start(c)
@@ -31,7 +33,8 @@
 	return l, ctx
 }
 
-// chat sends a streamed chat completion and returns the answer's body.
+// chat sends a request for a streamed chat completion of 5 tokens and returns
+// the response, whose body has been closed, and the body's text.
 func chat(t *testing.T, l *Lab, gateway int, workspace, model string) (*http.Response, string) {
 	t.Helper()
 	body := `{"model":"` + model + `","stream":true,"max_tokens":5,"messages":[{"role":"user","content":"hola"}]}`
@@ -46,7 +49,8 @@
 	return resp, string(b)
 }
 
-// TestWholePath takes an operator's intent to a caller's streamed answer.
+// TestWholePath checks a rollout from the operator's intent to a caller's
+// streamed response.
 func TestWholePath(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 6, ChecksFences: true, Zones: []membership.AvailabilityZone{{Region: "r1", Zone: "a"}, {Region: "r2", Zone: "b"}}})
 	l.Store.Publish(standin.NewManifest(v1, 4<<20, 64<<10))
--- a/internal/lab/load_test.go
+++ b/internal/lab/load_test.go
@@ -19,22 +19,21 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// measureEnv turns on the measurements that depend on the machine; CI does
-// not run them.
+// measureEnv enables TestMeasureLoad, which CI does not run.
 const measureEnv = "MINTLIFT_MEASURE_LOAD"
 
-// The engines of the load tests: 2 with 8 slots and answers of 20 tokens of
-// 5 ms run 160 requests a second.
+// Parameters of the load tests. A response of 20 tokens takes 100 ms.
 const (
 	loadEngines  = 2
 	loadSlots    = 8
 	loadTokens   = 20
-	loadCapacity = loadEngines * loadSlots * 10
+	loadCapacity = loadEngines * loadSlots * 10 // requests per second
 )
 
 var priorities = map[string]int{"high": 90, "middle": 50, "low": 10}
 
-// loaded starts a lab with three workspaces of different prices.
+// startForLoad starts a lab that serves v1 to liceo and to three workspaces of
+// different priorities.
 func startForLoad(t *testing.T) (*Lab, context.Context) {
 	t.Helper()
 	l, ctx := startLab(t, Config{
@@ -46,8 +45,8 @@
 	l.Store.Publish(standin.NewManifest(v1, 256<<10, 64<<10))
 	names := []string{"liceo"}
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
-	for name, price := range priorities {
-		assert.NilError(t, l.AddWorkspace(ctx, name, price, 0))
+	for name, priority := range priorities {
+		assert.NilError(t, l.AddWorkspace(ctx, name, priority, 0))
 		names = append(names, name)
 	}
 	p, err := l.Rollout(ctx, intent.Intent{Ref: v1, Workspaces: names})
@@ -58,6 +57,8 @@
 	return l, ctx
 }
 
+// loadMix returns a load of rate requests per second, divided among the
+// workspaces by shares, through all gateways.
 func (l *Lab) loadMix(rate, seconds float64, shares map[string]float64) load.Mix {
 	m := load.Mix{Name: "lab", Rate: rate, Seconds: seconds, Seed: 7}
 	for _, g := range l.Gateways {
@@ -74,7 +75,7 @@
 	return m
 }
 
-// engineRuns joins the journals of the engines.
+// engineRuns returns the concatenated journals of the engines.
 func (l *Lab) engineRuns() []standin.Run {
 	var out []standin.Run
 	for _, b := range l.Boxes {
@@ -87,16 +88,17 @@
 
 var mixedShares = map[string]float64{"high": 2, "middle": 3, "low": 5}
 
-// TestOverloadShedsTheLowestPrice sends twice what the engines can do: the
-// lowest price is shed, the highest goes through, every refusal is true.
+// TestOverloadShedsLowestPriority checks at twice the engines' capacity that
+// the lowest priority is shed, that the highest is served, and that no request
+// refused as not run was run.
 func TestOverloadShedsLowestPriority(t *testing.T) {
 	l, ctx := startForLoad(t)
 	r, err := load.Run(ctx, l.loadMix(2*loadCapacity, 4, mixedShares))
 	assert.NilError(t, err)
 	assert.NilError(t, r.Print(os.Stdout))
 	high, low := r.Classes[0], r.Classes[2]
-	assert.Assert(t, low.Outcomes[outcome.NotRun] > low.Sent/3, "the lowest price was hardly shed: %v", low.Outcomes)
-	assert.Assert(t, high.Outcomes[outcome.Completed] >= high.Sent*95/100, "the highest price was shed: %v of %d", high.Outcomes, high.Sent)
+	assert.Assert(t, low.Outcomes[outcome.NotRun] > low.Sent/3, "too few requests of the lowest priority were shed: %v", low.Outcomes)
+	assert.Assert(t, high.Outcomes[outcome.Completed] >= high.Sent*95/100, "requests of the highest priority were shed: %v of %d", high.Outcomes, high.Sent)
 	for _, c := range r.Classes {
 		assert.Equal(t, c.Broken, 0)
 		assert.Equal(t, c.Outcomes[outcome.Unknown]+c.Outcomes[outcome.Failed], 0, "%s: %v", c.Name, c.Outcomes)
@@ -104,17 +106,18 @@
 	assert.Equal(t, len(invariant.NotRun(r.NotRun, l.engineRuns())), 0)
 }
 
-// loadRow is a line of the measured table.
+// loadRow is a row of the measured table.
 type loadRow struct {
-	Load    float64            `json:"load"` // over capacity
-	Goodput float64            `json:"goodput"`
+	Load    float64            `json:"load"`    // relative to capacity
+	Goodput float64            `json:"goodput"` // relative to capacity
 	P95     map[string]float64 `json:"first_token_p95_ms"`
 	Refused map[string]float64 `json:"refused_share"`
 	Classes []load.ClassReport `json:"-"`
 }
 
-// TestMeasureLoad measures first-token times by price and goodput under
-// growing load, and a quiet workspace beside another's flood.
+// TestMeasureLoad measures first-token times by priority and goodput at
+// increasing load, and the first-token time of a workspace with little load
+// while another one sends twice the capacity.
 func TestMeasureLoad(t *testing.T) {
 	if os.Getenv(measureEnv) == "" {
 		t.Skip("set " + measureEnv + "=1 to measure")
@@ -139,15 +142,15 @@
 	assert.NilError(t, err)
 	t.Logf("load\n%s", b)
 
-	quiet, err := load.Run(ctx, l.loadMix(20, seconds, map[string]float64{"middle": 1}))
+	alone, err := load.Run(ctx, l.loadMix(20, seconds, map[string]float64{"middle": 1}))
 	assert.NilError(t, err)
-	flood := make(chan load.Report, 1)
+	overload := make(chan load.Report, 1)
 	go func() {
 		r, _ := load.Run(ctx, l.loadMix(2*loadCapacity, seconds, map[string]float64{"low": 1}))
-		flood <- r
+		overload <- r
 	}()
-	beside, err := load.Run(ctx, l.loadMix(20, seconds, map[string]float64{"middle": 1}))
+	contended, err := load.Run(ctx, l.loadMix(20, seconds, map[string]float64{"middle": 1}))
 	assert.NilError(t, err)
-	<-flood
-	t.Logf("quiet workspace, first token p95: alone %.1f ms, beside a flood of 2x capacity %.1f ms (total p95 %.1f and %.1f ms)", quiet.Classes[0].FirstToken.P95, beside.Classes[0].FirstToken.P95, quiet.Classes[0].Total.P95, beside.Classes[0].Total.P95)
+	<-overload
+	t.Logf("workspace with little load, first token p95: alone %.1f ms, beside a load of 2x capacity %.1f ms (total p95 %.1f and %.1f ms)", alone.Classes[0].FirstToken.P95, contended.Classes[0].FirstToken.P95, alone.Classes[0].Total.P95, contended.Classes[0].Total.P95)
 }
--- a/internal/lab/log_test.go
+++ b/internal/lab/log_test.go
@@ -20,6 +20,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
+// errorCode returns the code of an administration API error, or "".
 func errorCode(err error) admin.Code {
 	var e *admin.Error
 	if errors.As(err, &e) {
@@ -28,9 +29,9 @@
 	return ""
 }
 
-// TestOperatorsRace has two operators confirm plans over the same boxes at
-// the same moment through two gateways, while answers of the log are lost:
-// one wins, the other gets a reason and a fresh plan.
+// TestConcurrentConfirm confirms two plans for the same boxes concurrently
+// through two gateways, while responses of the log are lost. One must succeed;
+// the other must get a conflict and a new proposed plan.
 func TestConcurrentConfirm(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 2})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
@@ -55,13 +56,13 @@
 		if a != nil {
 			a, b = b, a
 		}
-		assert.NilError(t, a, "nobody won")
+		assert.NilError(t, a, "neither plan was confirmed")
 		assert.Equal(t, errorCode(b), admin.CodeConflict, "%v", b)
-		var lost *admin.Error
-		assert.Assert(t, errors.As(b, &lost))
-		assert.Assert(t, lost.Plan != nil && lost.Plan.Status == intent.Proposed, "no fresh plan")
+		var conflict *admin.Error
+		assert.Assert(t, errors.As(b, &conflict))
+		assert.Assert(t, conflict.Plan != nil && conflict.Plan.Status == intent.Proposed, "no new plan")
 	}
-	for i := range 2 { // both gateways tell the same story
+	for i := range 2 {
 		s, err := l.Admin(i).Plans(ctx)
 		assert.NilError(t, err)
 		confirmed := 0
@@ -70,11 +71,12 @@
 				confirmed++
 			}
 		}
-		assert.Equal(t, confirmed, 1, "the later rounds supersede the earlier")
+		assert.Equal(t, confirmed, 1, "later plans must supersede earlier ones")
 	}
 }
 
-// TestPlanErrors gives operators' mistakes clear errors, and moves nothing.
+// TestPlanErrors checks the error codes of invalid intents and confirmations,
+// and that a refused intent creates no plan.
 func TestPlanErrors(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: 2, EngineMemory: 1 << 20})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
@@ -83,9 +85,9 @@
 	l.Store.PublishRaw(broken, []byte(`{"model":"m","version":"broken","bytes":10,"chunk_bytes":4,"chunks":["00"]}`))
 	huge := weights.Ref{Model: "m", Version: "huge"}
 	l.Store.Publish(standin.NewManifest(huge, 2<<20, 256<<10))
-	api := l.Admin(0)
-	create := func(ref weights.Ref, ws string, zones ...string) error {
-		_, err := api.CreateIntent(ctx, intent.Intent{Ref: ref, Workspaces: []string{ws}, Zones: zones})
+	client := l.Admin(0)
+	create := func(ref weights.Ref, workspace string, zones ...string) error {
+		_, err := client.CreateIntent(ctx, intent.Intent{Ref: ref, Workspaces: []string{workspace}, Zones: zones})
 		return err
 	}
 	assert.Equal(t, errorCode(create(weights.Ref{Model: "none", Version: "v1"}, "liceo")), admin.CodeNotFound)
@@ -94,31 +96,31 @@
 	assert.Equal(t, errorCode(create(huge, "liceo")), admin.CodeMemory)
 	assert.Equal(t, errorCode(create(v1, "liceo", "no-such-zone")), admin.CodeNoBoxes)
 	assert.Equal(t, errorCode(create(weights.Ref{}, "liceo")), admin.CodeInvalid)
-	p, err := api.CreateIntent(ctx, intent.Intent{Ref: v1, Workspaces: []string{"liceo"}})
+	p, err := client.CreateIntent(ctx, intent.Intent{Ref: v1, Workspaces: []string{"liceo"}})
 	assert.NilError(t, err)
-	_, err = api.Confirm(ctx, p.ID)
+	_, err = client.Confirm(ctx, p.ID)
 	assert.NilError(t, err)
-	_, err = api.Confirm(ctx, p.ID)
+	_, err = client.Confirm(ctx, p.ID)
 	assert.Equal(t, errorCode(err), admin.CodeNotProposed)
-	_, err = api.Plan(ctx, "no-such-plan")
+	_, err = client.Plan(ctx, "no-such-plan")
 	assert.Equal(t, errorCode(err), admin.CodeNotFound)
-	plans, err := api.Plans(ctx)
+	plans, err := client.Plans(ctx)
 	assert.NilError(t, err)
-	assert.Equal(t, len(plans), 1, "a refused intent left a plan")
+	assert.Equal(t, len(plans), 1, "a refused intent created a plan")
 }
 
-// TestLogOutage takes the log away: requests go on, changes are refused
-// with a reason, a sidecar that starts meanwhile learns the state from its
-// peers, and nothing has reverted afterwards.
+// TestLogOutage checks that without the log, requests are served, changes are
+// refused as unavailable, and a restarted sidecar gets the state from its
+// peers; and that changes succeed when the log is available again.
 func TestLogOutage(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 2, Engines: 3})
 	l.Log.Faults.Set(standin.FaultSettings{Down: true})
 	resp, text := chat(t, l, 0, "liceo", v1.Model)
 	assert.Equal(t, resp.StatusCode, http.StatusOK, text)
 
-	short, cancel := context.WithTimeout(ctx, 20*time.Second)
+	changeCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	err := l.AddWorkspace(short, "otro", 10, 0)
+	err := l.AddWorkspace(changeCtx, "otro", 10, 0)
 	assert.Equal(t, errorCode(err), admin.CodeUnavailable, "%v", err)
 
 	b := l.Boxes[2]
@@ -127,11 +129,11 @@
 	for {
 		boxes, err := l.Admin(0).Boxes(ctx)
 		assert.NilError(t, err)
-		at := boxes[2]
-		if at.Reached && len(at.Status.Serving()) == 1 && at.Status.Incarnation != "" {
+		status := boxes[2]
+		if status.Reached && len(status.Status.Serving()) == 1 && status.Status.Incarnation != "" {
 			break
 		}
-		assert.NilError(t, ctx.Err(), "the new sidecar serves nothing: %+v", at)
+		assert.NilError(t, ctx.Err(), "the restarted sidecar does not serve: %+v", status)
 		time.Sleep(50 * time.Millisecond)
 	}
 	assert.DeepEqual(t, b.Engine.Orders(), []string{"load " + v1.String()})
@@ -146,8 +148,8 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK, text)
 }
 
-// TestLogAnswersOlder makes the log answer as it stood before: nothing that
-// is in force goes away.
+// TestStaleLogReads checks that the gateways keep their state when the log
+// returns an older state of its streams.
 func TestStaleLogReads(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 2, Engines: 2})
 	l.Log.Faults.Set(standin.FaultSettings{EndOffset: 1})
@@ -166,13 +168,13 @@
 	}
 }
 
-// TestRetention starts a gateway after the log has dropped the first
-// records: it must not skip them in silence.
+// TestStartAfterLogTruncation checks that a gateway that starts after the log
+// has deleted its first records gets the complete state, from a checkpoint.
 func TestStartAfterLogTruncation(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: 1})
 	for i := range state.CheckpointEvery + 50 {
 		assert.NilError(t, l.AddWorkspace(ctx, fmt.Sprintf("w%d", i%40), 1+i%100, 0))
-		time.Sleep(11 * time.Millisecond) // the log takes about a hundred appends a second
+		time.Sleep(11 * time.Millisecond) // the log accepts 100 appends per second
 	}
 	for len(l.Log.Entries("mintlift-checkpoints")) == 0 {
 		assert.NilError(t, ctx.Err(), "no checkpoint was written")
@@ -191,14 +193,15 @@
 		if second.Gateway.Offset == first.Gateway.Offset {
 			break
 		}
-		assert.NilError(t, ctx.Err(), "the new gateway stands at %d, the old one at %d", second.Gateway.Offset, first.Gateway.Offset)
+		assert.NilError(t, ctx.Err(), "the new gateway is at offset %d, the first one at %d", second.Gateway.Offset, first.Gateway.Offset)
 		time.Sleep(50 * time.Millisecond)
 	}
 	assert.Equal(t, second.Digest, first.Digest)
 	assert.Equal(t, second.Workspaces, 41)
 }
 
-// TestKeysAreAsked refuses callers and operators without a right key.
+// TestKeysAreRequired checks that callers and operators without a valid key are
+// refused, and that an unknown model is not found.
 func TestKeysAreRequired(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
 	for key, want := range map[string]int{"": http.StatusUnauthorized, "Bearer wrong-key-of-nobody": http.StatusForbidden} {
--- a/internal/lab/once_test.go
+++ b/internal/lab/once_test.go
@@ -21,7 +21,8 @@
 	"github.com/mintlift/mintlift/state"
 )
 
-// services starts a lab of plain services that workspace liceo may call.
+// startServices starts a lab of plain services, adds the workspace liceo and
+// waits until the gateways route its calls.
 func startServices(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
 	l, ctx := startLab(t, c)
@@ -30,7 +31,7 @@
 	return l, ctx
 }
 
-// runs joins the journals of the plain services.
+// serviceRuns returns the concatenated journals of the plain services.
 func (l *Lab) serviceRuns() []standin.Run {
 	var out []standin.Run
 	for _, b := range l.Boxes {
@@ -41,6 +42,7 @@
 	return out
 }
 
+// runsWithKey returns the number of runs with an idempotency key.
 func runsWithKey(runs []standin.Run, key string) int {
 	n := 0
 	for _, r := range runs {
@@ -51,7 +53,8 @@
 	return n
 }
 
-// homeOf returns the box that is the home of a key by the log.
+// homeOf returns the box that the log names as the home of a key, or nil if
+// there is no such box.
 func (l *Lab) homeOf(key string) *Box {
 	replica := state.NewReplica()
 	if err := replica.Apply(l.Log.Entries("mintlift-config")); err != nil {
@@ -69,7 +72,8 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// TestSameKeyThroughAllGateways sends each key many times at once.
+// TestSameKeyThroughAllGateways checks that a request sent concurrently through
+// several gateways with one idempotency key runs once.
 func TestSameKeyThroughAllGateways(t *testing.T) {
 	l, _ := startServices(t, Config{Gateways: 3, Services: 3})
 	for range 20 {
@@ -84,15 +88,15 @@
 		}
 		wg.Wait()
 		assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
-		_, again, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
-		assert.Equal(t, again, outcome.Completed, text)
-		assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1, "a resend ran")
+		_, retried, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
+		assert.Equal(t, retried, outcome.Completed, text)
+		assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1, "a retry ran")
 	}
 	assert.Equal(t, len(invariant.Journal(l.serviceRuns())), 0)
 }
 
-// TestLostAnswerIsNotRepeated loses the service's answer after the effect,
-// and resends the key.
+// TestLostResponseIsNotRetried checks that a request whose response was lost
+// after it ran does not run again when its key is sent again.
 func TestLostResponseIsNotRetried(t *testing.T) {
 	l, _ := startServices(t, Config{Gateways: 2, Services: 2})
 	for _, b := range l.Boxes {
@@ -106,8 +110,8 @@
 	assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
 }
 
-// TestHomeDies kills a key's home after the request ran: nobody can know
-// any more, and it must not run again.
+// TestHomeDies checks that a request whose key's home was killed after it ran
+// has outcome unknown and does not run again.
 func TestHomeDies(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 3})
 	key := newKey()
@@ -121,18 +125,19 @@
 
 	l.BoxList.Remove(home.Entry.ID)
 	for l.homeOf(key) == home {
-		assert.NilError(t, ctx.Err(), "the dead home stays in the log")
+		assert.NilError(t, ctx.Err(), "the log still names the killed box as home")
 		time.Sleep(50 * time.Millisecond)
 	}
 	for g := range 2 {
 		_, o, text = l.callService(t, g, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 		assert.Equal(t, o, outcome.Unknown, text)
 	}
-	assert.Equal(t, runsWithKey(l.serviceRuns(), key), before, "the new home ran what the dead one had run")
+	assert.Equal(t, runsWithKey(l.serviceRuns(), key), before, "the new home ran the request again")
 	home.Sidecar = nil
 }
 
-// TestHomeStartedAgain restarts a key's home empty on the same box.
+// TestHomeRestarts checks that a request does not run again after its key's
+// home has restarted without its keys.
 func TestHomeRestarts(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 2})
 	key := newKey()
@@ -142,7 +147,7 @@
 	home.Sidecar.Kill()
 	assert.NilError(t, l.StartSidecar(home))
 	l.awaitIncarnation(t, ctx, home)
-	for range 30 { // until the log names the new incarnation, and after
+	for range 30 { // before and after the log names the new incarnation
 		_, o, text = l.callService(t, 1, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 		assert.Equal(t, o, outcome.Unknown, text)
 		time.Sleep(100 * time.Millisecond)
@@ -150,34 +155,33 @@
 	assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
 }
 
-// TestReplayGuard kills a reused connection after the endpoint has read a
-// GET that is marked as not repeatable: net/http would send it again by
-// itself.
+// TestReplayGuard checks that a non-repeatable request is not sent again when a
+// reused connection is closed after the endpoint has read the request, which
+// net/http does by default.
 func TestReplayGuard(t *testing.T) {
-	d := newFaultyService(t)
-	d.setCut(cutsNever)
-	l, _ := startServices(t, Config{Gateways: 1, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.Endpoint = d.ln.Addr().String() }})
+	f := newFaultyService(t)
+	f.setCut(cutsNever)
+	l, _ := startServices(t, Config{Gateways: 1, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.Endpoint = f.ln.Addr().String() }})
 	for _, header := range []map[string]string{{"Mintlift-Repeatable": "false"}, {"Idempotency-Key": newKey()}} {
 		for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
-			d.setCut(cutsNever)
-			for range 3 { // idle connections to be reused
+			f.setCut(cutsNever)
+			for range 3 { // opens idle connections
 				_, o, text := l.callService(t, 0, http.MethodGet, "", nil)
 				assert.Equal(t, o, outcome.Completed, text)
 			}
-			d.setCut(cutsAfterRequest)
+			f.setCut(cutsAfterRequest)
 			if header["Idempotency-Key"] != "" {
 				header["Idempotency-Key"] = newKey()
 			}
 			_, o, text := l.callService(t, 0, method, "", header)
 			assert.Equal(t, o, outcome.Unknown, text)
-			assert.Equal(t, d.requestCount(), 1, fmt.Sprintf("%s was sent again", method))
+			assert.Equal(t, f.requestCount(), 1, fmt.Sprintf("%s was sent again", method))
 		}
 	}
 }
 
-// TestRefusedIsTrue floods one slow service and checks each "not run"
-// against the service's own count, and that it came at once with a time to
-// come back.
+// TestRefusedRequestsDidNotRun overloads a slow service and checks that requests
+// refused as not run are not in its journal, and that they get a Retry-After.
 func TestRefusedRequestsDidNotRun(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.MaxInFlight, s.Queue = 2, 2 }})
 	l.Boxes[0].Service.Latency = 200 * time.Millisecond
@@ -210,7 +214,7 @@
 			if o == outcome.NotRun {
 				refused = append(refused, resp.Header.Get("Mintlift-Request-Id"))
 				if resp.Header.Get("Retry-After") == "" {
-					t.Error("refused without a time to come back")
+					t.Error("refused without Retry-After")
 				}
 			}
 		}()
