--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -242,7 +242,7 @@
 func (d *demo) versionChange(ctx context.Context) error {
 	d.lab.Store.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
 	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
-	d.printf("from now on the origin and box %s corrupt every %dth chunk", d.lab.Boxes[0].Entry.ID, corruptEvery)
+	d.printf("from now on every %dth chunk of the origin and of box %s is corrupted", corruptEvery, d.lab.Boxes[0].Entry.ID)
 	t := startTraffic(d.callerAddresses(), lab.WorkspaceKey(workspace), model, callerCount)
 	p, err := d.rollout(ctx, "v2")
 	if err != nil {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -40,7 +40,7 @@
 
 		ctx, cancel := context.WithTimeout(t.Context(), stepTimeout)
 		defer cancel()
-		_, err = d.poll(ctx, func(context.Context) (*admin.Progress, error) { return nil, errors.New("connection refused") }, nil)
-		assert.ErrorContains(t, err, "connection refused")
+		_, err = d.poll(ctx, func(context.Context) (*admin.Progress, error) { return nil, errors.New("gone") }, nil)
+		assert.ErrorContains(t, err, "gone")
 	})
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -315,7 +315,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("gateway %d reached %d of %d boxes: %w", gateway, reached, n, ctx.Err())
+			return fmt.Errorf("%d of %d boxes reached: %w", reached, n, ctx.Err())
 		case <-time.After(interval):
 		}
 	}
--- a/internal/lab/outcome_test.go
+++ b/internal/lab/outcome_test.go
@@ -20,107 +20,112 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// death is the moment at which a dying endpoint cuts the connection.
+// cutPoint is the point of an exchange at which a faultyService closes the
+// connection.
 type cutPoint string
 
 const (
 	refusesConnections      cutPoint = "connection refused"
-	cutsBeforeRequest       cutPoint = "before the request's bytes"
+	cutsBeforeRequest       cutPoint = "before the request"
 	cutsInRequestBody       cutPoint = "in the middle of the request"
-	cutsAfterRequest        cutPoint = "after the request, before the answer"
-	cutsAfterResponseHeader cutPoint = "after the answer's head"
-	cutsInResponseBody      cutPoint = "in the middle of the answer"
+	cutsAfterRequest        cutPoint = "after the request, before the response"
+	cutsAfterResponseHeader cutPoint = "after the response header"
+	cutsInResponseBody      cutPoint = "in the middle of the response"
 	cutsNever               cutPoint = "never"
-	responds500             cutPoint = "never, answers 500"
+	responds500             cutPoint = "never, status 500"
 )
 
-// dying is a plain service over raw TCP that dies when told to.
+// faultyService is a plain service over TCP that closes connections at a given
+// point.
 type faultyService struct {
 	ln net.Listener
 
 	mu       sync.Mutex
 	cut      cutPoint
-	requests int // requests read whole
+	requests int // read in full since setCut
 }
 
 func newFaultyService(t *testing.T) *faultyService {
 	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
-	d := &faultyService{ln: ln}
+	f := &faultyService{ln: ln}
 	t.Cleanup(func() { _ = ln.Close() })
-	go d.accept()
-	return d
+	go f.accept()
+	return f
 }
 
-func (d *faultyService) accept() {
+func (f *faultyService) accept() {
 	for {
-		conn, err := d.ln.Accept()
+		conn, err := f.ln.Accept()
 		if err != nil {
 			return
 		}
-		go d.serve(conn)
+		go f.serve(conn)
 	}
 }
 
-func (d *faultyService) setCut(when cutPoint) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.cut, d.requests = when, 0
+// setCut sets the cut point and resets the request count.
+func (f *faultyService) setCut(cut cutPoint) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.cut, f.requests = cut, 0
 }
 
-func (d *faultyService) requestCount() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.requests
+// requestCount returns the number of requests read in full since setCut.
+func (f *faultyService) requestCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.requests
 }
 
-func (d *faultyService) serve(conn net.Conn) {
+// serve responds to the requests of a connection until the cut point.
+func (f *faultyService) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		d.mu.Lock()
-		when := d.cut
-		d.mu.Unlock()
-		if when == cutsBeforeRequest {
+		f.mu.Lock()
+		cut := f.cut
+		f.mu.Unlock()
+		if cut == cutsBeforeRequest {
 			return
 		}
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		if when == cutsInRequestBody {
+		if cut == cutsInRequestBody {
 			_, _ = io.CopyN(io.Discard, req.Body, 1)
 			return
 		}
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		d.mu.Lock()
-		d.requests++
-		d.mu.Unlock()
+		f.mu.Lock()
+		f.requests++
+		f.mu.Unlock()
 		status := "200 OK"
-		switch when {
+		switch cut {
 		case cutsAfterRequest:
 			return
 		case responds500:
 			status = "500 Internal Server Error"
 		}
 		fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 10\r\nX-Request-Id: %s\r\n\r\n", status, req.Header.Get("X-Request-Id"))
-		if when == cutsAfterResponseHeader {
+		if cut == cutsAfterResponseHeader {
 			return
 		}
 		fmt.Fprint(conn, "01234")
-		if when == cutsInResponseBody {
+		if cut == cutsInResponseBody {
 			return
 		}
 		fmt.Fprint(conn, "56789")
 	}
 }
 
-// call sends a request to the lab's plain service.
+// callService sends a request of workspace liceo to the lab's plain service.
 func (l *Lab) callService(t *testing.T, gateway int, method, body string, header map[string]string) (status int, o outcome.Outcome, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+l.Gateways[gateway].CallerAddress()+"/v1/services/"+ServiceName+"/pages/12", strings.NewReader(body))
@@ -137,7 +142,8 @@
 	return resp.StatusCode, outcome.Outcome(resp.Header.Get("Mintlift-Outcome")), string(b)
 }
 
-// settle waits until the gateways know the lab's boxes and their homes.
+// awaitRouting waits until each gateway has at least the given number of homes
+// and completes requests with and without idempotency keys.
 func (l *Lab) awaitRouting(t *testing.T, ctx context.Context, homes int) {
 	t.Helper()
 	for i := range l.Gateways {
@@ -150,41 +156,41 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		for {
-			_, plain, _ := l.callService(t, i, http.MethodGet, "", nil)
-			keyed := 0
-			for range 4 * homes { // keys of all homes, most likely
+			_, withoutKey, _ := l.callService(t, i, http.MethodGet, "", nil)
+			completed := 0
+			for range 4 * homes { // keys are likely to cover all homes
 				_, o, _ := l.callService(t, i, http.MethodPost, "", map[string]string{"Idempotency-Key": newKey()})
 				if o == outcome.Completed {
-					keyed++
+					completed++
 				}
 			}
-			if plain == outcome.Completed && keyed == 4*homes {
+			if withoutKey == outcome.Completed && completed == 4*homes {
 				break
 			}
-			assert.NilError(t, ctx.Err(), "gateway %d answers %s, and %d of %d keys", i, plain, keyed, 4*homes)
+			assert.NilError(t, ctx.Err(), "gateway %d: outcome %s without a key, %d of %d requests with a key completed", i, withoutKey, completed, 4*homes)
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
 }
 
-// TestOutcomeTable cuts the connection at every place where it can die and
-// compares what the caller is told with what the endpoint counted.
+// TestOutcomeTable checks the outcome reported to the caller, and the number of
+// runs, when the endpoint closes the connection at each point of an exchange.
 func TestOutcomeTable(t *testing.T) {
-	d := newFaultyService(t)
-	d.setCut(cutsNever)
+	f := newFaultyService(t)
+	f.setCut(cutsNever)
 	closed, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
-	nowhere := closed.Addr().String()
+	closedAddress := closed.Addr().String()
 	assert.NilError(t, closed.Close())
-	target := d.ln.Addr().String()
+	target := f.ln.Addr().String()
 	l, ctx := startLab(t, Config{Gateways: 1, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.Endpoint = target }})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
 	l.awaitRouting(t, ctx, 1)
 
 	cells := []struct {
-		when cutPoint
+		cut  cutPoint
 		want outcome.Outcome
-		runs int // what the endpoint must count for a request that is not repeatable
+		runs int // of a non-repeatable request
 	}{
 		{cutsBeforeRequest, outcome.Unknown, 0},
 		{cutsInRequestBody, outcome.Unknown, 0},
@@ -196,8 +202,8 @@
 		{refusesConnections, outcome.NotRun, 0},
 	}
 	for _, cell := range cells {
-		if cell.when == refusesConnections {
-			target = nowhere
+		if cell.cut == refusesConnections {
+			target = closedAddress
 			b := l.Boxes[0]
 			assert.NilError(t, b.Sidecar.Stop(ctx))
 			assert.NilError(t, l.StartSidecar(b))
@@ -206,36 +212,37 @@
 		for name, header := range map[string]map[string]string{
 			"repeatable":     {"Mintlift-Repeatable": "true"},
 			"not repeatable": {"Mintlift-Repeatable": "false"},
-			"with a key":     {"Idempotency-Key": fmt.Sprintf("key-%s", strings.ReplaceAll(string(cell.when), " ", "-"))},
+			"with a key":     {"Idempotency-Key": fmt.Sprintf("key-%s", strings.ReplaceAll(string(cell.cut), " ", "-"))},
 		} {
-			t.Run(string(cell.when)+"/"+name, func(t *testing.T) {
-				d.setCut(cell.when)
+			t.Run(string(cell.cut)+"/"+name, func(t *testing.T) {
+				f.setCut(cell.cut)
 				want := cell.want
-				if cell.when == refusesConnections && name == "with a key" {
-					want = outcome.Unknown // the home has started again and cannot know
+				if cell.cut == refusesConnections && name == "with a key" {
+					want = outcome.Unknown // the home has restarted and lost its keys
 				}
 				_, got, text := l.callService(t, 0, http.MethodPost, "some body", header)
 				assert.Equal(t, got, want, text)
 				if name != "repeatable" {
-					assert.Equal(t, d.requestCount(), cell.runs, "a request that is not repeatable was repeated, or did not run")
+					assert.Equal(t, f.requestCount(), cell.runs, "a non-repeatable request did not run as often as expected")
 				}
 				if got == outcome.NotRun {
-					assert.Equal(t, d.requestCount(), 0, "not run was said of a request that ran")
+					assert.Equal(t, f.requestCount(), 0, "a request with outcome not run was run")
 				}
 			})
 		}
 	}
 }
 
-// awaitIncarnation waits until the gateway sends to a box's new sidecar.
+// awaitIncarnation waits until the first gateway has reached a box's restarted
+// sidecar and updated its routing table.
 func (l *Lab) awaitIncarnation(t *testing.T, ctx context.Context, b *Box) {
 	t.Helper()
 	for {
 		boxes, err := l.Admin(0).Boxes(ctx)
 		assert.NilError(t, err)
-		for _, one := range boxes {
-			if one.Box.ID == b.Entry.ID && one.Reached && one.Box.Address == b.Sidecar.Address() {
-				time.Sleep(time.Second) // one more probe, for the routing table
+		for _, status := range boxes {
+			if status.Box.ID == b.Entry.ID && status.Reached && status.Box.Address == b.Sidecar.Address() {
+				time.Sleep(time.Second) // the routing table is updated by the next probe
 				return
 			}
 		}
@@ -243,16 +250,16 @@
 	}
 }
 
-// TestDoubtOutlivesLaterRefusals has one endpoint that dies after it has
-// read the request and another that refuses connections: whichever is tried
-// last, the request ran, so "not run" must not be said.
+// TestUnknownOutlastsLaterRefusals checks that a request that one endpoint has
+// read before it closed the connection has outcome unknown, also if a second
+// endpoint has refused the retry.
 func TestUnknownOutlastsLaterRefusals(t *testing.T) {
-	d := newFaultyService(t)
-	d.setCut(cutsNever)
+	f := newFaultyService(t)
+	f.setCut(cutsNever)
 	closed, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
-	nowhere := closed.Addr().String()
-	targets := []string{d.ln.Addr().String(), nowhere}
+	closedAddress := closed.Addr().String()
+	targets := []string{f.ln.Addr().String(), closedAddress}
 	l, ctx := startLab(t, Config{Gateways: 1, Services: 2, SidecarSettings: func(s *settings.Sidecar) {
 		s.Endpoint = targets[0]
 		targets = targets[1:]
@@ -268,9 +275,9 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	for range 20 {
-		d.setCut(cutsAfterRequest)
+		f.setCut(cutsAfterRequest)
 		_, o, text := l.callService(t, 0, http.MethodPost, "some body", header)
-		if d.requestCount() > 0 {
+		if f.requestCount() > 0 {
 			assert.Equal(t, o, outcome.Unknown, text)
 		}
 	}
--- a/internal/lab/pairs_test.go
+++ b/internal/lab/pairs_test.go
@@ -19,7 +19,7 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// failure is one of the brief's failures, switched on and off again.
+// failure is a failure that a test injects and then recovers from.
 type failure struct {
 	name    string
 	inject  func(l *Lab)
@@ -28,7 +28,7 @@
 
 func noRecovery(*Lab) error { return nil }
 
-// failures are those that a lab can cause in one process.
+// failures returns the failures that can be injected in one process.
 func failures() []failure {
 	logFault := func(f standin.FaultSettings) (func(*Lab), func(*Lab) error) {
 		return func(l *Lab) { l.Log.Faults.Set(f) }, func(l *Lab) error { l.Log.Faults.Set(standin.FaultSettings{}); return nil }
@@ -36,30 +36,32 @@
 	storeFault := func(f standin.FaultSettings) (func(*Lab), func(*Lab) error) {
 		return func(l *Lab) { l.Store.Faults.Set(f) }, func(l *Lab) error { l.Store.Faults.Set(standin.FaultSettings{}); return nil }
 	}
-	make := func(name string, on func(*Lab), off func(*Lab) error) failure { return failure{name, on, off} }
+	newFailure := func(name string, inject func(*Lab), restore func(*Lab) error) failure {
+		return failure{name, inject, restore}
+	}
 	logDown, logUp := logFault(standin.FaultSettings{Down: true})
-	logOld, logNow := logFault(standin.FaultSettings{EndOffset: 2})
+	logStale, logCurrent := logFault(standin.FaultSettings{EndOffset: 2})
 	storeDown, storeUp := storeFault(standin.FaultSettings{Down: true})
-	storeBad, storeGood := storeFault(standin.FaultSettings{CorruptEvery: 3})
+	storeCorrupt, storeCorrect := storeFault(standin.FaultSettings{CorruptEvery: 3})
 	return []failure{
-		make("log down", logDown, logUp),
-		make("log answers older", logOld, logNow),
-		make("origin down", storeDown, storeUp),
-		make("chunks corrupt", storeBad, storeGood),
-		make("box list lags", func(l *Lab) { l.BoxList.Faults.Set(standin.FaultSettings{LagMS: 3000}) }, func(l *Lab) error { l.BoxList.Faults.Set(standin.FaultSettings{}); return nil }),
-		make("orders' answers lost", func(l *Lab) {
+		newFailure("log down", logDown, logUp),
+		newFailure("stale log reads", logStale, logCurrent),
+		newFailure("origin down", storeDown, storeUp),
+		newFailure("chunks corrupt", storeCorrupt, storeCorrect),
+		newFailure("box list lags", func(l *Lab) { l.BoxList.Faults.Set(standin.FaultSettings{LagMS: 3000}) }, func(l *Lab) error { l.BoxList.Faults.Set(standin.FaultSettings{}); return nil }),
+		newFailure("responses to orders lost", func(l *Lab) {
 			for _, b := range l.Boxes[:3] {
 				b.Engine.Faults.Set(standin.FaultSettings{DropResponses: 1})
 			}
 		}, noRecovery),
-		make("box dies", func(l *Lab) { l.KillBox(l.Boxes[3], true) }, noRecovery),
-		make("sidecar starts again empty", func(l *Lab) { l.Boxes[0].Sidecar.Kill() }, func(l *Lab) error { return l.StartSidecar(l.Boxes[0]) }),
-		make("gateway dies", func(l *Lab) { l.Gateways[1].Kill() }, noRecovery),
+		newFailure("box crash", func(l *Lab) { l.KillBox(l.Boxes[3], true) }, noRecovery),
+		newFailure("sidecar restart", func(l *Lab) { l.Boxes[0].Sidecar.Kill() }, func(l *Lab) error { return l.StartSidecar(l.Boxes[0]) }),
+		newFailure("gateway crash", func(l *Lab) { l.Gateways[1].Kill() }, noRecovery),
 	}
 }
 
-// TestPairsOfFailures brings about every pair of failures while a version
-// changes under traffic, and checks the invariants afterwards.
+// TestPairsOfFailures checks the invariants after each pair of failures during
+// a version change under traffic.
 func TestPairsOfFailures(t *testing.T) {
 	all := failures()
 	for i, a := range all {
@@ -86,13 +88,13 @@
 	l.awaitServing(t)
 
 	report := make(chan load.Report, 1)
-	m := load.Mix{Name: "pair", Rate: 40, Seconds: 6, Seed: 5, Targets: []string{l.Gateways[0].CallerAddress(), l.Gateways[1].CallerAddress()}}
-	m.Classes = []load.Class{{Name: "model", Share: 1, Model: v1.Model, Tokens: 10}, {Name: "once", Share: 1, Service: ServiceName, NotRepeatable: 1}}
-	for i := range m.Classes {
-		m.Classes[i].SetKey(WorkspaceKey("liceo"))
+	mix := load.Mix{Name: "pair", Rate: 40, Seconds: 6, Seed: 5, Targets: []string{l.Gateways[0].CallerAddress(), l.Gateways[1].CallerAddress()}}
+	mix.Classes = []load.Class{{Name: "model", Share: 1, Model: v1.Model, Tokens: 10}, {Name: "once", Share: 1, Service: ServiceName, NotRepeatable: 1}}
+	for i := range mix.Classes {
+		mix.Classes[i].SetKey(WorkspaceKey("liceo"))
 	}
 	go func() {
-		r, _ := load.Run(ctx, m)
+		r, _ := load.Run(ctx, mix)
 		report <- r
 	}()
 	in.Ref = v2
@@ -113,19 +115,19 @@
 	violations = append(violations, invariant.NotRun(r.NotRun, runs)...)
 	for _, c := range r.Classes {
 		if c.Broken > 0 && !cutsCallers(a) && !cutsCallers(b) {
-			violations = append(violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: fmt.Sprintf("%s: %d broken answers", c.Name, c.Broken)})
+			violations = append(violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: fmt.Sprintf("%s: %d broken responses", c.Name, c.Broken)})
 		}
 	}
 	assert.Equal(t, len(violations), 0, "%v", violations)
 	model := r.Classes[0]
-	assert.Assert(t, model.Outcomes[outcome.Completed] > model.Sent/4, "hardly a request was answered: %v of %d", model.Outcomes, model.Sent)
+	assert.Assert(t, model.Outcomes[outcome.Completed] > model.Sent/4, "too few requests completed: %v of %d", model.Outcomes, model.Sent)
 	assert.Equal(t, len(invariant.Rising(invariant.FenceOrder, l.fences())), 0)
 }
 
-// dies reports whether a failure cuts connections to callers by itself.
-func cutsCallers(f failure) bool { return f.name == "gateway dies" }
+// cutsCallers reports whether a failure closes connections to callers.
+func cutsCallers(f failure) bool { return f.name == "gateway crash" }
 
-// awaitLiving waits until every engine that lives serves the plan.
+// awaitRollout waits at most 40 s until a plan is done.
 func (l *Lab) awaitRollout(ctx context.Context, plan string) error {
 	ctx, cancel := context.WithTimeout(ctx, 40*time.Second)
 	defer cancel()
@@ -133,17 +135,18 @@
 	return err
 }
 
-// resend sends one key through the living gateway several times at once.
+// resend sends several concurrent requests with one key through the first
+// gateway. It returns an error if more than one of them ran.
 func (l *Lab) resend(ctx context.Context) error {
 	key := newKey()
-	m := load.Mix{Name: "resend", Rate: 1, Seconds: 1, Targets: []string{l.Gateways[0].CallerAddress()}, Classes: []load.Class{{Name: "once", Share: 1, Service: ServiceName}}}
-	m.Classes[0].SetKey(WorkspaceKey("liceo"))
+	mix := load.Mix{Name: "resend", Rate: 1, Seconds: 1, Targets: []string{l.Gateways[0].CallerAddress()}, Classes: []load.Class{{Name: "once", Share: 1, Service: ServiceName}}}
+	mix.Classes[0].SetKey(WorkspaceKey("liceo"))
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			m.Classes[0].SendKey(ctx, m.Targets[0], key)
+			mix.Classes[0].SendKey(ctx, mix.Targets[0], key)
 		}()
 	}
 	wg.Wait()
@@ -153,5 +156,6 @@
 	return nil
 }
 
-// fences are the fences that the first engine has loaded under, in order.
+// fences returns the fences of the orders that the first engine has accepted,
+// in order.
 func (l *Lab) fences() []int64 { return l.Boxes[0].Engine.Fences() }
--- a/internal/lab/proxy_test.go
+++ b/internal/lab/proxy_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// cutter is a TCP pipe to a sidecar that can be cut: after so many bytes
-// of answers, or altogether, as a network partition would.
+// faultyProxy is a TCP proxy to a sidecar that can close a connection after a
+// number of response bytes, or simulate a network partition.
 type faultyProxy struct {
 	ln net.Listener
 
 	mu          sync.Mutex
 	target      string
-	cutBytes    int64 // bytes of the next answers until a cut, 0 for none
+	cutBytes    int64 // response bytes until the next cut, 0 for no cut
 	partitioned bool
 	conns       []net.Conn
 	cuts        int
@@ -36,20 +36,21 @@
 
 func (c *faultyProxy) address() string { return c.ln.Addr().String() }
 
-// cutAfter cuts one connection after n more bytes of answers.
+// cutAfter makes the proxy close one connection after n more response bytes.
 func (c *faultyProxy) cutAfter(n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cutBytes = n
 }
 
+// cutCount returns the number of connections closed by cutAfter.
 func (c *faultyProxy) cutCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cuts
 }
 
-// awaitUse waits until somebody connects.
+// awaitConnection waits until the proxy has accepted a connection.
 func (c *faultyProxy) awaitConnection(t *testing.T) {
 	t.Helper()
 	used := func() bool {
@@ -58,15 +59,16 @@
 		return len(c.conns) > 0
 	}
 	for began := time.Now(); !used(); time.Sleep(20 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 20*time.Second, "nobody connects")
+		assert.Assert(t, time.Since(began) < 20*time.Second, "no connection within 20 s")
 	}
 }
 
-// partition cuts all connections and refuses new ones while on.
-func (c *faultyProxy) setPartitioned(on bool) {
+// setPartitioned closes all connections and, if partitioned is set, rejects new
+// ones from now on.
+func (c *faultyProxy) setPartitioned(partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partitioned = on
+	c.partitioned = partitioned
 	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
@@ -80,35 +82,36 @@
 			return
 		}
 		c.mu.Lock()
-		down, target := c.partitioned, c.target
+		partitioned, target := c.partitioned, c.target
 		c.mu.Unlock()
-		if down {
+		if partitioned {
 			_ = conn.Close()
 			continue
 		}
-		up, err := net.Dial("tcp", target)
+		upstream, err := net.Dial("tcp", target)
 		if err != nil {
 			_ = conn.Close()
 			continue
 		}
 		c.mu.Lock()
-		c.conns = append(c.conns, conn, up)
+		c.conns = append(c.conns, conn, upstream)
 		c.mu.Unlock()
-		go func() { _, _ = io.Copy(up, conn); _ = up.Close() }()
-		go c.copyResponses(conn, up)
+		go func() { _, _ = io.Copy(upstream, conn); _ = upstream.Close() }()
+		go c.copyResponses(conn, upstream)
 	}
 }
 
-// answers copies from the sidecar until the cut.
-func (c *faultyProxy) copyResponses(conn, up net.Conn) {
+// copyResponses copies from upstream to conn until one of them ends or the
+// connection is cut.
+func (c *faultyProxy) copyResponses(conn, upstream net.Conn) {
 	defer conn.Close()
-	defer up.Close()
+	defer upstream.Close()
 	buf := make([]byte, 4096)
 	for {
-		n, err := up.Read(buf)
+		n, err := upstream.Read(buf)
 		if n > 0 {
-			n, stop := c.takeBytes(int64(n))
-			if _, werr := conn.Write(buf[:n]); werr != nil || stop {
+			n, cut := c.takeBytes(int64(n))
+			if _, werr := conn.Write(buf[:n]); werr != nil || cut {
 				return
 			}
 		}
@@ -118,6 +121,8 @@
 	}
 }
 
+// takeBytes returns how many of n response bytes to forward, and whether to
+// close the connection afterwards.
 func (c *faultyProxy) takeBytes(n int64) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/rollover_test.go
+++ b/internal/lab/rollover_test.go
@@ -20,9 +20,10 @@
 
 var v2 = weights.Ref{Model: v1.Model, Version: "v2"}
 
-// TestRolloverKeepsFloor changes the version on engines that hold only one,
-// under traffic: the boxes go in waves, never fewer than the floor serve,
-// and no request fails.
+// TestRolloverKeepsFloor checks a version change under traffic on engines with
+// memory for one version: the boxes change in waves, at least as many as the
+// floor serve at any time, and no request fails. Then it cancels the plan and
+// checks that the former version is restored.
 func TestRolloverKeepsFloor(t *testing.T) {
 	const size, floor = 1 << 20, 2
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 4, EngineMemory: size * 3 / 2, TokenTime: 2 * time.Millisecond})
@@ -40,7 +41,7 @@
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	failed := []string{}
-	answered := map[string]int{}
+	responses := map[string]int{} // by version
 	for g := range l.Gateways {
 		callers.Add(1)
 		go func() {
@@ -56,7 +57,7 @@
 				if resp.StatusCode != http.StatusOK || !done {
 					failed = append(failed, resp.Status+" "+text)
 				}
-				answered[resp.Header.Get("Mintlift-Version")]++
+				responses[resp.Header.Get("Mintlift-Version")]++
 				mu.Unlock()
 			}
 		}()
@@ -90,10 +91,9 @@
 	callers.Wait()
 	assert.Equal(t, len(failed), 0, "%s", strings.Join(failed[:min(len(failed), 3)], "\n"))
 	assert.Assert(t, lowest >= floor, "only %d boxes served", lowest)
-	assert.Assert(t, answered[v1.String()] > 0 && answered[v2.String()] > 0, "%v", answered)
-	t.Logf("lowest %d boxes, answers %v", lowest, answered)
+	assert.Assert(t, responses[v1.String()] > 0 && responses[v2.String()] > 0, "%v", responses)
+	t.Logf("at least %d boxes served, responses %v", lowest, responses)
 
-	// And back: cancelling the plan restores v1.
 	_, err = l.Admin(1).Cancel(ctx, p.ID)
 	assert.NilError(t, err)
 	for {
@@ -106,7 +106,8 @@
 	}
 }
 
-// TestFloorRefusesPlan asks for a rollover that cannot keep the floor.
+// TestFloorRefusesPlan checks that an intent is refused if its rollout would
+// fall below the floor.
 func TestFloorRefusesPlan(t *testing.T) {
 	const size = 1 << 20
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: 2, EngineMemory: size * 3 / 2})
@@ -122,8 +123,9 @@
 	assert.Equal(t, errorCode(err), admin.CodeFloor, "%v", err)
 }
 
-// TestSupersededInFlight confirms a newer version while an older one is on
-// its way: the older one's chunks stop and the newer one serves.
+// TestSupersededInFlight checks that a plan confirmed during the transfer of an
+// older version supersedes it: only the newer version is loaded, and no copy of
+// the older one is kept.
 func TestSupersededInFlight(t *testing.T) {
 	const size = 4 << 20
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: 3})
--- a/internal/lab/signals_test.go
+++ b/internal/lab/signals_test.go
@@ -13,7 +13,7 @@
 	"github.com/mintlift/mintlift/internal/standin"
 )
 
-// twoEngines starts two engines that serve a model.
+// startTwoEngines starts two gateways and two engines that serve v1.
 func startTwoEngines(t *testing.T) *Lab {
 	t.Helper()
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 2})
@@ -33,27 +33,29 @@
 	return l
 }
 
-// press asks both gateways by turns for so long, and returns how many requests an
-// engine ran meanwhile, and how many were answered.
-func sendRequests(t *testing.T, l *Lab, e *standin.Engine, long time.Duration) (ran, answered int) {
+// sendRequests sends requests through both gateways alternately for a duration.
+// It returns how many of them the engine ran, and how many got a response with
+// status 200.
+func sendRequests(t *testing.T, l *Lab, e *standin.Engine, duration time.Duration) (ran, succeeded int) {
 	t.Helper()
 	before := len(e.Journal())
-	for began, n := time.Now(), 0; time.Since(began) < long; n++ {
+	for began, n := time.Now(), 0; time.Since(began) < duration; n++ {
 		if resp, _ := chat(t, l, n%2, "liceo", v1.Model); resp.StatusCode == http.StatusOK {
-			answered++
+			succeeded++
 		}
-		time.Sleep(40 * time.Millisecond) // the tests beside this one need the processors, too
+		time.Sleep(40 * time.Millisecond) // leaves CPU time to parallel tests
 	}
-	return len(e.Journal()) - before, answered
+	return len(e.Journal()) - before, succeeded
 }
 
-// An engine that names a limit, drains or asks for backoff is heard by its sidecar.
+// TestEngineBackpressure checks that an engine that reports a rate limit, a
+// drain or a backoff gets no more requests than that, while another one serves.
 func TestEngineBackpressure(t *testing.T) {
-	const long = 4 * time.Second
+	const duration = 4 * time.Second
 	for _, test := range []struct {
 		name    string
 		signals standin.FaultSettings
-		most    int
+		maxRuns int
 	}{
 		{"limit", standin.FaultSettings{Limited: true, LimitRate: 2}, 17},
 		{"draining", standin.FaultSettings{Draining: true}, 1},
@@ -65,16 +67,17 @@
 			e := l.Boxes[0].Engine
 			sendRequests(t, l, e, time.Second)
 			e.Faults.Set(test.signals)
-			sendRequests(t, l, e, time.Second/2) // it is heard
-			ran, answered := sendRequests(t, l, e, long)
-			t.Logf("%d ran, %d answered", ran, answered)
-			assert.Assert(t, ran <= test.most, "%d ran", ran)
-			assert.Assert(t, answered > 60, "%d answered: the other engine serves", answered)
+			sendRequests(t, l, e, time.Second/2) // the sidecar reads the signals
+			ran, succeeded := sendRequests(t, l, e, duration)
+			t.Logf("%d ran, %d succeeded", ran, succeeded)
+			assert.Assert(t, ran <= test.maxRuns, "%d ran", ran)
+			assert.Assert(t, succeeded > 60, "only %d requests succeeded", succeeded)
 		})
 	}
 }
 
-// An engine that has left is back in another life, which says nothing of the kind.
+// TestEngineReturnsAfterDraining checks that an engine that has reported a
+// drain gets requests again after it has stopped reporting it.
 func TestEngineReturnsAfterDraining(t *testing.T) {
 	t.Parallel()
 	l := startTwoEngines(t)
--- a/internal/lab/stream_test.go
+++ b/internal/lab/stream_test.go
@@ -21,7 +21,7 @@
 	"github.com/mintlift/mintlift/internal/standin"
 )
 
-// served starts a lab that serves v1 on all engines to workspace liceo.
+// startServing starts a lab that serves v1 on all engines to workspace liceo.
 func startServing(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
 	l, ctx := startLab(t, c)
@@ -35,7 +35,7 @@
 	return l, ctx
 }
 
-// awaitServed waits until every gateway answers.
+// awaitServing waits until a request through each gateway succeeds.
 func (l *Lab) awaitServing(t *testing.T) {
 	t.Helper()
 	for g := range l.Gateways {
@@ -48,7 +48,8 @@
 	}
 }
 
-// openChat starts a streamed request of so many tokens.
+// openChat sends a request for a streamed chat completion of the given number
+// of tokens. The caller closes the response body.
 func openChat(ctx context.Context, l *Lab, gateway, tokens int, header map[string]string) (*http.Response, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, v1.Model, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Gateways[gateway].CallerAddress()+"/v1/chat/completions", strings.NewReader(body))
@@ -62,7 +63,8 @@
 	return http.DefaultClient.Do(req)
 }
 
-// textOf joins a stream's tokens; done says that it ended with its mark.
+// readStream concatenates a stream's tokens; done reports whether it ended with
+// [DONE].
 func readStream(body io.Reader) (text string, done bool, err error) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -90,22 +92,23 @@
 	return text, false, lines.Err()
 }
 
-// TestCutStreamHeals cuts the connection between gateway and sidecar in the
-// middle of a stream, and the engine's own: every token comes once.
+// TestCutStreamResumes checks that a caller gets each token once when the
+// connection between gateway and sidecar, or between sidecar and engine, is cut
+// in the middle of a stream.
 func TestCutStreamResumes(t *testing.T) {
 	const tokens = 60
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1, TokenTime: 2 * time.Millisecond})
 	b := l.Boxes[0]
-	c := newFaultyProxy(t, b.Sidecar.Address())
+	proxy := newFaultyProxy(t, b.Sidecar.Address())
 	entry := b.Entry
-	entry.Address = c.address()
+	entry.Address = proxy.address()
 	l.BoxList.Put(entry)
-	c.awaitConnection(t)        // the gateway has read the list again
+	proxy.awaitConnection(t)    // the gateway has read the box list
 	time.Sleep(3 * time.Second) // and has probed the new address
 	for _, where := range []string{"sidecar", "engine"} {
 		t.Run(where, func(t *testing.T) {
 			if where == "sidecar" {
-				c.cutAfter(4000)
+				proxy.cutAfter(4000)
 			} else {
 				b.Engine.Faults.Set(standin.FaultSettings{CutAfterTokens: 20})
 			}
@@ -114,22 +117,23 @@
 			defer resp.Body.Close()
 			text, done, err := readStream(resp.Body)
 			assert.NilError(t, err)
-			assert.Assert(t, done, "the stream has no end: %s", text)
+			assert.Assert(t, done, "the stream ended without [DONE]: %s", text)
 			assert.DeepEqual(t, invariant.Answer(text, v1.String(), resp.Header.Get("Mintlift-Request-Id"), tokens), []invariant.Violation(nil))
 		})
 	}
-	assert.Assert(t, c.cutCount() > 0, "nothing was cut")
+	assert.Assert(t, proxy.cutCount() > 0, "the proxy cut no connection")
 }
 
-// TestCancelReachesEngine hangs up in the middle of a stream.
+// TestCancelReachesEngine checks that the engine stops generating when the
+// caller closes the connection in the middle of a stream.
 func TestCancelReachesEngine(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1, TokenTime: 5 * time.Millisecond})
-	callCtx, hangUp := context.WithCancel(ctx)
+	callCtx, cancel := context.WithCancel(ctx)
 	resp, err := openChat(callCtx, l, 0, 1000000, nil)
 	assert.NilError(t, err)
 	_, err = io.ReadFull(resp.Body, make([]byte, 500))
 	assert.NilError(t, err)
-	hangUp()
+	cancel()
 	_ = resp.Body.Close()
 	for {
 		s, err := http.Get("http://" + l.Boxes[0].endpoint.Address() + "/control/state")
@@ -145,8 +149,8 @@
 	}
 }
 
-// TestForeignAnswerIsBroken has the engine answer under another request's
-// id: the caller gets a clear outcome and not a word of it.
+// TestMismatchedResponseIsRejected checks that a response of the engine with
+// another request's ID is not forwarded, and that the outcome is unknown.
 func TestMismatchedResponseIsRejected(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
 	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{MismatchedResponses: true})
@@ -159,8 +163,8 @@
 	assert.Assert(t, !bytes.Contains(b, []byte("celeste-draft@v1/")), string(b))
 }
 
-// TestForeignEventIsBroken has an event of another request appear inside a
-// stream.
+// TestMismatchedEventIsRejected checks that an event of another request in a
+// stream is not forwarded, and that the stream ends with outcome unknown.
 func TestMismatchedEventIsRejected(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
 	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{MismatchedEvents: true})
@@ -173,27 +177,28 @@
 	assert.Assert(t, bytes.Contains(b, []byte(`"outcome":"unknown"`)), string(b))
 }
 
-// TestPlannedStopCutsNothing stops the sidecar, and then the gateway, while
-// streams are in progress.
+// TestPlannedStopCutsNothing checks that streams in flight are completed when a
+// sidecar and a gateway are stopped, and that the stopping endpoint gets no new
+// requests.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	const tokens, streams = 200, 8
 	l, ctx := startServing(t, Config{Gateways: 2, Engines: 2, TokenTime: 5 * time.Millisecond})
-	type end struct {
+	type result struct {
 		text, id string
 		done     bool
 		err      error
 	}
-	ends := make(chan end, streams)
+	results := make(chan result, streams)
 	for i := range streams {
 		go func() {
 			resp, err := openChat(ctx, l, i%2, tokens, nil)
 			if err != nil {
-				ends <- end{err: err}
+				results <- result{err: err}
 				return
 			}
 			defer resp.Body.Close()
 			text, done, err := readStream(resp.Body)
-			ends <- end{text: text, id: resp.Header.Get("Mintlift-Request-Id"), done: done, err: err}
+			results <- result{text: text, id: resp.Header.Get("Mintlift-Request-Id"), done: done, err: err}
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
@@ -202,16 +207,16 @@
 	go func() { stopped <- l.Gateways[1].Stop(ctx) }()
 	time.Sleep(100 * time.Millisecond)
 	ran := len(l.Boxes[0].Engine.Journal())
-	for range 10 { // new work goes elsewhere at once, whatever the box list says
+	for range 10 { // routed elsewhere, although the box list still has the box
 		resp, text := chat(t, l, 0, "liceo", v1.Model)
 		assert.Equal(t, resp.StatusCode, http.StatusOK, text)
 	}
-	assert.Equal(t, len(l.Boxes[0].Engine.Journal()), ran, "a leaving endpoint got new work")
+	assert.Equal(t, len(l.Boxes[0].Engine.Journal()), ran, "a stopping endpoint got a new request")
 	for range streams {
-		e := <-ends
-		assert.NilError(t, e.err)
-		assert.Assert(t, e.done, "a planned stop cut a stream")
-		assert.Equal(t, len(invariant.Answer(e.text, v1.String(), e.id, tokens)), 0)
+		r := <-results
+		assert.NilError(t, r.err)
+		assert.Assert(t, r.done, "a planned stop cut a stream")
+		assert.Equal(t, len(invariant.Answer(r.text, v1.String(), r.id, tokens)), 0)
 	}
 	assert.NilError(t, <-stopped)
 	assert.NilError(t, <-stopped)
--- a/internal/lab/tls_test.go
+++ b/internal/lab/tls_test.go
@@ -23,7 +23,7 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// authority signs the certificates of a test.
+// testCA is a certificate authority whose files are in dir.
 type testCA struct {
 	dir        string
 	cert       *x509.Certificate
@@ -45,13 +45,15 @@
 	return a
 }
 
-func (a *testCA) write(t *testing.T, name, kind string, der []byte) string {
+// write writes a PEM file and returns its path.
+func (a *testCA) write(t *testing.T, name, blockType string, der []byte) string {
 	file := filepath.Join(a.dir, name)
-	assert.NilError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
+	assert.NilError(t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600))
 	return file
 }
 
-// issue writes a new certificate for 127.0.0.1 over the former.
+// issue writes a new certificate and key for 127.0.0.1 to files that each call
+// overwrites.
 func (a *testCA) issue(t *testing.T) settings.TLS {
 	a.lastSerial++
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -64,9 +66,9 @@
 	return settings.TLS{CertFile: a.write(t, "cert.pem", "CERTIFICATE", der), KeyFile: a.write(t, "key.pem", "EC PRIVATE KEY", raw), ClientCAFile: filepath.Join(a.dir, "ca.pem")}
 }
 
-// TestTLSAndKeyBetweenProcesses runs the whole path with certificates on
-// both sides and a shared key, keeps strangers out, and replaces the
-// certificate while the processes run.
+// TestTLSAndPeerKey checks that processes with mutual TLS and a shared key serve
+// requests, that a client without a certificate or without the key is rejected,
+// and that a replaced certificate is loaded without a restart.
 func TestTLSAndPeerKey(t *testing.T) {
 	a := newTestCA(t)
 	pair := a.issue(t)
@@ -82,14 +84,14 @@
 
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
-	stranger := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-	_, err := stranger.Get("https://" + address + "/peer/v1/status")
-	assert.Assert(t, err != nil, "a process without a certificate got in")
+	withoutCert := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
+	_, err := withoutCert.Get("https://" + address + "/peer/v1/status")
+	assert.Assert(t, err != nil, "a client without a certificate was accepted")
 
 	cert, err := tls.LoadX509KeyPair(pair.CertFile, pair.KeyFile)
 	assert.NilError(t, err)
 	var serials []int64
-	keyless := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{
+	withoutKey := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{
 		RootCAs:      pool,
 		Certificates: []tls.Certificate{cert},
 		VerifyConnection: func(s tls.ConnectionState) error {
@@ -98,16 +100,16 @@
 		},
 	}}}
 	status := func() int {
-		resp, err := keyless.Get("https://" + address + "/peer/v1/status")
+		resp, err := withoutKey.Get("https://" + address + "/peer/v1/status")
 		assert.NilError(t, err)
 		assert.NilError(t, resp.Body.Close())
 		return resp.StatusCode
 	}
-	assert.Equal(t, status(), http.StatusUnauthorized, "a process without the key got in")
+	assert.Equal(t, status(), http.StatusUnauthorized, "a client without the key was accepted")
 
 	a.issue(t)
 	for status(); serials[len(serials)-1] != a.lastSerial; status() {
-		assert.NilError(t, ctx.Err(), "the new certificate is not shown")
+		assert.NilError(t, ctx.Err(), "the new certificate is not used")
 		time.Sleep(200 * time.Millisecond)
 	}
 	resp, text := chat(t, l, 0, "liceo", v1.Model)
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -27,7 +27,7 @@
 	// DropResponses is the number of state-changing calls whose connection is
 	// cut after they have taken effect.
 	DropResponses int `json:"lose_answers"`
-	// LagMS hides changes from readers for so many milliseconds.
+	// LagMS is the time in milliseconds for which readers do not see a change.
 	LagMS int `json:"lag_ms"`
 	// CorruptEvery corrupts every n-th chunk sent; 0 corrupts none.
 	CorruptEvery int `json:"corrupt_every"`
