--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -47,12 +47,13 @@
 	stepTimeout  = 40 * time.Second
 )
 
+// demo is the state of a run.
 type demo struct {
 	out        io.Writer
 	lab        *lab.Lab
 	started    time.Time
 	violations []invariant.Violation
-	figures    []string
+	figures    []string // lines of the summary
 	fences     map[string][]int64
 }
 
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -80,7 +80,7 @@
 	ControlBytesPerBox float64
 	Crashes            int
 	CorruptChunks      int
-	UnverifiedPassed   int
+	UnverifiedPassed   int // not set
 	Unfinished         int // boxes that did not crash and lack chunks
 	MaxOriginTransfers int // concurrent transfers from the origin
 }
@@ -89,6 +89,7 @@
 // and response headers, and bitmaps.
 func controlBytesPerPull(chunks int) float64 { return 400 + 3*float64(chunks)/8 }
 
+// box is the state of a simulated box.
 type box struct {
 	id            int
 	name          string
@@ -136,12 +137,15 @@
 	stalled   bool
 }
 
+// event is a function to run at a virtual time. Events of the same time run in
+// the order of seq.
 type event struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of events.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -157,9 +161,10 @@
 	return x
 }
 
+// sim is the state of a run.
 type sim struct {
 	Config
-	now               time.Duration
+	now               time.Duration // virtual, since the start
 	seq               int
 	lastID            uint64
 	events            eventQueue
@@ -212,6 +217,7 @@
 	heap.Push(&s.events, event{at: s.now + d, seq: s.seq, run: run})
 }
 
+// build creates the boxes and schedules their first events.
 func (s *sim) build() {
 	p := transfer.Params{
 		Chunks:      s.Chunks,
