--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package demo shows the whole path in one process: an intent, its plan,
-// the chunks, the first answer, a version change under traffic, a box that
-// dies in flight, a request that must not run twice. It prints what happens
-// and ends with the checks of package invariant.
+// Package demo runs a demonstration in one process, on stand-ins for the
+// platform: an intent and its plan, the transfer of the chunks, the first
+// response, a version change under traffic, the crash of a box during a
+// transfer, and a non-repeatable request that is sent several times. It prints
+// each step and checks the invariants of package invariant at the end.
 package demo
 
 import (
@@ -28,41 +29,44 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// ErrViolated says that an invariant did not hold.
+// ErrViolated is the error of a run in which an invariant was violated.
 const ErrViolated = errors.ConstError("invariant does not hold")
 
-// Sizes of the demo.
+// Parameters of the demo.
 const (
-	engines     = 6
-	gateways    = 2
-	model       = "celeste-draft"
-	school      = "liceo-salto"
-	modelBytes  = 24 << 20
-	chunkBytes  = 128 << 10
-	originRate  = 12 << 20
-	boxRate     = 6 << 20
-	corruptEach = 60
-	callers     = 4
-	stepTimeout = 40 * time.Second
+	engineCount  = 6
+	gatewayCount = 2
+	model        = "celeste-draft"
+	workspace    = "liceo-salto"
+	modelBytes   = 24 << 20
+	chunkBytes   = 128 << 10
+	originRate   = 12 << 20 // bytes per second
+	boxRate      = 6 << 20  // bytes per second
+	corruptEvery = 60       // chunks
+	callerCount  = 4
+	stepTimeout  = 40 * time.Second
 )
 
+// demo is the state of a run.
 type demo struct {
 	out        io.Writer
 	lab        *lab.Lab
-	began      time.Time
+	started    time.Time
 	violations []invariant.Violation
-	figures    []string
+	figures    []string // lines of the summary
 	fences     map[string][]int64
 }
 
-// Run plays the demo and prints it to out; logs go to logTo if it is set.
-func Run(ctx context.Context, out, logTo io.Writer) error {
-	d := &demo{out: out, began: time.Now(), fences: make(map[string][]int64)}
-	if err := d.start(logTo); err != nil {
+// Run runs the demo and prints its steps to out. The processes' logs are
+// written to logOutput, unless it is nil. The error matches ErrViolated if an
+// invariant was violated.
+func Run(ctx context.Context, out, logOutput io.Writer) error {
+	d := &demo{out: out, started: time.Now(), fences: make(map[string][]int64)}
+	if err := d.start(logOutput); err != nil {
 		return err
 	}
 	defer d.lab.Close()
-	steps := []func(context.Context) error{d.prepare, d.first, d.answer, d.change, d.death, d.once, d.service}
+	steps := []func(context.Context) error{d.prepare, d.firstVersion, d.firstResponse, d.versionChange, d.boxCrash, d.sameKey, d.plainService}
 	for _, step := range steps {
 		ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 		err := step(ctx)
@@ -71,21 +75,24 @@
 			return err
 		}
 	}
-	return d.end()
+	return d.printSummary()
 }
 
-func (d *demo) say(format string, args ...any) {
-	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
+// printf prints a line with the time since the start.
+func (d *demo) printf(format string, args ...any) {
+	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (d *demo) figure(format string, args ...any) {
+// addFigure adds a line to the figures of the summary.
+func (d *demo) addFigure(format string, args ...any) {
 	d.figures = append(d.figures, fmt.Sprintf(format, args...))
 }
 
-func (d *demo) start(logTo io.Writer) error {
+// start starts the lab and publishes the three versions of the model.
+func (d *demo) start(logOutput io.Writer) error {
 	l, err := lab.Start(lab.Config{
-		Gateways:     gateways,
-		Engines:      engines,
+		Gateways:     gatewayCount,
+		Engines:      engineCount,
 		Services:     2,
 		ChecksFences: true,
 		EngineMemory: 3 * modelBytes,
@@ -95,116 +102,120 @@
 			{Region: "salto", Zone: "salto-1"},
 			{Region: "maldonado", Zone: "maldonado-1"},
 		},
-		Links: settings.Links{Origin: originRate, Box: boxRate},
-		LogTo: logTo,
+		Links:     settings.Links{Origin: originRate, Box: boxRate},
+		LogOutput: logOutput,
 	})
 	if err != nil {
 		return err
 	}
 	d.lab = l
 	for _, version := range []string{"v1", "v2", "v3"} {
-		l.Store.Publish(standin.NewManifest(ref(version), modelBytes, chunkBytes))
+		l.Store.Publish(standin.NewManifest(modelRef(version), modelBytes, chunkBytes))
 	}
 	return nil
 }
 
-func ref(version string) weights.Ref { return weights.Ref{Model: model, Version: version} }
+func modelRef(version string) weights.Ref { return weights.Ref{Model: model, Version: version} }
 
+// prepare waits for the boxes and adds the workspace.
 func (d *demo) prepare(ctx context.Context) error {
-	d.say("%d gateways, %d model engines and 2 plain services in 3 regions, each with its sidecar, on 127.0.0.1", gateways, engines)
-	if err := d.lab.AwaitBoxes(ctx, engines+2); err != nil {
+	d.printf("%d gateways, %d model engines and 2 plain services in 3 regions, each with its sidecar, on 127.0.0.1", gatewayCount, engineCount)
+	if err := d.lab.AwaitBoxes(ctx, engineCount+2); err != nil {
 		return err
 	}
-	if err := d.lab.AddWorkspace(ctx, school, 40, 2); err != nil {
+	if err := d.lab.AddWorkspace(ctx, workspace, 40, 2); err != nil {
 		return err
 	}
-	d.say("workspace %s added: priority 40, floor 2", school)
+	d.printf("workspace %s added: priority 40, floor 2", workspace)
 	return nil
 }
 
-// rollout takes a version from an intent to a confirmed plan.
+// rollout creates an intent through one gateway and confirms its plan through
+// the other.
 func (d *demo) rollout(ctx context.Context, version string) (*intent.Plan, error) {
-	api := d.lab.Admin(0)
-	in := intent.Intent{Ref: ref(version), Workspaces: []string{school}, Weighing: intent.OriginBytes}
-	d.say("intent: %s shall serve %s", in.Ref, school)
-	p, err := api.CreateIntent(ctx, in)
+	client := d.lab.Admin(0)
+	in := intent.Intent{Ref: modelRef(version), Workspaces: []string{workspace}, Weighing: intent.OriginBytes}
+	d.printf("intent: %s shall serve %s", in.Ref, workspace)
+	p, err := client.CreateIntent(ctx, in)
 	if err != nil {
 		return nil, err
 	}
 	for _, f := range p.Forecasts {
-		d.say("plan %.8s, %s: %v to %d replicas, %.2f copies from the origin", p.ID, f.Weighing, f.TimeToReplicas.Round(10*time.Millisecond), len(p.Steps), float64(f.OriginBytes)/float64(p.Bytes))
+		d.printf("plan %.8s, %s: %v to %d replicas, %.2f copies from the origin", p.ID, f.Weighing, f.TimeToReplicas.Round(10*time.Millisecond), len(p.Steps), float64(f.OriginBytes)/float64(p.Bytes))
 	}
 	p, err = d.lab.Admin(1).Confirm(ctx, p.ID)
 	if err != nil {
 		return nil, err
 	}
-	d.say("confirmed through the other gateway, fence %d", p.Fence)
+	d.printf("confirmed through the other gateway, fence %d", p.Fence)
 	return p, nil
 }
 
-// watch prints a plan's progress until it is done.
-func (d *demo) watch(ctx context.Context, p *intent.Plan, then func(*admin.Progress)) (*admin.Progress, error) {
-	ask := func(ctx context.Context) (*admin.Progress, error) { return d.lab.Admin(0).Progress(ctx, p.ID) }
-	return d.await(ctx, ask, then)
+// awaitPlan polls a plan's progress until it is done; see poll.
+func (d *demo) awaitPlan(ctx context.Context, p *intent.Plan, onProgress func(*admin.Progress)) (*admin.Progress, error) {
+	fetch := func(ctx context.Context) (*admin.Progress, error) { return d.lab.Admin(0).Progress(ctx, p.ID) }
+	return d.poll(ctx, fetch, onProgress)
 }
 
-// await asks until what is asked for is done. An answer that does not come is
-// asked for again: beside other work a machine may keep a dial waiting for
-// longer than its time-out.
-func (d *demo) await(ctx context.Context, ask func(context.Context) (*admin.Progress, error), then func(*admin.Progress)) (*admin.Progress, error) {
-	const every = 250 * time.Millisecond
+// poll fetches and prints progress until it is done. Failed requests are
+// retried, since they may time out on a busy machine. onProgress, unless nil,
+// is called with each result.
+func (d *demo) poll(ctx context.Context, fetch func(context.Context) (*admin.Progress, error), onProgress func(*admin.Progress)) (*admin.Progress, error) {
+	const interval = 250 * time.Millisecond
 	last := ""
 	for {
-		now, err := ask(ctx)
-		line := progressLine(now, err)
+		progress, err := fetch(ctx)
+		line := progressLine(progress, err)
 		if line != last {
-			d.say("%s", line)
+			d.printf("%s", line)
 			last = line
 		}
-		if err == nil && then != nil {
-			then(now)
+		if err == nil && onProgress != nil {
+			onProgress(progress)
 		}
-		if err == nil && now.Done() {
-			return now, nil
+		if err == nil && progress.Done() {
+			return progress, nil
 		}
 		select {
 		case <-ctx.Done():
-			return nil, errors.Annotatef(ctx.Err(), "not done: %s", line)
-		case <-time.After(every):
+			return nil, errors.Annotatef(ctx.Err(), "rollout not done: %s", line)
+		case <-time.After(interval):
 		}
 	}
 }
 
-// progressLine is what is said of an answer, or of one that did not come.
-func progressLine(now *admin.Progress, err error) string {
+// progressLine formats a progress, or the error of a request for it.
+func progressLine(p *admin.Progress, err error) string {
 	if err != nil {
-		return "progress not known: " + err.Error()
+		return "progress not available: " + err.Error()
 	}
-	return fmt.Sprintf("progress: %d/%d serving, %.2f copies from the origin, %.2f from peers, %d bad chunks thrown away",
-		now.Serving, len(now.Boxes), copies(now.OriginBytes), copies(now.PeerBytes), now.BadChunks)
+	return fmt.Sprintf("progress: %d/%d serving, %.2f copies from the origin, %.2f from peers, %d corrupt chunks discarded",
+		p.Serving, len(p.Boxes), copies(p.OriginBytes), copies(p.PeerBytes), p.BadChunks)
 }
 
+// copies converts bytes to multiples of the model's size.
 func copies(n int64) float64 { return float64(n) / modelBytes }
 
-// first brings the first version to all boxes.
-func (d *demo) first(ctx context.Context) error {
+// firstVersion rolls the first version out to all engines.
+func (d *demo) firstVersion(ctx context.Context) error {
 	before := d.lab.Store.OriginBytes()
 	p, err := d.rollout(ctx, "v1")
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	done, err := d.watch(ctx, p, nil)
+	done, err := d.awaitPlan(ctx, p, nil)
 	if err != nil {
 		return err
 	}
 	sent := d.lab.Store.OriginBytes() - before
 	d.violations = append(d.violations, invariant.Origin(sent, modelBytes, 1.5)...)
-	d.figure("first version: %d replicas in %.2f s; origin %.3f copies, across regions %.3f copies", done.Serving, time.Since(began).Seconds(), copies(sent), copies(done.CrossBytes))
+	d.addFigure("first version: %d replicas in %.2f s; origin %.3f copies, across regions %.3f copies", done.Serving, time.Since(began).Seconds(), copies(sent), copies(done.CrossBytes))
 	return nil
 }
 
-func (d *demo) callers() []string {
+// callerAddresses returns the gateways' addresses for callers.
+func (d *demo) callerAddresses() []string {
 	var out []string
 	for _, g := range d.lab.Gateways {
 		out = append(out, g.CallerAddress())
@@ -212,116 +223,116 @@
 	return out
 }
 
-// answer waits for the first streamed answer.
-func (d *demo) answer(ctx context.Context) error {
+// firstResponse sends requests until one is completed.
+func (d *demo) firstResponse(ctx context.Context) error {
 	for {
-		r, err := ask(ctx, d.callers()[0], lab.WorkspaceKey(school), model, "")
+		r, err := chat(ctx, d.callerAddresses()[0], lab.WorkspaceKey(workspace), model, "")
 		if err != nil {
 			return err
 		}
 		if r.outcome == outcome.Completed {
-			d.say("first streamed answer by %s, first token after %v: %.60s...", r.version, r.first.Round(time.Millisecond), r.text)
+			d.printf("first streamed response by %s, first token after %v: %.60s...", r.version, r.firstToken.Round(time.Millisecond), r.text)
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// change rolls the second version out under traffic, with chunks spoiled on
-// the way.
-func (d *demo) change(ctx context.Context) error {
-	d.lab.Store.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEach})
-	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEach})
-	d.say("from now on every %dth chunk of the origin and of box %s is spoiled", corruptEach, d.lab.Boxes[0].Entry.ID)
-	t := startTraffic(d.callers(), lab.WorkspaceKey(school), model, callers)
+// versionChange rolls out the second version under traffic, while the origin
+// and one box send corrupt chunks.
+func (d *demo) versionChange(ctx context.Context) error {
+	d.lab.Store.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
+	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{CorruptEvery: corruptEvery})
+	d.printf("from now on every %dth chunk of the origin and of box %s is corrupted", corruptEvery, d.lab.Boxes[0].Entry.ID)
+	t := startTraffic(d.callerAddresses(), lab.WorkspaceKey(workspace), model, callerCount)
 	p, err := d.rollout(ctx, "v2")
 	if err != nil {
 		return err
 	}
-	done, err := d.watch(ctx, p, nil)
+	done, err := d.awaitPlan(ctx, p, nil)
 	if err != nil {
 		return err
 	}
 	time.Sleep(time.Second)
-	t.end()
-	d.say("version change under traffic: %d requests, %d failed, by version %v", t.sent, len(t.failed), t.versions)
-	d.figure("version change under traffic: %d requests, %d failed, %d bad chunks thrown away", t.sent, len(t.failed), done.BadChunks)
-	d.judge(t)
-	if t.versions[ref("v2").String()] == 0 {
-		d.violations = append(d.violations, invariant.Violation{Name: invariant.NoRevert, Detail: "no request was answered by v2"})
+	t.stopAndWait()
+	d.printf("version change under traffic: %d requests, %d failed, by version %v", t.sent, len(t.failed), t.versions)
+	d.addFigure("version change under traffic: %d requests, %d failed, %d corrupt chunks discarded", t.sent, len(t.failed), done.BadChunks)
+	d.checkTraffic(t)
+	if t.versions[modelRef("v2").String()] == 0 {
+		d.violations = append(d.violations, invariant.Violation{Name: invariant.NoRevert, Detail: "v2 served no request"})
 	}
 	return nil
 }
 
-func (d *demo) judge(t *traffic) {
+// checkTraffic adds the violations that the callers observed. No request may
+// fail.
+func (d *demo) checkTraffic(t *traffic) {
 	d.violations = append(d.violations, t.violations...)
 	for _, f := range t.failed {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: f})
 	}
 }
 
-// death rolls the third version out and kills a box while chunks move.
-// Traffic goes on; a request that ran on the dead box may be sent again,
-// since it is repeatable.
-func (d *demo) death(ctx context.Context) error {
+// boxCrash rolls out the third version and kills a box during the transfer.
+func (d *demo) boxCrash(ctx context.Context) error {
 	d.lab.Store.Faults.Set(standin.FaultSettings{})
 	d.lab.Boxes[0].Engine.Faults.Set(standin.FaultSettings{})
 	p, err := d.rollout(ctx, "v3")
 	if err != nil {
 		return err
 	}
-	victim := d.lab.Boxes[engines-1]
+	b := d.lab.Boxes[engineCount-1]
 	killed := false
 	began := time.Now()
-	done, err := d.watch(ctx, p, func(now *admin.Progress) {
-		if !killed && now.PeerBytes > modelBytes {
+	done, err := d.awaitPlan(ctx, p, func(progress *admin.Progress) {
+		if !killed && progress.PeerBytes > modelBytes {
 			killed = true
-			d.say("box %s dies", victim.Entry.ID)
-			d.lab.KillBox(victim, true)
+			d.printf("box %s is killed", b.Entry.ID)
+			d.lab.KillBox(b, true)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	d.say("all %d living boxes serve %s", done.Serving, ref("v3"))
-	d.figure("box killed in flight: %d living replicas in %.2f s", done.Serving, time.Since(began).Seconds())
+	d.printf("all %d remaining engines serve %s", done.Serving, modelRef("v3"))
+	d.addFigure("box killed during the transfer: %d remaining replicas in %.2f s", done.Serving, time.Since(began).Seconds())
 	if !killed {
-		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeVersion, Detail: "the box was not killed in flight, so nothing was shown"})
+		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeVersion, Detail: "not checked: the transfer ended before the box was killed"})
 	}
 	return nil
 }
 
-// once sends one request that is not repeatable through both gateways at
-// the same moment, and again afterwards.
-func (d *demo) once(ctx context.Context) error {
+// sameKey sends a non-repeatable request several times concurrently, through
+// all gateways and with one idempotency key. It must run once.
+func (d *demo) sameKey(ctx context.Context) error {
 	key := uuid.Must(uuid.NewV7()).String()
 	var wg sync.WaitGroup
-	replies := make([]reply, 2*gateways)
-	errs := make([]error, len(replies))
-	for i := range replies {
+	responses := make([]response, 2*gatewayCount)
+	errs := make([]error, len(responses))
+	for i := range responses {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			replies[i], errs[i] = ask(ctx, d.callers()[i%gateways], lab.WorkspaceKey(school), model, key)
+			responses[i], errs[i] = chat(ctx, d.callerAddresses()[i%gatewayCount], lab.WorkspaceKey(workspace), model, key)
 		}()
 	}
 	wg.Wait()
 	if err := errors.Trace(firstError(errs)); err != nil {
 		return err
 	}
-	var said []string
-	for _, r := range replies {
-		said = append(said, string(r.outcome))
+	var outcomes []string
+	for _, r := range responses {
+		outcomes = append(outcomes, string(r.outcome))
 	}
-	slices.Sort(said)
+	slices.Sort(outcomes)
 	runs := 0
 	for _, r := range d.journal() {
 		if r.Key == key {
 			runs++
 		}
 	}
-	d.say("one request that must not run twice, sent %d times at once through %d gateways: ran %d times, callers were told %v", len(replies), gateways, runs, said)
-	d.figure("not repeatable, sent %d times: ran %d times", len(replies), runs)
+	d.printf("one request that must not run twice, sent %d times at once through %d gateways: ran %d times, outcomes %v", len(responses), gatewayCount, runs, outcomes)
+	d.addFigure("non-repeatable request sent %d times: ran %d times", len(responses), runs)
 	if runs != 1 {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.AtMostOnce, Detail: fmt.Sprintf("ran %d times, want once", runs)})
 	}
@@ -337,20 +348,20 @@
 	return nil
 }
 
-// service calls a plain service.
-func (d *demo) service(ctx context.Context) error {
-	r, err := callService(ctx, d.callers()[0], lab.WorkspaceKey(school), lab.ServiceName, `{"page":12}`)
+// plainService calls a plain service.
+func (d *demo) plainService(ctx context.Context) error {
+	r, err := callService(ctx, d.callerAddresses()[0], lab.WorkspaceKey(workspace), lab.ServiceName, `{"page":12}`)
 	if err != nil {
 		return err
 	}
-	d.say("plain service %s answered %s: %s", lab.ServiceName, r.outcome, r.text)
+	d.printf("plain service %s: outcome %s, response %s", lab.ServiceName, r.outcome, r.text)
 	if r.outcome != outcome.Completed {
 		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: "service: " + r.text})
 	}
 	return nil
 }
 
-// journal joins the journals of all endpoints.
+// journal returns the concatenated journals of all endpoints.
 func (d *demo) journal() []standin.Run {
 	var out []standin.Run
 	for _, b := range d.lab.Boxes {
@@ -363,8 +374,8 @@
 	return out
 }
 
-// end prints the figures and the verdict.
-func (d *demo) end() error {
+// printSummary prints the figures of the run and the violated invariants.
+func (d *demo) printSummary() error {
 	runs := d.journal()
 	d.violations = append(d.violations, invariant.Journal(runs)...)
 	fmt.Fprintln(d.out, "\nfigures of this run")
@@ -377,8 +388,8 @@
 		fmt.Fprintln(d.out, "all invariants hold")
 		return nil
 	}
-	const most = 10
-	for _, v := range d.violations[:min(len(d.violations), most)] {
+	const maxPrinted = 10
+	for _, v := range d.violations[:min(len(d.violations), maxPrinted)] {
 		fmt.Fprintln(d.out, "VIOLATED "+v.String())
 	}
 	return errors.WithType(errors.Errorf("%d violations", len(d.violations)), ErrViolated)
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -18,20 +18,20 @@
 	"github.com/mintlift/mintlift/peer"
 )
 
-// tokens is the length of the demo's answers.
-const tokens = 8
+// tokenCount is the length of the responses in tokens.
+const tokenCount = 8
 
-// reply is what a caller got.
-type reply struct {
-	request string
-	version string
-	outcome outcome.Outcome
-	status  int
-	text    string
-	first   time.Duration
+// response is the response to one request.
+type response struct {
+	request    string // ID
+	version    string
+	outcome    outcome.Outcome
+	status     int
+	text       string
+	firstToken time.Duration // since the request; 0 if there was none
 }
 
-// streamEvent is what a caller reads of an event.
+// streamEvent holds the fields of a stream's event that the demo reads.
 type streamEvent struct {
 	Choices []struct {
 		Delta struct {
@@ -41,24 +41,25 @@
 	Error *peer.RefusalError `json:"error"`
 }
 
-// ask sends one streamed chat completion, as a caller would.
-func ask(ctx context.Context, address, key, model, once string) (reply, error) {
-	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokens)
+// chat sends a request for a streamed chat completion. It is not repeatable if
+// idempotencyKey is set.
+func chat(ctx context.Context, address, key, model, idempotencyKey string) (response, error) {
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokenCount)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
-	if once != "" {
-		req.Header.Set("Idempotency-Key", once)
+	if idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
-	r := reply{
+	r := response{
 		request: resp.Header.Get(peer.HeaderRequest),
 		version: resp.Header.Get(peer.HeaderVersion),
 		outcome: outcome.Outcome(resp.Header.Get(peer.HeaderOutcome)),
@@ -69,11 +70,11 @@
 		r.text = string(b)
 		return r, err
 	}
-	return r, r.read(resp.Body, began)
+	return r, r.readStream(resp.Body, began)
 }
 
-// read collects a stream's text up to its end.
-func (r *reply) read(body io.Reader, began time.Time) error {
+// readStream reads a stream to its end and sets text, outcome and firstToken.
+func (r *response) readStream(body io.Reader, began time.Time) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -92,8 +93,8 @@
 			r.outcome = e.Error.Outcome
 			return nil
 		}
-		if r.first == 0 {
-			r.first = time.Since(began)
+		if r.firstToken == 0 {
+			r.firstToken = time.Since(began)
 		}
 		for _, c := range e.Choices {
 			r.text += c.Delta.Content
@@ -102,19 +103,20 @@
 	return io.ErrUnexpectedEOF
 }
 
-// traffic is a steady load from a few callers.
+// traffic is a load of callers that each send one request after another.
 type traffic struct {
 	mu         sync.Mutex
 	sent       int
 	failed     []string
-	versions   map[string]int
+	versions   map[string]int // completed requests by version
 	violations []invariant.Violation
 	stop       context.CancelFunc
 	callers    sync.WaitGroup
 }
 
-// startTraffic sends requests through all gateways until end is called.
-func startTraffic(gateways []string, key, model string, callers int) *traffic {
+// startTraffic starts callers that send requests to the given addresses in turn
+// until stopAndWait is called.
+func startTraffic(addresses []string, key, model string, callers int) *traffic {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &traffic{versions: make(map[string]int), stop: cancel}
 	for i := range callers {
@@ -122,15 +124,16 @@
 		go func() {
 			defer t.callers.Done()
 			for n := i; ctx.Err() == nil; n++ {
-				r, err := ask(context.WithoutCancel(ctx), gateways[n%len(gateways)], key, model, "")
-				t.note(r, err)
+				r, err := chat(context.WithoutCancel(ctx), addresses[n%len(addresses)], key, model, "")
+				t.record(r, err)
 			}
 		}()
 	}
 	return t
 }
 
-func (t *traffic) note(r reply, err error) {
+// record counts a response and checks its text.
+func (t *traffic) record(r response, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent++
@@ -139,29 +142,30 @@
 		return
 	}
 	t.versions[r.version]++
-	t.violations = append(t.violations, invariant.Answer(r.text, r.version, r.request, tokens)...)
+	t.violations = append(t.violations, invariant.Answer(r.text, r.version, r.request, tokenCount)...)
 }
 
-// end stops the callers after the answers in progress.
-func (t *traffic) end() {
+// stopAndWait stops the callers and waits until their requests in flight have
+// ended.
+func (t *traffic) stopAndWait() {
 	t.stop()
 	t.callers.Wait()
 }
 
-// callService sends one call to a plain service.
-func callService(ctx context.Context, address, key, service, body string) (reply, error) {
+// callService sends a request to a plain service.
+func callService(ctx context.Context, address, key, service, body string) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/services/"+service+"/pages", strings.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	return reply{
+	return response{
 		request: resp.Header.Get(peer.HeaderRequest),
 		outcome: outcome.Outcome(resp.Header.Get(peer.HeaderOutcome)),
 		status:  resp.StatusCode,
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -20,7 +20,9 @@
 
 var v1 = weights.Ref{Model: "celeste-draft", Version: "v1"}
 
-func start(t *testing.T, c Config) (*Lab, context.Context) {
+// startLab starts a lab for a test and waits until its gateways reach its
+// boxes. The context ends after a minute.
+func startLab(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
 	l, err := Start(c)
 	assert.NilError(t, err)
@@ -31,7 +33,8 @@
 	return l, ctx
 }
 
-// chat sends a streamed chat completion and returns the answer's body.
+// chat sends a request for a streamed chat completion of 5 tokens and returns
+// the response, whose body has been closed, and the body's text.
 func chat(t *testing.T, l *Lab, gateway int, workspace, model string) (*http.Response, string) {
 	t.Helper()
 	body := `{"model":"` + model + `","stream":true,"max_tokens":5,"messages":[{"role":"user","content":"hola"}]}`
@@ -46,9 +49,10 @@
 	return resp, string(b)
 }
 
-// TestWholePath takes an operator's intent to a caller's streamed answer.
+// TestWholePath checks a rollout from the operator's intent to a caller's
+// streamed response.
 func TestWholePath(t *testing.T) {
-	l, ctx := start(t, Config{Gateways: 2, Engines: 6, ChecksFences: true, Zones: []membership.AvailabilityZone{{Region: "r1", Zone: "a"}, {Region: "r2", Zone: "b"}}})
+	l, ctx := startLab(t, Config{Gateways: 2, Engines: 6, ChecksFences: true, Zones: []membership.AvailabilityZone{{Region: "r1", Zone: "a"}, {Region: "r2", Zone: "b"}}})
 	l.Store.Publish(standin.NewManifest(v1, 4<<20, 64<<10))
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 1))
 	p, err := l.Rollout(ctx, intent.Intent{Ref: v1, Workspaces: []string{"liceo"}, Weighing: intent.OriginBytes})
--- a/internal/linksim/table.go
+++ b/internal/linksim/table.go
@@ -10,36 +10,39 @@
 	"time"
 )
 
-// Row is one line of the transfer benchmark.
+// Row is one row of the transfer benchmark.
 type Row struct {
 	Name   string `json:"name"`
 	Boxes  int    `json:"boxes"`
 	Chunks int    `json:"chunks"`
-	// Half, Most and All are the times to 50%, 95% and all of the living
-	// boxes, as multiples of T*.
-	Half         float64 `json:"half"`
-	Most         float64 `json:"most"`
-	All          float64 `json:"all"`
+	// Times until 50%, 95% and all of the boxes that did not crash have all
+	// chunks, as multiples of T*.
+	P50 float64 `json:"half"`
+	P95 float64 `json:"most"`
+	Max float64 `json:"all"`
+	// Bytes sent by the origin and between regions, as multiples of the
+	// version's size.
 	OriginCopies float64 `json:"origin_copies"`
 	CrossCopies  float64 `json:"cross_copies"`
 	ControlBytes float64 `json:"control_bytes_a_box"`
-	Unfinished   int     `json:"unfinished"`
+	Unfinished   int     `json:"unfinished"` // boxes
 }
 
-// Case is a row's name and configuration.
+// Case is the name and the configuration of a row.
 type Case struct {
 	Name   string
 	Config Config
 }
 
-// Conditions of the benchmark: they stand beside the table.
+// Parameters of the benchmark; docs/TRANSFER.md states them.
 const (
 	tableChunks = 1024
 	tableWindow = 4 * time.Minute
 	tableSeed   = 1
 )
 
-func base(n int) Config {
+// baseConfig returns the configuration of a swarm of n boxes without faults.
+func baseConfig(n int) Config {
 	return Config{
 		Boxes:         n,
 		Chunks:        tableChunks,
@@ -54,10 +57,10 @@
 	}
 }
 
-// Cases returns the benchmark's rows for one number of boxes.
+// Cases returns the benchmark's cases for n boxes.
 func Cases(n int) []Case {
 	with := func(name string, change func(*Config)) Case {
-		c := base(n)
+		c := baseConfig(n)
 		change(&c)
 		return Case{Name: name, Config: c}
 	}
@@ -67,12 +70,12 @@
 		with("one tree", func(c *Config) { c.Strategy = Tree }),
 		with("swarm", func(*Config) {}),
 		with("swarm, one extra copy", func(c *Config) { c.ExtraCopies = 1 }),
-		with("swarm, a tenth die", func(c *Config) { c.DeathShare = 0.1 }),
+		with("swarm, a tenth die", func(c *Config) { c.CrashShare = 0.1 }),
 		with("swarm, a tenth of links stall", func(c *Config) { c.StallShare = 0.1 }),
 		with("swarm, one chunk in 100 corrupt", func(c *Config) { c.CorruptShare = 0.01 }),
-		with("swarm, all three faults", func(c *Config) { c.DeathShare, c.StallShare, c.CorruptShare = 0.1, 0.1, 0.01 }),
+		with("swarm, all three faults", func(c *Config) { c.CrashShare, c.StallShare, c.CorruptShare = 0.1, 0.1, 0.01 }),
 		with("swarm, all three faults, one extra copy", func(c *Config) {
-			c.DeathShare, c.StallShare, c.CorruptShare, c.ExtraCopies = 0.1, 0.1, 0.01, 1
+			c.CrashShare, c.StallShare, c.CorruptShare, c.ExtraCopies = 0.1, 0.1, 0.01, 1
 		}),
 	}
 }
@@ -80,34 +83,34 @@
 // Sizes are the numbers of boxes of the committed table.
 var Sizes = []int{12, 16, 64, 256, 410, 1024}
 
-// RunCase plays one case.
+// RunCase simulates one case.
 func RunCase(c Case) Row {
 	r := Run(c.Config)
 	return Row{
 		Name:         c.Name,
 		Boxes:        c.Config.Boxes,
 		Chunks:       c.Config.Chunks,
-		Half:         round(r.Half),
-		Most:         round(r.Most),
-		All:          round(r.All),
-		OriginCopies: round(r.OriginCopies),
-		CrossCopies:  round(r.CrossCopies),
-		ControlBytes: math.Round(r.ControlBytesABox),
+		P50:          roundToThousandth(r.P50),
+		P95:          roundToThousandth(r.P95),
+		Max:          roundToThousandth(r.Max),
+		OriginCopies: roundToThousandth(r.OriginCopies),
+		CrossCopies:  roundToThousandth(r.CrossCopies),
+		ControlBytes: math.Round(r.ControlBytesPerBox),
 		Unfinished:   r.Unfinished,
 	}
 }
 
-func round(v float64) float64 { return math.Round(v*1000) / 1000 }
+func roundToThousandth(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// Table plays all cases of the given sizes, a few at once.
+// Table simulates all cases of the given sizes, a few of them concurrently.
 func Table(sizes []int) []Row {
-	const atOnce = 4
+	const concurrency = 4
 	var cases []Case
 	for _, n := range sizes {
 		cases = append(cases, Cases(n)...)
 	}
 	rows := make([]Row, len(cases))
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, concurrency)
 	var wg sync.WaitGroup
 	for i, c := range cases {
 		wg.Add(1)
@@ -127,7 +130,7 @@
 	fmt.Fprintln(w, "| boxes | way | to 50% | to 95% | to all | origin copies | cross-region copies | control KB a box |")
 	fmt.Fprintln(w, "|---:|---|---:|---:|---:|---:|---:|---:|")
 	for _, r := range rows {
-		times := fmt.Sprintf("%.3f | %.3f | %.3f", r.Half, r.Most, r.All)
+		times := fmt.Sprintf("%.3f | %.3f | %.3f", r.P50, r.P95, r.Max)
 		if r.Unfinished > 0 {
 			times = fmt.Sprintf("> %d | > %d | > %d (%d not done)", stopAfter, stopAfter, stopAfter, r.Unfinished)
 		}
