--- a/cmd/mintlift/standins.go
+++ b/cmd/mintlift/standins.go
@@ -93,7 +93,7 @@
 					engines := make([]http.Handler, c.Int("count"))
 					for i := range engines {
 						e := standin.NewEngine()
-						e.ChecksFences, e.MemoryBytes, e.Forget = c.Bool("check-fences"), c.Int64("memory"), c.Bool("forget")
+						e.ChecksFences, e.MemoryBytes, e.DiscardChunks = c.Bool("check-fences"), c.Int64("memory"), c.Bool("forget")
 						e.TokenTime, e.FirstTokenTime = c.Duration("token-time"), c.Duration("token-time")
 						engines[i] = e.Handler()
 					}
--- a/internal/lab/copy_test.go
+++ b/internal/lab/copy_test.go
@@ -38,7 +38,7 @@
 	const sidecars, size, chunk = 48, 256 << 20, 1 << 20
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: sidecars})
 	for _, b := range l.Boxes {
-		b.Engine.Forget = true
+		b.Engine.DiscardChunks = true
 	}
 	ref := weights.Ref{Model: "big", Version: "v1"}
 	l.Store.Publish(standin.NewManifest(ref, size, chunk))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -33,7 +33,7 @@
 	Slots int
 	// DiscardChunks discards the bytes of valid staged chunks; reads generate them
 	// again with Content.
-	Forget bool
+	DiscardChunks bool
 
 	mu          sync.Mutex
 	epoch       int64
@@ -202,7 +202,7 @@
 		http.Error(w, "nothing staged", http.StatusNotFound)
 		return
 	}
-	if e.Forget && weights.Sum(b) == st.manifest.Chunks[i] {
+	if e.DiscardChunks && weights.Sum(b) == st.manifest.Chunks[i] {
 		b = nil
 	}
 	st.chunks[i] = b
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -124,7 +124,7 @@
 // Rollback rolls a stream back to its first n retained entries, as if the log
 // had been restored from an older copy. The offsets of the removed entries are
 // reused, in a new era.
-func (l *Log) GoBack(name string, n int) {
+func (l *Log) Rollback(name string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
--- a/state/era_test.go
+++ b/state/era_test.go
@@ -45,7 +45,7 @@
 			assert.Equal(t, f.Replica.Offset(), int64(4))
 			checkpoint := f.Replica.Checkpoint()
 
-			log.GoBack(eventlog.ConfigStream, 2)
+			log.Rollback(eventlog.ConfigStream, 2)
 			if longer {
 				for n := range 5 {
 					appendRecord(fmt.Sprint("after-", n))
