--- a/cmd/mintlift/crash_test.go
+++ b/cmd/mintlift/crash_test.go
@@ -79,7 +79,7 @@
 func TestCrashesAreSharedWithoutStore(t *testing.T) {
 	t.Parallel()
 	d := startEngines(t, 2, 6)
-	d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} })
+	d.store.Change(func(f *storetest.Faults) { f.Unresponsive = map[string]bool{"": true} })
 	for n := range 3 {
 		checkCrashingResponse(t, d, n)
 		assert.Equal(t, d.send(n, "text"), http.StatusOK)
@@ -147,7 +147,7 @@
 	d := &engineDeployment{store: storetest.New()}
 	server := httptest.NewServer(d.store)
 	t.Cleanup(func() {
-		d.store.End()
+		d.store.Close()
 		server.CloseClientConnections()
 		server.Close()
 	})
--- a/cmd/mintlift/draining_test.go
+++ b/cmd/mintlift/draining_test.go
@@ -22,7 +22,7 @@
 func TestDrainSignalInResponses(t *testing.T) {
 	t.Parallel()
 	d, engines := startSignalingEngines(t, 3, 3)
-	d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} })
+	d.store.Change(func(f *storetest.Faults) { f.Unresponsive = map[string]bool{"": true} })
 	checkNoRequestsAfterDrain(t, d, engines[0], enginePath)
 }
 
--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -222,7 +222,7 @@
 	h.Set(platform.Headers().RequestID, id)
 	h.Set("Content-Type", "text/event-stream")
 	status := http.StatusOK
-	if e.signals.Say(h).Backoff > 0 {
+	if e.signals.WriteHeader(h).Backoff > 0 {
 		status = http.StatusServiceUnavailable
 	}
 	e.mu.Lock()
--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -66,7 +66,7 @@
 	for _, topic := range topics {
 		unresponsive[topic] = true
 	}
-	d.store.Change(func(f *storetest.Faults) { f.Silent = unresponsive })
+	d.store.Change(func(f *storetest.Faults) { f.Unresponsive = unresponsive })
 }
 
 // configure writes a configuration of one route to a service.
@@ -132,7 +132,7 @@
 	d := &routeDeployment{store: storetest.New(), front: net.JoinHostPort(network+".1", "8005")}
 	server := httptest.NewServer(d.store)
 	t.Cleanup(func() {
-		d.store.End()
+		d.store.Close()
 		server.CloseClientConnections()
 		server.Close()
 	})
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -63,7 +63,7 @@
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
-		b.engine.Hold(1)
+		b.engine.StageAndLoad(1)
 	}
 	d.configureKey(2, "before")
 	d.awaitStatus(t, "before", http.StatusOK, 10*time.Second)
@@ -71,7 +71,7 @@
 	d.configureKey(3, "after")
 	d.awaitStatus(t, "after", http.StatusOK, 5*time.Second)
 	d.awaitStatus(t, "before", http.StatusUnauthorized, 5*time.Second)
-	d.store.GoBack(backup)
+	d.store.Restore(backup)
 	for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) {
 		status := d.requestWithKey(d.gateways[0], "before")
 		assert.Assert(t, status == http.StatusUnauthorized || status == http.StatusServiceUnavailable, "status %d", status)
@@ -89,14 +89,14 @@
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
-		b.engine.Hold(1)
+		b.engine.StageAndLoad(1)
 	}
 	backup := d.store.Copy()
 	d.nameVersion(2)
 	for began := time.Now(); d.boxes[0].engine.State().Version != 2 || d.boxes[1].engine.State().Version != 2; time.Sleep(20 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 15*time.Second, "version 2 is not loaded")
 	}
-	d.store.GoBack(backup)
+	d.store.Restore(backup)
 	time.Sleep(time.Second)
 	d.startGateway(t)
 	d.sendRequestsFor(4 * time.Second)
@@ -122,7 +122,7 @@
 	}
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
-		b.engine.Hold(1)
+		b.engine.StageAndLoad(1)
 	}
 	for len(d.gateways) < gateways {
 		d.startGateway(t)
@@ -140,7 +140,7 @@
 		return d.store.CallsFor(storetest.Operator) - operator, d.store.CallsFor(storetest.Endpoints) - list
 	}
 	operatorBefore, listBefore := calls(4 * time.Second)
-	d.store.GoBack(backup)
+	d.store.Restore(backup)
 	operatorFirst, listFirst := calls(2 * time.Second)
 	time.Sleep(4 * time.Second)
 	operatorAfter, listAfter := calls(4 * time.Second)
--- a/cmd/mintlift/taskgroup_test.go
+++ b/cmd/mintlift/taskgroup_test.go
@@ -37,11 +37,11 @@
 	before := len(moduleGoroutines(t))
 	for range 2 {
 		d := startWeights(t, 1)
-		d.boxes[0].engine.Hold(1)
+		d.boxes[0].engine.StageAndLoad(1)
 		for began := time.Now(); d.request() != 1; time.Sleep(20 * time.Millisecond) {
 			assert.Assert(t, time.Since(began) < 15*time.Second, "the gateway does not serve")
 		}
-		d.store.Change(func(f *storetest.Faults) { f.Silent = map[string]bool{"": true} }) // so that a read is in progress
+		d.store.Change(func(f *storetest.Faults) { f.Unresponsive = map[string]bool{"": true} }) // so that a read is in progress
 		time.Sleep(100 * time.Millisecond)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		began := time.Now()
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -33,7 +33,7 @@
 	for _, b := range d.boxes {
 		var starts atomic.Int32
 		b.engine.Change(func(f *enginetest.Faults) {
-			f.LateStart = func(version int) time.Duration {
+			f.StartDelay = func(version int) time.Duration {
 				if version != 2 || starts.Add(1) > 1 {
 					return 0
 				}
@@ -56,7 +56,7 @@
 func TestChunkCorruptedAfterRead(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
-	d.onFirstStart(2, func(b *weightsBox) { b.engine.Rot(3, enginetest.RotForgiven+time.Second) })
+	d.onFirstStart(2, func(b *weightsBox) { b.engine.Corrupt(3, enginetest.CorruptionGrace+time.Second) })
 	d.nameVersion(2)
 	d.sendRequestsFor(2 * time.Second)
 	d.nameVersion(3)
@@ -70,9 +70,9 @@
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
-		b.engine.Hold(1)
+		b.engine.StageAndLoad(1)
 	}
-	d.onFirstStart(2, func(b *weightsBox) { b.engine.Rot(3, enginetest.RotForgiven+time.Second) })
+	d.onFirstStart(2, func(b *weightsBox) { b.engine.Corrupt(3, enginetest.CorruptionGrace+time.Second) })
 	d.nameVersion(2)
 	d.sendRequestsFor(12 * time.Second)
 	d.checkVersions(t, 2)
@@ -97,8 +97,8 @@
 	for n, b := range d.boxes {
 		b.engine.Change(func(f *enginetest.Faults) {
 			var puts atomic.Int32
-			f.LoadSlowly = n%2 == 1
-			f.LatePut = func(int) time.Duration {
+			f.LoadGradually = n%2 == 1
+			f.PutDelay = func(int) time.Duration {
 				if puts.Add(1) > 1 {
 					return 0
 				}
@@ -119,7 +119,7 @@
 	for _, b := range d.boxes {
 		var once sync.Once
 		b.engine.Change(func(f *enginetest.Faults) {
-			f.Before = func(ordered int) {
+			f.BeforeStart = func(ordered int) {
 				if ordered == version {
 					once.Do(func() { do(b) })
 				}
@@ -160,7 +160,7 @@
 	t.Helper()
 	network := fmt.Sprintf("127.78.%d", loopbackNetworks.Add(1))
 	d := &weightsDeployment{network: network, store: storetest.New(), served: make(map[int]int)}
-	d.storeAddress = serveAt(t, "127.0.0.1:0", d.store, d.store.End)
+	d.storeAddress = serveAt(t, "127.0.0.1:0", d.store, d.store.Close)
 	origin := serveAt(t, "127.0.0.1:0", weightsModel, func() {})
 	d.config = fmt.Sprintf(`{"version":1,
 		"routes":[{"name":"s","host":"h.example","path_prefix":"/s/","kind":"streaming","timeout_ms":3000,"target_latency_ms":800,"target_gap_ms":400,"service":"e","max_attempts":2,"public":true,"resumable":true}],
@@ -209,7 +209,7 @@
 	state := b.engine.State()
 	entry, err := json.Marshal(map[string]any{
 		"service": "e", "address": b.address, "zone": "z", "version": "v1", "slots": 16, "state": "ready", "cold_remaining_ms": 0,
-		"sequence": state.Orders, "born": state.Born, "models": b.engine.Models(),
+		"sequence": state.Orders, "born": state.StartedMS, "models": b.engine.Models(),
 	})
 	if err != nil {
 		panic(err)
@@ -219,7 +219,7 @@
 
 // serve handles requests of gateways and of the sidecar.
 func (b *weightsBox) serve(w http.ResponseWriter, r *http.Request) {
-	if enginetest.Serves(r) {
+	if enginetest.IsEngineCall(r) {
 		b.engine.ServeHTTP(w, r)
 		return
 	}
@@ -293,7 +293,7 @@
 	var wrong []string
 	for _, b := range d.boxes {
 		t.Logf("%s: starts %v", b.address, b.engine.Starts())
-		wrong = append(wrong, b.engine.Wrong()...)
+		wrong = append(wrong, b.engine.WrongTokens()...)
 	}
 	t.Logf("requests by version (0: not served): %v", d.served)
 	if len(wrong) > 0 {
