--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -64,7 +64,7 @@
 func (t *Table) State(id string, born int64) *State {
 	s := t.states[id]
 	if s != nil && (born <= s.born || s.born == 0) {
-		s.SetBorn(born)
+		s.SetStartedMS(born)
 		return s
 	}
 	s = &State{table: t, id: id, born: born}
@@ -74,7 +74,7 @@
 
 // SetBorn sets the start time of the incarnation, in Unix milliseconds, if it is
 // unknown.
-func (s *State) SetBorn(born int64) {
+func (s *State) SetStartedMS(born int64) {
 	if s.born == 0 {
 		s.born = born
 	}
@@ -295,7 +295,7 @@
 // ApplyGrant merges the record of a grant and adds its permits. It returns the changes.
 func (t *Table) ApplyGrant(g Grant, now time.Time) []Change {
 	changes := t.Merge(g.Record, now)
-	if s := t.states[g.ID]; s.born == g.Born {
+	if s := t.states[g.ID]; s.born == g.StartedMS {
 		s.permits.applyGrant(g, now)
 	}
 	return changes
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -154,7 +154,7 @@
 	r.StartedMS = max(r.StartedMS, e.StartedMS)
 	changed := e.Draining != r.Draining || !sameModels(e.Models, r.Models)
 	e.StartedMS = r.StartedMS
-	e.Signals.SetBorn(r.StartedMS)
+	e.Signals.SetStartedMS(r.StartedMS)
 	if changed {
 		e.Record = r
 		e.misdirected = false
@@ -275,7 +275,7 @@
 		return nil, false // delayed, of an earlier incarnation
 	case e.StartedMS == 0:
 		e.StartedMS = r.StartedMS
-		e.Signals.SetBorn(r.StartedMS)
+		e.Signals.SetStartedMS(r.StartedMS)
 	default:
 		e = f.replaceIncarnation(e, r.StartedMS)
 	}
@@ -317,7 +317,7 @@
 // The results of an attempt.
 const (
 	// Answered means that the endpoint gave a valid response.
-	Answered Result = iota
+	Responded Result = iota
 	// Failed means an error response or an invalid one.
 	Failed
 	// Broken means that no connection was made or that it was lost.
@@ -338,7 +338,7 @@
 	e.inFlight--
 	e.probing = false
 	switch result {
-	case Answered:
+	case Responded:
 		e.brokenInRow = 0
 		e.failureRate -= failureWeight * e.failureRate
 		e.receivedAt = now
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -122,7 +122,7 @@
 
 // EachAsk calls ask with each pending message to a permit issuer about an endpoint
 // of a service: a request for permits, or just the endpoint's signals.
-func (f *Fleet) EachAsk(service string, now time.Time, ask func(e *Endpoint, a backpressure.PermitRequest)) {
+func (f *Fleet) EachPermitRequest(service string, now time.Time, ask func(e *Endpoint, a backpressure.PermitRequest)) {
 	if f.signals.NoSignals() {
 		return
 	}
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -59,7 +59,7 @@
 func (b Budget) HedgeDelay() time.Duration { return b.share(hedgeShare) }
 
 // AnswerTime returns how long the store may take to answer a read without a wait.
-func (b Budget) AnswerTime() time.Duration { return b.share(answerShare) }
+func (b Budget) ResponseTime() time.Duration { return b.share(answerShare) }
 
 // RelayTimeout returns how long the response of a reader may take in addition to the
 // time for which it may hold the request.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -175,7 +175,7 @@
 	}
 	requestOutcome := outcome.Of(outcome.Done)
 	if resp.StatusCode >= http.StatusInternalServerError {
-		requestOutcome = outcome.Of(outcome.AnsweredError)
+		requestOutcome = outcome.Of(outcome.ErrorResponse)
 	}
 	d.setResponseHeaders(w, q, ref, resp.Header.Get("Content-Type"))
 	w.Header().Set(peer.HeaderOutcome, string(requestOutcome))
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -202,7 +202,7 @@
 	}
 	response.MarkBodyRead()
 	if v == verdictOK {
-		x.finishAttempt(e, fleet.Answered)
+		x.finishAttempt(e, fleet.Responded)
 	} else {
 		x.lastCause = "endpoint failed"
 		x.finishAttempt(e, fleet.Failed)
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -97,7 +97,7 @@
 // queuePermitRequests queues the permit requests that are due for the endpoints of
 // a service. Server.mu must be held.
 func (s *Server) queuePermitRequests(service string, now time.Time) {
-	s.fleet.EachAsk(service, now, func(e *fleet.Endpoint, a backpressure.PermitRequest) {
+	s.fleet.EachPermitRequest(service, now, func(e *fleet.Endpoint, a backpressure.PermitRequest) {
 		address := s.permitAllocator(e, now)
 		if address == "" {
 			e.Signals.SetNoAllocator(now)
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -127,7 +127,7 @@
 		readErr := err
 		if err == io.EOF && t.started {
 			response.MarkBodyRead()
-			t.finishAttempt(e, fleet.Answered)
+			t.finishAttempt(e, fleet.Responded)
 			return verdictOK
 		}
 		if err == nil {
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -57,7 +57,7 @@
 }
 
 // Answered records that the first byte of the answer has arrived at now.
-func (c *Call) Answered(now time.Time) {
+func (c *Call) Responded(now time.Time) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	t := c.tracker.topics[c.topic]
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -23,10 +23,10 @@
 	assert.Assert(t, !p.OthersLate("other", now.Add(2*time.Second+lateTTL)), "late after lateTTL")
 
 	late := p.Begin("other", 0, now)
-	late.Answered(now.Add(2 * lateThreshold))
+	late.Responded(now.Add(2 * lateThreshold))
 	assert.Assert(t, p.OthersLate("one", now.Add(2*lateThreshold)))
 	prompt := p.Begin("other", 0, now.Add(time.Second))
-	prompt.Answered(now.Add(time.Second + lateThreshold/2))
+	prompt.Responded(now.Add(time.Second + lateThreshold/2))
 	prompt.End(now.Add(time.Minute))
 	assert.Assert(t, !p.OthersLate("one", now.Add(time.Second+lateThreshold)))
 }
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -32,9 +32,9 @@
 	// Refused: the sidecar rejected the request at admission.
 	Refused
 	// Answering: the head of the response has arrived, but not its end.
-	Answering
+	Responding
 	// AnsweredError: a whole response has arrived, which reports an error.
-	AnsweredError
+	ErrorResponse
 	// Done: the whole response has arrived.
 	Done
 )
@@ -44,7 +44,7 @@
 	switch s {
 	case Waiting, Refused:
 		return NotRun
-	case AnsweredError:
+	case ErrorResponse:
 		return Failed
 	case Done:
 		return Completed
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -216,7 +216,7 @@
 	// RetryMS is the delay before a retry, or 0.
 	RetryMS int64 `json:"retry_ms,omitempty"`
 	// Answer is the stored answer of an earlier attempt, if there is one.
-	Answer *dedup.Response `json:"answer,omitempty"`
+	Response *dedup.Response `json:"answer,omitempty"`
 	// Offset is the log offset of the home's state.
 	Offset int64 `json:"offset"`
 }
@@ -228,8 +228,8 @@
 	Request   string `json:"request"`
 	// Outcome is the attempt's outcome; Unknown leaves the key marked as
 	// running.
-	Outcome outcome.Outcome `json:"outcome"`
-	Answer  *dedup.Response `json:"answer,omitempty"`
+	Outcome  outcome.Outcome `json:"outcome"`
+	Response *dedup.Response `json:"answer,omitempty"`
 }
 
 // Headers of the answer to a pull.
--- a/transfer/swarm_test.go
+++ b/transfer/swarm_test.go
@@ -253,7 +253,7 @@
 			case FromOrigin:
 				if now.Sub(begin) < outage {
 					attempts++
-					s.Unreachable(p, now)
+					s.Unresponsive(p, now)
 					continue
 				}
 				read++
@@ -396,7 +396,7 @@
 		}
 		return n
 	}
-	assert.Equal(t, pulls((*Swarm).Unreachable), 2)
+	assert.Equal(t, pulls((*Swarm).Unresponsive), 2)
 	assert.Assert(t, pulls((*Swarm).ConnectionFailed) >= 4)
 }
 
