--- a/backpressure/quota.go
+++ b/backpressure/quota.go
@@ -37,7 +37,7 @@
 // reports that the grant must be sent to other gateways as well.
 func (q *Quotas) Allocate(a PermitRequest, now time.Time) (g Grant, changed bool) {
 	changed = len(q.table.Merge(a.Record, now)) > 0
-	s := q.table.State(a.ID, a.Born)
+	s := q.table.State(a.ID, a.StartedMS)
 	g.Record = s.record(now)
 	if a.Want > 0 && s.limit.Set {
 		g.Permits, g.AfterMS = q.refill(s, now).take(a.Want, s.limit.Rate)
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -12,11 +12,11 @@
 // ages, so the clocks of the processes need not agree.
 type Record struct {
 	ID string `json:"i"`
-	// Born is when the incarnation started, in Unix milliseconds; 0 if unknown.
-	Born     int64   `json:"b,omitempty"`
-	Draining bool    `json:"l,omitempty"`
-	Limited  bool    `json:"m,omitempty"`
-	Rate     float64 `json:"r,omitempty"`
+	// StartedMS is when the incarnation started, in Unix milliseconds; 0 if unknown.
+	StartedMS int64   `json:"b,omitempty"`
+	Draining  bool    `json:"l,omitempty"`
+	Limited   bool    `json:"m,omitempty"`
+	Rate      float64 `json:"r,omitempty"`
 	// LimitAgeMS is the time since the limit or its end was last reported, in
 	// milliseconds; negative if neither was.
 	LimitAgeMS int64 `json:"a"`
@@ -35,7 +35,7 @@
 
 // record returns the state to send to other processes.
 func (s *State) record(now time.Time) Record {
-	r := Record{ID: s.id, Born: s.born, Draining: s.draining, Limited: s.limit.Set, Rate: s.limit.Rate, LimitAgeMS: -1}
+	r := Record{ID: s.id, StartedMS: s.startedMS, Draining: s.draining, Limited: s.limit.Set, Rate: s.limit.Rate, LimitAgeMS: -1}
 	if !s.limitAt.IsZero() {
 		r.LimitAgeMS = now.Sub(s.limitAt).Milliseconds()
 	}
@@ -44,8 +44,8 @@
 
 // Merge merges a record of another process and returns the changes.
 func (t *Table) Merge(r Record, now time.Time) []Change {
-	s := t.State(r.ID, r.Born)
-	if s.born > r.Born && r.Born != 0 {
+	s := t.State(r.ID, r.StartedMS)
+	if s.startedMS > r.StartedMS && r.StartedMS != 0 {
 		return nil // an earlier incarnation
 	}
 	if r.Draining || r.LimitAgeMS >= 0 {
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -33,8 +33,8 @@
 type State struct {
 	table *Table
 	id    string
-	// born is when the incarnation started, in Unix milliseconds; 0 if unknown.
-	born int64
+	// startedMS is when the incarnation started, in Unix milliseconds; 0 if unknown.
+	startedMS int64
 	// signalAt is when the last signal was received, and unlistedSince when the
 	// endpoint was first found missing from the endpoint list, or zero.
 	signalAt      time.Time
@@ -61,22 +61,22 @@
 // State returns the state of an incarnation of an endpoint, by endpoint ID and start
 // time in Unix milliseconds; 0 is unknown. A later start time replaces the state by an
 // empty one.
-func (t *Table) State(id string, born int64) *State {
+func (t *Table) State(id string, startedMS int64) *State {
 	s := t.states[id]
-	if s != nil && (born <= s.born || s.born == 0) {
-		s.SetBorn(born)
+	if s != nil && (startedMS <= s.startedMS || s.startedMS == 0) {
+		s.SetStartedMS(startedMS)
 		return s
 	}
-	s = &State{table: t, id: id, born: born}
+	s = &State{table: t, id: id, startedMS: startedMS}
 	t.states[id] = s
 	return s
 }
 
-// SetBorn sets the start time of the incarnation, in Unix milliseconds, if it is
+// SetStartedMS sets the start time of the incarnation, in Unix milliseconds, if it is
 // unknown.
-func (s *State) SetBorn(born int64) {
-	if s.born == 0 {
-		s.born = born
+func (s *State) SetStartedMS(startedMS int64) {
+	if s.startedMS == 0 {
+		s.startedMS = startedMS
 	}
 }
 
@@ -295,7 +295,7 @@
 // ApplyGrant merges the record of a grant and adds its permits. It returns the changes.
 func (t *Table) ApplyGrant(g Grant, now time.Time) []Change {
 	changes := t.Merge(g.Record, now)
-	if s := t.states[g.ID]; s.born == g.Born {
+	if s := t.states[g.ID]; s.startedMS == g.StartedMS {
 		s.permits.applyGrant(g, now)
 	}
 	return changes
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -135,7 +135,7 @@
 	local.State("e", 5).Observe(Signal{}, at(3), at(3.1))
 	assert.DeepEqual(t, kinds(local.Merge(remote.State("e", 5).record(at(4)), at(4.01))), []Kind(nil)) // older than the end of the limit
 	assert.Equal(t, local.State("e", 5).limit, Limit{})
-	r.Born = 4
+	r.StartedMS = 4
 	assert.DeepEqual(t, kinds(local.Merge(r, at(5))), []Kind(nil)) // an earlier incarnation
 	assert.Equal(t, local.State("e", 5).limit, Limit{})
 }
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -29,10 +29,10 @@
 // gatewayOperator passes the operator's records from the store to a gateway's server.
 type gatewayOperator struct{ *ingress.Server }
 
-// Configured implements platform.Operator.
+// HandleConfiguration implements platform.OperatorHandler.
 func (o gatewayOperator) HandleConfiguration(c *routing.Configuration) { o.Apply(c) }
 
-// Named implements platform.Operator.
+// HandleNamedVersion implements platform.OperatorHandler.
 func (o gatewayOperator) HandleNamedVersion(n platform.NamedVersion, first bool) {
 	o.NameVersion(n.Model, n.Version, first, clock.Now())
 }
@@ -47,7 +47,7 @@
 	recovery *recordRecovery
 }
 
-// Heard implements loadreport.Handler.
+// HandleReport implements loadreport.Handler.
 func (h reportHandler) HandleReport(r fleet.Report, e *loadreport.Echo) {
 	if e == nil {
 		h.server.HandleReport(r, noRoundTrip)
@@ -60,15 +60,15 @@
 	h.server.HandleReport(r, e.RoundTrip)
 }
 
-// HeardSuspects implements loadreport.Handler.
+// HandleSuspects implements loadreport.Handler.
 func (h reportHandler) HandleSuspects(suspects []quarantine.Record) {
 	h.server.MergeSuspects(suspects, clock.Now())
 }
 
-// Granted implements loadreport.Handler.
+// HandleGrant implements loadreport.Handler.
 func (h reportHandler) HandleGrant(g backpressure.Grant) { h.server.HandleGrant(g) }
 
-// HeardEndpoints implements loadreport.Handler.
+// HandleEndpoints implements loadreport.Handler.
 func (h reportHandler) HandleEndpoints(records []backpressure.Record) {
 	h.server.MergeEndpointSignals(records)
 }
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -32,7 +32,7 @@
 	weights routing.WeightsConfig
 }
 
-// Configured implements platform.Operator.
+// HandleConfiguration implements platform.OperatorHandler.
 func (s *sidecarState) HandleConfiguration(c *routing.Configuration) {
 	if weights, ok := c.Weights(s.settings.Service); ok {
 		s.apply(weights)
@@ -58,7 +58,7 @@
 	})
 }
 
-// Named implements platform.Operator.
+// HandleNamedVersion implements platform.OperatorHandler.
 func (s *sidecarState) HandleNamedVersion(n platform.NamedVersion, first bool) {
 	namedAt := time.Time{}
 	if !first {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -154,7 +154,7 @@
 	r.StartedMS = max(r.StartedMS, e.StartedMS)
 	changed := e.Draining != r.Draining || !sameModels(e.Models, r.Models)
 	e.StartedMS = r.StartedMS
-	e.Signals.SetBorn(r.StartedMS)
+	e.Signals.SetStartedMS(r.StartedMS)
 	if changed {
 		e.Record = r
 		e.misdirected = false
@@ -275,7 +275,7 @@
 		return nil, false // delayed, of an earlier incarnation
 	case e.StartedMS == 0:
 		e.StartedMS = r.StartedMS
-		e.Signals.SetBorn(r.StartedMS)
+		e.Signals.SetStartedMS(r.StartedMS)
 	default:
 		e = f.replaceIncarnation(e, r.StartedMS)
 	}
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -120,20 +120,20 @@
 	return counts
 }
 
-// EachAsk calls ask with each pending message to a permit issuer about an endpoint
-// of a service: a request for permits, or just the endpoint's signals.
-func (f *Fleet) EachAsk(service string, now time.Time, ask func(e *Endpoint, a backpressure.PermitRequest)) {
+// EachPermitRequest calls send with each pending message to a permit allocator about
+// an endpoint of a service: a permit request, or just the endpoint's signals.
+func (f *Fleet) EachPermitRequest(service string, now time.Time, send func(e *Endpoint, r backpressure.PermitRequest)) {
 	if f.signals.NoSignals() {
 		return
 	}
 	for _, e := range f.byService[service] {
-		if a, ok := e.Signals.PermitRequest(now); ok {
-			ask(e, a)
+		if r, ok := e.Signals.PermitRequest(now); ok {
+			send(e, r)
 		}
 	}
 }
 
-// ApplyGrant applies a permit issuer's answer, with permits and the endpoint's
+// ApplyGrant applies the grant of a permit allocator, with permits and the endpoint's
 // signals; it returns the changes of the signals.
 func (f *Fleet) ApplyGrant(g backpressure.Grant, now time.Time) []backpressure.Change {
 	return f.signals.ApplyGrant(g, now)
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -110,7 +110,7 @@
 	return out
 }
 
-// PermitIssuer returns the address of the relay whose sidecar issues permits for the
+// PermitAllocator returns the address of the relay whose sidecar grants permits for the
 // rate limit of the endpoint with the given id, which has no sidecar of its own.
 // Gateways with the same relays get the same result. It is empty without relays.
 func PermitAllocator(relays []string, id string) string {
--- a/gateway/manifest.go
+++ b/gateway/manifest.go
@@ -74,7 +74,7 @@
 	return raw.([]byte), nil
 }
 
-// Manifest implements admin.World. It bypasses the cache, so that a plan is made
+// Manifest implements admin.Cluster. It bypasses the cache, so that a plan is made
 // from the store's current manifest.
 func (d *Daemon) Manifest(ctx context.Context, ref weights.Ref) (*weights.Manifest, error) {
 	raw, err := d.fetchManifest(ctx, ref)
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -79,7 +79,7 @@
 }
 
 // setStatusTimeout makes a box unreachable after three probe cycles without a
-// status, but not before membership.SilenceAfter.
+// status, but not before membership.DefaultReportTimeout.
 func (v *boxView) setStatusTimeout(cycle time.Duration) {
 	const cycles = 3
 	v.mu.Lock()
@@ -230,7 +230,7 @@
 	d.table.Update(endpoints)
 }
 
-// Sweep implements admin.World: it fetches the status of every listed endpoint.
+// ProbeEndpoints implements admin.Cluster: it fetches the status of every listed endpoint.
 func (d *Daemon) ProbeEndpoints(ctx context.Context) []admin.BoxStatus {
 	endpoints, _ := d.endpoints()
 	statuses := make([]admin.BoxStatus, len(endpoints))
@@ -250,10 +250,10 @@
 	return statuses
 }
 
-// Links implements admin.World.
+// Links implements admin.Cluster.
 func (d *Daemon) Links() intent.Links {
 	return intent.Links{Origin: d.settings.Links.Origin, Box: d.settings.Links.Box}
 }
 
-// Self implements admin.World.
+// Self implements admin.Cluster.
 func (d *Daemon) Self() peer.Status { return d.localStatus() }
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -27,11 +27,11 @@
 	service string
 	model   string // requested model, or empty for plain services
 	id      string // the caller's request ID, or empty
-	// identity is the same for all tries of one request, by whichever gateway.
+	// identity is the same for all attempts and caller retries of one request, by whichever gateway.
 	identity quarantine.ID
 	// trial reports that the request runs although it is in quarantine.
 	trial bool
-	// startedMS is the start time of the endpoint's process when the attempt was
+	// endpointStartedMS is the start time of the endpoint's process when the attempt was
 	// sent, in Unix milliseconds, or 0 if unknown.
 	endpointStartedMS int64
 	body              []byte
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -85,9 +85,9 @@
 func (s *Server) TakePermitRequests() []PermitRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asks := s.permitRequests
+	requests := s.permitRequests
 	s.permitRequests = nil
-	return asks
+	return requests
 }
 
 // maxPermitRequests limits the permit requests that wait to be sent. Dropped ones
@@ -97,7 +97,7 @@
 // queuePermitRequests queues the permit requests that are due for the endpoints of
 // a service. Server.mu must be held.
 func (s *Server) queuePermitRequests(service string, now time.Time) {
-	s.fleet.EachAsk(service, now, func(e *fleet.Endpoint, a backpressure.PermitRequest) {
+	s.fleet.EachPermitRequest(service, now, func(e *fleet.Endpoint, a backpressure.PermitRequest) {
 		address := s.permitAllocator(e, now)
 		if address == "" {
 			e.Signals.SetNoAllocator(now)
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -128,7 +128,7 @@
 // pull requests a chunk from a peer, or any chunk that is not in has if chunk is
 // -1. accept is called with the number of the offered chunk before its bytes are
 // read; if it returns false, pull returns errChunkNotNeeded. pull returns
-// stall.Err if no byte arrives within firstByteTimeout, or later for stallTimeout.
+// stall.ErrStalled if no byte arrives within firstByteTimeout, or later for stallTimeout.
 func (c *peerClient) pull(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, firstByteTimeout, stallTimeout time.Duration, accept func(int) bool) (transfer.Availability, []byte, error) {
 	ctx, guard := stall.New(ctx, firstByteTimeout, stallTimeout)
 	defer guard.Stop()
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -113,7 +113,7 @@
 func maxEndpointRecords(now time.Time) []backpressure.Record {
 	quotas := backpressure.NewQuotas()
 	for n := range 100 {
-		quotas.Allocate(backpressure.PermitRequest{Record: backpressure.Record{ID: fmt.Sprintf("i-%022d", n), Born: 1 << 42, Draining: true, Limited: true, Rate: 123.456789, LimitAgeMS: 1e6}}, now)
+		quotas.Allocate(backpressure.PermitRequest{Record: backpressure.Record{ID: fmt.Sprintf("i-%022d", n), StartedMS: 1 << 42, Draining: true, Limited: true, Rate: 123.456789, LimitAgeMS: 1e6}}, now)
 	}
 	return quotas.Records(now)
 }
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -87,7 +87,7 @@
 // Target receives the endpoint list from a Follower.
 type Target interface {
 	// SetEra sets the store's era in which the next list was read, as in
-	// platform.Endpoints. It returns false for an earlier era than the current one.
+	// platform.EndpointHandler. It returns false for an earlier era than the current one.
 	SetEra(era int64) bool
 	// SetEndpoints replaces the list.
 	SetEndpoints(records []fleet.Record)
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -123,18 +123,18 @@
 	if s.Budget != nil {
 		plan.Delay, plan.Interval = wait+s.Budget.HedgeDelay(), s.Budget.Interval()
 	}
-	return hedge.Do(ctx, plan, func(ctx context.Context, n int, begun func()) (readResult, error) {
+	return hedge.Do(ctx, plan, func(ctx context.Context, n int, firstByte func()) (readResult, error) {
 		if n > 0 {
-			return w.readOnce(ctx, s.Topic, next, 0, begun)
+			return w.readOnce(ctx, s.Topic, next, 0, firstByte)
 		}
-		return w.readOnce(ctx, s.Topic, next, wait, begun)
+		return w.readOnce(ctx, s.Topic, next, wait, firstByte)
 	})
 }
 
-// readOnce makes one call to the store and calls begun at its first response byte.
-func (w *Watcher) readOnce(ctx context.Context, topic string, next history.Position, wait time.Duration, begun func()) (readResult, error) {
+// readOnce makes one call to the store and calls firstByte at its first response byte.
+func (w *Watcher) readOnce(ctx context.Context, topic string, next history.Position, wait time.Duration, firstByte func()) (readResult, error) {
 	began := clock.Now()
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: begun})
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: firstByte})
 	records, position, err := w.store.Read(ctx, topic, next, wait)
 	if ctx.Err() == nil { // otherwise another read was answered first
 		w.countRead(topic, err)
