--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -36,7 +36,7 @@
 
 // Responses arrive out of order: one to a request sent before the limit was received
 // must neither raise nor end the limit.
-func TestOvertakenAnswersDoNotLoosenALimit(t *testing.T) {
+func TestOvertakenResponsesDoNotLoosenALimit(t *testing.T) {
 	s := NewTable().State("e", 1)
 	s.Observe(Signal{Limit: Limited(2)}, at(1), at(1.1))
 	for _, old := range []Signal{{}, {Limit: Limited(5)}} {
--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -59,7 +59,7 @@
 	front string // IP:PORT of the gateway's listener for callers
 }
 
-// setUnresponsive makes the store answer no calls for these topics, or for any with the
+// setUnresponsive makes the store respond to no calls for these topics, or for any with the
 // topic "", and all others normally.
 func (d *routeDeployment) setUnresponsive(topics ...string) {
 	unresponsive := make(map[string]bool)
--- a/cmd/mintlift/platform_suspects.go
+++ b/cmd/mintlift/platform_suspects.go
@@ -23,7 +23,7 @@
 // clearTimeout is the timeout of the call of clearPath.
 const clearTimeout = 5 * time.Second
 
-// handleClearSuspect registers the handler of clearPath. It answers 400 to an
+// handleClearSuspect registers the handler of clearPath. It responds with 400 to an
 // invalid identity and 404 to one for which no crash is recorded.
 func handleClearSuspect(mux *http.ServeMux, server *ingress.Server) {
 	mux.HandleFunc("POST "+clearPath, func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -44,7 +44,7 @@
 	return response.StatusCode
 }
 
-// awaitStatus waits until each gateway answers requests with a key with a status.
+// awaitStatus waits until each gateway responds with a status to requests with a key.
 func (d *weightsDeployment) awaitStatus(t *testing.T, key string, status int, timeout time.Duration) {
 	t.Helper()
 	began := time.Now()
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -272,7 +272,7 @@
 func (q *Query) MinFirstByteMS() float64 { return halfPassMS + q.PrefillMS }
 
 // Backlog estimates the prefill time of the requests that the engine has been
-// sent and has not begun to answer, in milliseconds. meanPrefillMS is the
+// sent and has not begun to respond, in milliseconds. meanPrefillMS is the
 // prefill time assumed for each request of other gateways.
 func (e *Endpoint) Backlog(meanPrefillMS float64, now time.Time) float64 {
 	others := e.othersUnanswered * meanPrefillMS
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -47,7 +47,7 @@
 	// brokenInRow counts consecutive attempts without a working connection.
 	brokenInRow  int
 	ejectedUntil time.Time
-	// misdirected is set if the endpoint answered that it is another one or does
+	// misdirected is set if the endpoint responded that it is another one or does
 	// not hold the weights. It gets no attempts until its record changes.
 	misdirected bool
 	// probing is set while one request probes an endpoint that was ejected.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -316,8 +316,8 @@
 
 // The results of an attempt.
 const (
-	// Answered means that the endpoint gave a valid response.
-	Answered Result = iota
+	// Responded means that the endpoint gave a valid response.
+	Responded Result = iota
 	// Failed means an error response or an invalid one.
 	Failed
 	// Broken means that no connection was made or that it was lost.
@@ -338,7 +338,7 @@
 	e.inFlight--
 	e.probing = false
 	switch result {
-	case Answered:
+	case Responded:
 		e.brokenInRow = 0
 		e.failureRate -= failureWeight * e.failureRate
 		e.receivedAt = now
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -174,7 +174,7 @@
 	f.ApplyReport(report("a", 1, 0, 0), time.Millisecond, start)
 	e := f.Choose(q, start)
 	f.RecordFirstByte(e, q.PrefillMS, time.Second, start)
-	f.End(e, Answered, start)
+	f.End(e, Responded, start)
 	assert.Equal(t, chosen(f, q, start), "", "its last first bytes were late")
 }
 
@@ -221,7 +221,7 @@
 	assert.Assert(t, e != nil, "one request must probe it")
 	assert.Equal(t, chosen(f, query(), later), "", "only one request must probe it")
 	f.RecordFirstByte(e, 50, 0, later)
-	f.End(e, Answered, later)
+	f.End(e, Responded, later)
 	assert.Equal(t, chosen(f, query(), later), "a")
 }
 
@@ -285,7 +285,7 @@
 	assert.Equal(t, f.Len(), 2)
 	assert.Equal(t, f.byID["a"].InFlight(), 1, "state of a listed endpoint must be kept")
 	f.Remove("a")
-	f.End(e, Answered, start) // an attempt may end after its endpoint was removed
+	f.End(e, Responded, start) // an attempt may end after its endpoint was removed
 }
 
 // Gateways that see the same free slots must not all use them at once, which would
--- a/fleet/watch_test.go
+++ b/fleet/watch_test.go
@@ -122,7 +122,7 @@
 			for b.Loop() {
 				if e := f.Choose(query(), now); e != nil {
 					f.RecordFirstByte(e, 50, 0, now)
-					f.End(e, Answered, now)
+					f.End(e, Responded, now)
 				}
 			}
 		})
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -13,8 +13,8 @@
 
 import "time"
 
-// Shares of the bound, in percent. A follower, a process that asks another one (a
-// reader) instead of the store, has the same bound: it asks only until its data has
+// Shares of the bound, in percent. A follower, a process that queries another one (a
+// reader) instead of the store, has the same bound: it queries only until its data has
 // the age StaleAfter, and then reads the store itself.
 const (
 	// waitShare is the timeout of a long poll at the store. Each gateway makes one
@@ -23,8 +23,8 @@
 	// hedgeShare is how long after its wait a read may stay unanswered before a
 	// hedged read is made.
 	hedgeShare = 30
-	// answerShare is for the response to the hedged read.
-	answerShare = 15
+	// responseShare is for the response to the hedged read.
+	responseShare = 15
 	// relayShare is for the response of a reader. A larger share makes followers
 	// leave a slow reader earlier; many that then read the store at once saturate
 	// the network links that the reader needs.
@@ -58,8 +58,8 @@
 // hedged read is made.
 func (b Budget) HedgeDelay() time.Duration { return b.share(hedgeShare) }
 
-// AnswerTime returns how long the store may take to answer a read without a wait.
-func (b Budget) AnswerTime() time.Duration { return b.share(answerShare) }
+// ResponseTime returns how long the store may take to respond to a read without a wait.
+func (b Budget) ResponseTime() time.Duration { return b.share(responseShare) }
 
 // RelayTimeout returns how long the response of a reader may take in addition to the
 // time for which it may hold the request.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -175,7 +175,7 @@
 	}
 	requestOutcome := outcome.Of(outcome.Done)
 	if resp.StatusCode >= http.StatusInternalServerError {
-		requestOutcome = outcome.Of(outcome.AnsweredError)
+		requestOutcome = outcome.Of(outcome.ErrorResponse)
 	}
 	d.setResponseHeaders(w, q, ref, resp.Header.Get("Content-Type"))
 	w.Header().Set(peer.HeaderOutcome, string(requestOutcome))
@@ -242,7 +242,7 @@
 	}
 }
 
-// cancelRun asks the sidecar of ep, in the background, to cancel the request's
+// cancelRun requests the sidecar of ep, in the background, to cancel the request's
 // run on the engine. It does nothing for plain services.
 func (d *Daemon) cancelRun(q *request, ep route.Endpoint) {
 	if q.service != "" {
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -130,13 +130,13 @@
 // respondNotGranted writes the stored response of an earlier attempt, if the
 // home has one; otherwise it returns the home's reason as a failure.
 func (d *Daemon) respondNotGranted(w http.ResponseWriter, q *request, claim peer.ClaimResult) *failure {
-	if claim.Answer != nil {
-		ref, _ := weights.ParseRef(claim.Answer.Version) // empty for services
-		d.setResponseHeaders(w, q, ref, claim.Answer.ContentType)
+	if claim.Response != nil {
+		ref, _ := weights.ParseRef(claim.Response.Version) // empty for services
+		d.setResponseHeaders(w, q, ref, claim.Response.ContentType)
 		w.Header().Set(peer.HeaderOutcome, string(claim.Outcome))
 		w.Header().Set(peer.HeaderReason, string(claim.Reason))
-		w.WriteHeader(claim.Answer.Status)
-		_, _ = w.Write(claim.Answer.Body) // an error means that the caller has disconnected
+		w.WriteHeader(claim.Response.Status)
+		_, _ = w.Write(claim.Response.Body) // an error means that the caller has disconnected
 		return nil
 	}
 	fail := &failure{status: http.StatusConflict, code: string(claim.Reason), outcome: claim.Outcome, message: claim.Message, retryAfter: time.Duration(claim.RetryMS) * time.Millisecond}
@@ -155,7 +155,7 @@
 	if response != nil && len(response.Body) > dedup.MaxResponseBytes {
 		response = nil
 	}
-	report := peer.Finish{Workspace: q.workspace.Name, Key: q.key, Request: q.id, Outcome: result, Answer: response}
+	report := peer.Finish{Workspace: q.workspace.Name, Key: q.key, Request: q.id, Outcome: result, Response: response}
 	address, ok := d.addressOf(home.Box)
 	if !ok {
 		return
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -37,8 +37,8 @@
 		Body:    x.body,
 		Fresh:   !x.route.Idempotent(),
 		Proceed: func() bool { return !x.callerLeft() && x.server.stillEligible(x, e) },
-		Accept: func(answer http.Header) bool {
-			id := answer.Get(names.RequestID)
+		Accept: func(header http.Header) bool {
+			id := header.Get(names.RequestID)
 			return id == x.id
 		},
 	})
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -339,7 +339,7 @@
 	assert.Equal(t, len(g.requests()), 1)
 }
 
-// An endpoint that answers 421, because the list is outdated, costs one attempt in
+// An endpoint that responds with 421, because the list is outdated, costs one attempt in
 // total, not one for each request.
 func TestMisdirectedEndpointIsAvoided(t *testing.T) {
 	g := newTestGateway(t)
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -44,12 +44,12 @@
 // can be retried if the route allows it.
 func (x *exchange) servePlain(ctx context.Context) {
 	x.countRequest()
-	answer, v := x.runAttempts(ctx, x.attempt)
+	response, v := x.runAttempts(ctx, x.attempt)
 	switch {
 	case v == verdictOK:
-		x.sendReply(answer, outcomeAnswered)
-	case answer != nil && !x.callerLeft():
-		x.sendReply(answer, outcomeFailed)
+		x.sendReply(response, outcomeAnswered)
+	case response != nil && !x.callerLeft():
+		x.sendReply(response, outcomeFailed)
 	default:
 		x.respondUnanswered(ctx)
 	}
@@ -64,13 +64,13 @@
 		if e == nil {
 			return failure, verdictNotRun
 		}
-		answer, v := attempt(ctx, e)
+		response, v := attempt(ctx, e)
 		if v == verdictOK {
 			x.recordCompletion()
-			return answer, verdictOK
+			return response, verdictOK
 		}
 		if v == verdictFailed {
-			failure = answer
+			failure = response
 		}
 		x.mayHaveRun = x.mayHaveRun || v != verdictNotRun
 		if x.mayHaveRun && !x.route.Idempotent() || x.finished(ctx) || x.crashLimitReached() || !x.mayRetry(clock.Now()) {
@@ -202,7 +202,7 @@
 	}
 	response.MarkBodyRead()
 	if v == verdictOK {
-		x.finishAttempt(e, fleet.Answered)
+		x.finishAttempt(e, fleet.Responded)
 	} else {
 		x.lastCause = "endpoint failed"
 		x.finishAttempt(e, fleet.Failed)
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -25,8 +25,8 @@
 type rank struct {
 	priority int
 	stage    stage
-	// answerDue is when the response should start; the earliest goes first.
-	answerDue time.Time
+	// responseDue is when the response should start; the earliest goes first.
+	responseDue time.Time
 }
 
 // stage orders waiters of the same priority. Further attempts of a request go
@@ -53,7 +53,7 @@
 }
 
 func compareRank(a, b rank) int {
-	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.answerDue.Compare(b.answerDue))
+	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.responseDue.Compare(b.responseDue))
 }
 
 // queue holds the waiters of a service, ordered by rank. Server.mu guards it.
--- a/ingress/stall_test.go
+++ b/ingress/stall_test.go
@@ -185,7 +185,7 @@
 	assert.Assert(t, idle < firstEventTimeout)
 	assert.Assert(t, !g.server.streamStalled(e, idle, eventTimeout(false), now))
 	assert.Assert(t, g.server.streamStalled(e, idle, eventTimeout(true), now))
-	assert.Assert(t, g.server.streamStalled(e, idle, eventTimeout(false), now.Add(2*boxSilenceTimeout)), "nothing arrives from the whole box")
+	assert.Assert(t, g.server.streamStalled(e, idle, eventTimeout(false), now.Add(2*boxStallTimeout)), "nothing arrives from the whole box")
 }
 
 // When one connection to an endpoint stalls, its idle connections are not reused,
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -19,8 +19,8 @@
 
 // Timeouts after which a stream without new events is resumed at another endpoint.
 const (
-	// boxSilenceTimeout applies if nothing at all arrives from the endpoint's box.
-	boxSilenceTimeout = 900 * time.Millisecond
+	// boxStallTimeout applies if nothing at all arrives from the endpoint's box.
+	boxStallTimeout = 900 * time.Millisecond
 	// firstEventTimeout applies to a stream that has no events yet while its box is
 	// reachable; an engine may take seconds until it has a free slot.
 	// nextEventTimeout applies after the first event. Callers disconnect after two
@@ -127,7 +127,7 @@
 		readErr := err
 		if err == io.EOF && t.started {
 			response.MarkBodyRead()
-			t.finishAttempt(e, fleet.Answered)
+			t.finishAttempt(e, fleet.Responded)
 			return verdictOK
 		}
 		if err == nil {
@@ -257,10 +257,10 @@
 // resumed elsewhere: after limit, or sooner if nothing arrives from the endpoint's
 // box.
 func (s *Server) streamStalled(e *fleet.Endpoint, idle, limit time.Duration, now time.Time) bool {
-	if idle < boxSilenceTimeout {
+	if idle < boxStallTimeout {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return idle >= limit || e.ReceiveAge(now) >= boxSilenceTimeout
+	return idle >= limit || e.ReceiveAge(now) >= boxStallTimeout
 }
--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -171,14 +171,14 @@
 	return peers
 }
 
-// partnerTimeout bounds how long a new swarm waits for its partners' answers
+// partnerTimeout bounds how long a new swarm waits for its partners' responses
 // before it starts to read chunks, so that an unresponsive partner does not
 // delay the fetch.
 const partnerTimeout = 60 * time.Millisecond
 
-// queryPartners asks the boxes that rank next to this one in the order of its
+// queryPartners queries the boxes that rank next to this one in the order of its
 // chunks what they hold, so that no chunk is read from the origin that one of
-// them holds already. A partner that does not answer is passed over in that
+// them holds already. A partner that does not respond is passed over in that
 // order.
 func (i *Installer) queryPartners(ctx context.Context, m *Manifest, swarm *transfer.Swarm, addresses map[string]string, partners []string) {
 	answered := make(chan struct{})
@@ -209,7 +209,7 @@
 }
 
 // Limits of concurrent pulls. Pulls in flight queue on the box's link ahead of
-// the requests and answers of the engine, so a link that turns out to be slow
+// the requests and responses of the engine, so a link that turns out to be slow
 // gets a single one.
 const (
 	maxPulls = 3
--- a/installer/load.go
+++ b/installer/load.go
@@ -50,7 +50,7 @@
 //
 // The engine accepts a start order when it executes it, with the chunks that are
 // staged at that moment, which may be seconds after the caller's timeout. So
-// every order carries the expected order count, and one that got no answer is
+// every order carries the expected order count, and one that got no response is
 // sent again before anything else may be staged: the engine accepts at most one
 // of them, which increments the count, and refuses the rest. Then all staged
 // chunks are verified again. One that became corrupt before the order was
--- a/installer/manifest.go
+++ b/installer/manifest.go
@@ -15,8 +15,8 @@
 )
 
 // Manifests are distributed along a tree in each region: the boxes have an order
-// derived from the version, the first box asks the origin, and every other box
-// asks its ancestors in a tree of manifestFanOut children a box. So the origin,
+// derived from the version, the first box queries the origin, and every other box
+// queries its ancestors in a tree of manifestFanOut children a box. So the origin,
 // which accepts few connections, sends one manifest a region and not one a box.
 const (
 	manifestFanOut = 3
@@ -30,7 +30,7 @@
 	manifestHoldHops = 4
 )
 
-// ancestors returns the boxes that the box of s asks for the manifest of a
+// ancestors returns the boxes that the box of s queries for the manifest of a
 // version, its parent first. It is empty for the root of the region and for a box
 // that is not listed.
 func ancestors(peers []Peer, s Settings, version int) []Peer {
@@ -51,7 +51,7 @@
 	return out
 }
 
-// fetchManifest asks this box's ancestors in the region's tree for the manifest,
+// fetchManifest requests the manifest from this box's ancestors in the region's tree,
 // then the origin. It returns nil if none has a manifest of the expected length.
 func (i *Installer) fetchManifest(ctx context.Context, task fetchTask) *Manifest {
 	above := ancestors(i.listPeers(ctx), i.settings, task.version)
@@ -84,7 +84,7 @@
 	return err.Error()
 }
 
-// serveManifest answers with a manifest. It holds the request until there is one,
+// serveManifest responds with a manifest. It holds the request until there is one,
 // for manifestHoldHops hops at most.
 func (i *Installer) serveManifest(w http.ResponseWriter, r *http.Request) {
 	hold := time.NewTimer(manifestHoldHops * i.manifestHopTimeout)
@@ -95,7 +95,7 @@
 		i.mu.Unlock()
 		if found := i.requestedReplica(r); found != nil {
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(found.manifest) // a peer whose connection broke asks again
+			_ = json.NewEncoder(w).Encode(found.manifest) // a peer whose connection broke requests it again
 			return
 		}
 		select {
--- a/installer/pace.go
+++ b/installer/pace.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits of pacing. A transfer that saturates a box's link delays the answers that
+// Limits of pacing. A transfer that saturates a box's link delays the responses that
 // the engine sends over it, so transfers leave a share of the link free.
 const (
 	linkShare = 0.88
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -87,7 +87,7 @@
 	return &m, nil
 }
 
-// get sends a GET request and returns the body and the header of the answer. The
+// get sends a GET request and returns the body and the header of the response. The
 // header is returned with errNoReplica, too.
 func (c *peerClient) get(ctx context.Context, address, path string) ([]byte, http.Header, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
@@ -113,7 +113,7 @@
 	}
 }
 
-// held asks a peer which chunks of a version it holds. A peer without a replica
+// held queries which chunks of a version a peer holds. A peer without a replica
 // holds none.
 func (c *peerClient) held(ctx context.Context, address string, m *Manifest) (transfer.Availability, error) {
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
@@ -202,7 +202,7 @@
 	return found
 }
 
-// serveHeld answers with the chunks held, in the headers of package peer.
+// serveHeld responds with the chunks held, in the headers of package peer.
 func (i *Installer) serveHeld(w http.ResponseWriter, r *http.Request) {
 	found := i.requestedReplica(r)
 	if found == nil {
--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -119,7 +119,7 @@
 }
 
 // Manifests are distributed along a tree of bounded depth and fan-out in each
-// region, and only the root asks the origin.
+// region, and only the root queries the origin.
 func TestManifestTree(t *testing.T) {
 	var peers []Peer
 	for k := range 40 {
--- a/installer/uploads.go
+++ b/installer/uploads.go
@@ -19,8 +19,8 @@
 // Limits of pulls that wait for a chunk to arrive here.
 const (
 	// chunkWaitTimeout bounds the wait of a pull for a given chunk. A box of
-	// another region asks when the chunk is due here; refused at once, it would ask
-	// boxes that get the chunk no sooner. Half of takeOverDelay is left to ask
+	// another region pulls when the chunk is due here; refused at once, it would try
+	// boxes that get the chunk no sooner. Half of takeOverDelay is left to try
 	// another box before that one reads the chunk itself.
 	chunkWaitTimeout = takeOverDelay / 2
 	// anyChunkWaitTimeout bounds the wait of a pull for any chunk at a box that has
@@ -29,7 +29,7 @@
 	// more likely to get a chunk from another box.
 	anyChunkWaitTimeout = 100 * time.Millisecond
 	// maxChunkWaiters bounds the pulls that wait: a box reads some chunks first,
-	// and every other region asks once for each of them.
+	// and every other region requests each of them once.
 	maxChunkWaiters = 64
 )
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// servePull answers a peer.PullRequest. It may wait for the chunk to arrive and
-// then for an upload slot, and answers with status 429 if the queue is full.
+// servePull responds to a peer.PullRequest. It may wait for the chunk to arrive and
+// then for an upload slot, and responds with status 429 if the queue is full.
 func (u *uploads) servePull(w http.ResponseWriter, r *http.Request) {
 	var pull peer.PullRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxManifestBytes)).Decode(&pull); err != nil {
@@ -107,7 +107,7 @@
 	defer timer.Stop()
 	for {
 		u.installer.mu.Lock()
-		ready, arrived := found.canAnswer(chunk, has), found.chunkArrived
+		ready, arrived := found.canRespond(chunk, has), found.chunkArrived
 		u.installer.mu.Unlock()
 		if ready {
 			return
@@ -122,18 +122,18 @@
 	}
 }
 
-// canAnswer reports whether a pull should be answered now: the chunk is held or,
+// canRespond reports whether a pull should be answered now: the chunk is held or,
 // if chunk is -1, any that is not in has, or at least half of all chunks are held.
 // Installer.mu is held.
-func (r *replica) canAnswer(chunk int, has *bitset.BitSet) bool {
+func (r *replica) canRespond(chunk int, has *bitset.BitSet) bool {
 	if chunk >= 0 {
 		return r.held.Test(uint(chunk))
 	}
 	return 2*int(r.held.Count()) >= len(r.chunks) || r.held.DifferenceCardinality(has) > 0
 }
 
-// send answers with the chunk, or if chunk is -1 with any that is not in has. It
-// answers with status 204 if there is none.
+// send responds with the chunk, or if chunk is -1 with any that is not in has. It
+// responds with status 204 if there is none.
 func (u *uploads) send(w http.ResponseWriter, r *http.Request, found *replica, chunk int, has *bitset.BitSet) {
 	i := u.installer
 	i.mu.Lock()
@@ -157,7 +157,7 @@
 }
 
 // availability returns which chunks are held here and which some box of the region
-// is known to hold, for the headers of an answer; Installer.mu is held.
+// is known to hold, for the headers of a response; Installer.mu is held.
 func (r *replica) availability() transfer.Availability {
 	if r.swarm != nil {
 		return r.swarm.Availability()
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package hedge sends hedged calls: while a call is unanswered, it starts further
-// ones in parallel and returns the first answer. The earlier calls are not
+// ones in parallel and returns the first response. The earlier calls are not
 // cancelled meanwhile, since they may only be slow.
 package hedge
 
@@ -34,7 +34,7 @@
 }
 
 // Call makes the n-th call, counted from 0. It must call firstByte once the first
-// byte of its answer has arrived: Do starts no further call while an answer is
+// byte of its response has arrived: Do starts no further call while a response is
 // being received.
 type Call[T any] func(ctx context.Context, n int, firstByte func()) (T, error)
 
@@ -43,7 +43,7 @@
 	err   error
 }
 
-// Do returns the first answer, a final error, or the last error once no call is in
+// Do returns the first response, a final error, or the last error once no call is in
 // flight, or ctx's error. It cancels the context of the remaining calls when it
 // returns.
 func Do[T any](ctx context.Context, p Plan, call Call[T]) (T, error) {
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -54,9 +54,9 @@
 	})
 }
 
-// The answer of the first call must be returned although others were started, and
+// The response of the first call must be returned although others were started, and
 // none may be started while it is being received.
-func TestSlowAnswerIsReturned(t *testing.T) {
+func TestSlowResponseIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int32
 		trigger := make(chan struct{}, 1)
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -15,7 +15,7 @@
 	// lateThreshold is the time after the end of its wait from which an
 	// unanswered call is late.
 	lateThreshold = 600 * time.Millisecond
-	// lateTTL is the time for which a topic counts as late after a late answer.
+	// lateTTL is the time for which a topic counts as late after a late response.
 	lateTTL = 3 * time.Second
 )
 
@@ -26,10 +26,10 @@
 	topics map[string]*topicState
 }
 
-// topicState holds the calls in flight and the last late answer of one topic.
+// topicState holds the calls in flight and the last late response of one topic.
 type topicState struct {
 	lateAt   map[*Call]time.Time // by call in flight: the time from which it is late
-	lastLate time.Time           // time of the last answer if it was late, else zero
+	lastLate time.Time           // time of the last response if it was late, else zero
 }
 
 // Call is a call to the store that a Tracker records.
@@ -56,8 +56,8 @@
 	return c
 }
 
-// Answered records that the first byte of the answer has arrived at now.
-func (c *Call) Answered(now time.Time) {
+// Responded records that the first byte of the response has arrived at now.
+func (c *Call) Responded(now time.Time) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	t := c.tracker.topics[c.topic]
@@ -73,7 +73,7 @@
 }
 
 // End records the end of the call. A call that ends unanswered after it has become
-// late counts as a late answer.
+// late counts as a late response.
 func (c *Call) End(now time.Time) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -85,7 +85,7 @@
 }
 
 // OthersLate reports whether a topic other than the given one is late: it has a
-// late call in flight, or had a late answer within lateTTL.
+// late call in flight, or had a late response within lateTTL.
 func (p *Tracker) OthersLate(topic string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Another topic must count as late if its last answer was late, or if a call is
-// late or ended late without an answer; a prompt answer must reset that.
+// Another topic must count as late if its last response was late, or if a call is
+// late or ended late without a response; a prompt response must reset that.
 func TestOthersLate(t *testing.T) {
 	now := time.Now()
 	p := New()
@@ -23,10 +23,10 @@
 	assert.Assert(t, !p.OthersLate("other", now.Add(2*time.Second+lateTTL)), "late after lateTTL")
 
 	late := p.Begin("other", 0, now)
-	late.Answered(now.Add(2 * lateThreshold))
+	late.Responded(now.Add(2 * lateThreshold))
 	assert.Assert(t, p.OthersLate("one", now.Add(2*lateThreshold)))
 	prompt := p.Begin("other", 0, now.Add(time.Second))
-	prompt.Answered(now.Add(time.Second + lateThreshold/2))
+	prompt.Responded(now.Add(time.Second + lateThreshold/2))
 	prompt.End(now.Add(time.Minute))
 	assert.Assert(t, !p.OthersLate("one", now.Add(time.Second+lateThreshold)))
 }
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -31,11 +31,11 @@
 	Sending
 	// Refused: the sidecar rejected the request at admission.
 	Refused
-	// Answering: the head of the response has arrived, but not its end.
-	Answering
-	// AnsweredError: a whole response has arrived, which reports an error.
-	AnsweredError
-	// Done: the whole response has arrived.
+	// Responding: the head of the response has arrived, but not its end.
+	Responding
+	// ErrorResponse: a complete response has arrived, which reports an error.
+	ErrorResponse
+	// Done: the complete response has arrived.
 	Done
 )
 
@@ -44,7 +44,7 @@
 	switch s {
 	case Waiting, Refused:
 		return NotRun
-	case AnsweredError:
+	case ErrorResponse:
 		return Failed
 	case Done:
 		return Completed
@@ -56,12 +56,12 @@
 // Retry reports whether a request whose last attempt had the outcome o may be
 // retried. If the outcome is unknown, only a repeatable request may be retried, and
 // only while no byte of a response has been sent to the caller.
-func Retry(o Outcome, repeatable, answerStarted bool) bool {
+func Retry(o Outcome, repeatable, responseStarted bool) bool {
 	switch o {
 	case NotRun:
 		return true
 	case Unknown:
-		return repeatable && !answerStarted
+		return repeatable && !responseStarted
 	default:
 		return false
 	}
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestOutcomesAndRetries(t *testing.T) {
-	for stage, want := range map[Stage]Outcome{Waiting: NotRun, Sending: Unknown, Refused: NotRun, Answering: Unknown, AnsweredError: Failed, Done: Completed} {
+	for stage, want := range map[Stage]Outcome{Waiting: NotRun, Sending: Unknown, Refused: NotRun, Responding: Unknown, ErrorResponse: Failed, Done: Completed} {
 		assert.Equal(t, Of(stage), want)
 	}
 	for _, o := range []Outcome{Completed, Failed} {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -46,7 +46,7 @@
 	PathHealth  = "/healthz"
 )
 
-// Headers of requests from a gateway to a sidecar and of their answers.
+// Headers of requests from a gateway to a sidecar and of their responses.
 const (
 	HeaderRequest   = "Mintlift-Request-Id"
 	HeaderWorkspace = "Mintlift-Workspace"
@@ -58,7 +58,7 @@
 	HeaderOnce = "Mintlift-Once"
 	// HeaderOffset is the log offset of the sender's state.
 	HeaderOffset = "Mintlift-Offset"
-	// HeaderOutcome is the request's outcome, in answers that mintlift itself
+	// HeaderOutcome is the request's outcome, in responses that mintlift itself
 	// generates.
 	HeaderOutcome = "Mintlift-Outcome"
 	// HeaderReason is the Reason of a refusal.
@@ -67,7 +67,7 @@
 	// JoinRefs. It is set on each refusal, so that a gateway has the list
 	// before its next probe.
 	HeaderServing = "Mintlift-Serving"
-	// HeaderDraining is set on every answer of a draining process.
+	// HeaderDraining is set on every response of a draining process.
 	HeaderDraining = "Mintlift-Draining"
 )
 
@@ -204,7 +204,7 @@
 	Offset int64 `json:"offset"`
 }
 
-// ClaimResult is the answer to a Claim.
+// ClaimResult is the response to a Claim.
 type ClaimResult struct {
 	// Granted reports whether the attempt may run, once.
 	Granted bool `json:"granted"`
@@ -215,8 +215,8 @@
 	Message string          `json:"message,omitempty"`
 	// RetryMS is the delay before a retry, or 0.
 	RetryMS int64 `json:"retry_ms,omitempty"`
-	// Answer is the stored answer of an earlier attempt, if there is one.
-	Answer *dedup.Response `json:"answer,omitempty"`
+	// Response is the stored response of an earlier attempt, if there is one.
+	Response *dedup.Response `json:"answer,omitempty"`
 	// Offset is the log offset of the home's state.
 	Offset int64 `json:"offset"`
 }
@@ -228,11 +228,11 @@
 	Request   string `json:"request"`
 	// Outcome is the attempt's outcome; Unknown leaves the key marked as
 	// running.
-	Outcome outcome.Outcome `json:"outcome"`
-	Answer  *dedup.Response `json:"answer,omitempty"`
+	Outcome  outcome.Outcome `json:"outcome"`
+	Response *dedup.Response `json:"answer,omitempty"`
 }
 
-// Headers of the answer to a pull.
+// Headers of the response to a pull.
 const (
 	// HeaderChunk is the number of the chunk in the body.
 	HeaderChunk = "Mintlift-Chunk"
@@ -285,7 +285,7 @@
 	return b, nil
 }
 
-// SetAvailability sets the headers of an answer that carry the sender's
+// SetAvailability sets the headers of a response that carry the sender's
 // availability.
 func SetAvailability(h http.Header, a transfer.Availability) {
 	h.Set(HeaderHeld, EncodeBits(a.Held))
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -53,7 +53,7 @@
 	// directFallbackInterval is the least time between two reads from the
 	// platform by a sidecar whose gateways are all backed off.
 	directFallbackInterval = 30 * time.Second
-	// maxCheckpointPeers is how many peers are asked for a checkpoint.
+	// maxCheckpointPeers is how many peers are queried for a checkpoint.
 	maxCheckpointPeers = 5
 )
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -105,7 +105,7 @@
 	// PrefillRate is the speed of reading prompts, in tokens a second.
 	PrefillRate float64
 	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of a prompt and of
-	// its answer.
+	// its response.
 	MeanPromptTokens, MeanAnswerTokens int
 }
 
--- a/sidecar/claims.go
+++ b/sidecar/claims.go
@@ -109,7 +109,7 @@
 // claimedFromEntry returns the response to a claim that Table.Begin or Lookup did not
 // grant.
 func claimedFromEntry(e dedup.Entry) peer.ClaimResult {
-	claimed := peer.ClaimResult{Reason: peer.ReasonSeen, Answer: e.Response}
+	claimed := peer.ClaimResult{Reason: peer.ReasonSeen, Response: e.Response}
 	switch {
 	case e.Status == dedup.Done && e.Failed:
 		claimed.Outcome, claimed.Message = outcome.Failed, "the request ran before and failed"
@@ -140,6 +140,6 @@
 	case outcome.NotRun:
 		d.keys.Refuse(key, finish.Request, time.Now())
 	case outcome.Completed, outcome.Failed:
-		d.keys.Finish(key, finish.Request, finish.Outcome == outcome.Failed, finish.Answer)
+		d.keys.Finish(key, finish.Request, finish.Outcome == outcome.Failed, finish.Response)
 	}
 }
--- a/sidecar/signals.go
+++ b/sidecar/signals.go
@@ -14,7 +14,7 @@
 )
 
 // drainProbeDelay is the time after the last draining signal of an endpoint until one
-// request is sent as a probe. A new incarnation of the endpoint answers it without the
+// request is sent as a probe. A new incarnation of the endpoint responds to it without the
 // signal; its start time is not available here.
 const drainProbeDelay = 10 * time.Second
 
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -138,7 +138,7 @@
 
 // fetch requests the list from the gateway ip, which may hold the request for wait,
 // and passes it to the target. It returns false, and backs off from the gateway, if
-// that does not answer or its list is stale or of an earlier era.
+// that does not respond or its list is stale or of an earlier era.
 func (f *Follower) fetch(ctx context.Context, ip string, wait time.Duration) bool {
 	var got listResponse
 	if !f.readers.fetch(ctx, ip, pathList, url.Values{"had": {f.state}}, wait, f.budget.RelayTimeout(), &got) {
--- a/storerelay/list.go
+++ b/storerelay/list.go
@@ -8,7 +8,7 @@
 // need the endpoint list at the moment a version is named, when its weights cross
 // the same links, and every gateway needs each change within seconds.
 //
-// A process that gets no answer, or a stale one, reads the store itself.
+// A process that gets no response, or a stale one, reads the store itself.
 package storerelay
 
 import (
@@ -86,7 +86,7 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the client has disconnected, and will ask again
+	_ = json.NewEncoder(w).Encode(v) // the client has disconnected, and will request it again
 }
 
 // Client queries gateways.
@@ -103,7 +103,7 @@
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
 // Service returns the endpoints of a service as reported by the first of the
-// gateways, given by IP:PORT, that answers. It returns the last error if none does.
+// gateways, given by IP:PORT, that responds. It returns the last error if none does.
 func (c *Client) Service(ctx context.Context, gateways []string, service string) ([]Endpoint, error) {
 	err := error(errors.NotFoundf("gateway"))
 	for _, address := range gateways {
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -49,7 +49,7 @@
 	{ID: "c", Service: "plain", Address: "127.0.0.3:9", Zone: "b"},
 }
 
-// Service skips gateways that do not answer or have no list.
+// Service skips gateways that do not respond or have no list.
 func TestClientService(t *testing.T) {
 	closed := httptest.NewServer(nil)
 	closed.Close()
--- a/storerelay/records.go
+++ b/storerelay/records.go
@@ -118,7 +118,7 @@
 }
 
 // fetch requests the records from the gateway ip, which may hold the request for
-// wait. It returns false, and backs off from the gateway, if that does not answer or
+// wait. It returns false, and backs off from the gateway, if that does not respond or
 // its records are stale or behind from.
 func (f *RecordFollower) fetch(ctx context.Context, ip string, from history.Position, wait time.Duration) (Records, bool) {
 	var got recordsResponse
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -217,7 +217,7 @@
 }
 
 // wakeAfterOutage makes the reader of the operator's topic read at once when the
-// store answers again for s, another topic.
+// store responds again for s, another topic.
 func (w *Watcher) wakeAfterOutage(s *Source) {
 	if s.Wake == nil {
 		w.wakeOperatorReader()
--- a/storewatch/follow_test.go
+++ b/storewatch/follow_test.go
@@ -32,8 +32,8 @@
 	const manyFailures = 9
 	budget := freshness.New(2 * time.Second)
 	for range 100 {
-		assert.Assert(t, storewatch.RetryDelay(manyFailures, false)+budget.AnswerTime() < budget.Bound())
-		assert.Assert(t, platform.StoreStallTimeout+storewatch.RetryDelay(manyFailures, true)+budget.AnswerTime() < budget.Bound())
+		assert.Assert(t, storewatch.RetryDelay(manyFailures, false)+budget.ResponseTime() < budget.Bound())
+		assert.Assert(t, platform.StoreStallTimeout+storewatch.RetryDelay(manyFailures, true)+budget.ResponseTime() < budget.Bound())
 	}
 	store := &fakeStore{}
 	w := storewatch.New(store, logr.Discard(), telemetry.NewMetrics())
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -39,7 +39,7 @@
 	readStalled  = "silent" // no byte was received within the stall timeout
 	readFailed   = "failed" // refused, or the connection broke
 	// readOtherEra: the store was restored from an older copy after the position
-	// was read, or after the answer was given.
+	// was read, or after the response was given.
 	readOtherEra = "other era"
 )
 
@@ -103,9 +103,9 @@
 // about two hedging intervals after its wait, so more are not needed.
 const maxConcurrentReads = 3
 
-// readFrom reads a topic from a position on. If there is no answer within the
+// readFrom reads a topic from a position on. If there is no response within the
 // budget it makes a hedged read, which does not wait: a read that the store
-// accepted during an outage may never be answered, though its connection stays
+// accepted during an outage may never get a response, though its connection stays
 // open.
 func (w *Watcher) readFrom(ctx context.Context, s *Source, next history.Position) (readResult, error) {
 	wait := s.readWait(clock.Now())
@@ -139,7 +139,7 @@
 	if ctx.Err() == nil { // otherwise another read was answered first
 		w.countRead(topic, err)
 	}
-	// The answer may have been in transit for a while: that there are no further
+	// The response may have been in transit for a while: that there are no further
 	// records holds for the end of the wait or, without a wait, for the request.
 	return readResult{records, position, began.Add(min(clock.Since(began), wait))}, err
 }
--- a/storewatch/store.go
+++ b/storewatch/store.go
@@ -18,7 +18,7 @@
 	// ErrNewEra means that the store was restored from an older copy since the
 	// position was read: the position belongs to an earlier era.
 	ErrNewEra = errors.ConstError("store restored from an older copy")
-	// ErrPastEra means that an answer was given before the store was restored.
+	// ErrPastEra means that a response was given before the store was restored.
 	ErrPastEra = errors.ConstError("answer from before the store was restored from an older copy")
 )
 
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -214,7 +214,7 @@
 
 // ObservePosition records that another process has read the operator's records up
 // to a position. If that is further than here, it makes another read beside the
-// one that waits, at most once every MinWakeInterval: the store's answer to the
+// one that waits, at most once every MinWakeInterval: the store's response to the
 // waiting read may have been lost.
 func (w *Watcher) ObservePosition(position history.Position, now time.Time) {
 	w.mu.Lock()
--- a/transfer/order.go
+++ b/transfer/order.go
@@ -49,7 +49,7 @@
 
 // partnerRanks is the number of first ranks of a chunk's order whose boxes are
 // partners: they query each other at the start of a transfer, so that one that
-// does not answer is skipped at once instead of after a TakeOverDelay. With half
+// does not respond is skipped at once instead of after a TakeOverDelay. With half
 // of a region's boxes down, all three are down for one chunk in eight.
 const partnerRanks = 3
 
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -8,10 +8,10 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Offered reports to the swarm that p is being answered with the given chunk
-// and returns whether to accept it. It returns false if the chunk is held or in
+// Offered records that the response to p carries the given chunk and returns
+// whether to accept it. It returns false if the chunk is held or in
 // flight already, or is not the one that p names; the caller then discards the
-// answer and calls Drop. For a pull FromPeer it sets p.Chunk.
+// response and calls Drop. For a pull FromPeer it sets p.Chunk.
 func (s *Swarm) Offered(p *Pull, chunk int) bool {
 	if chunk < 0 || chunk >= s.params.Chunks {
 		return false
@@ -71,8 +71,8 @@
 func (s *Swarm) ChunkTime() time.Duration { return s.chunkTime }
 
 // NothingUseful ends a pull whose peer has no chunk that this box needs, or
-// not the one that was asked for; a is the peer's availability. The peer is
-// asked again after an exponential backoff.
+// not the requested one; a is the peer's availability. The peer is
+// queried again after an exponential backoff.
 func (s *Swarm) NothingUseful(p Pull, a Availability, now time.Time) {
 	s.endPull(p)
 	if p.Kind == FromRemoteRegion {
@@ -88,7 +88,7 @@
 }
 
 // Busy ends a pull that the sender refused because of load; retryAfter is the
-// delay that the sender asked for, or zero.
+// delay that the sender requested, or zero.
 func (s *Swarm) Busy(p Pull, retryAfter time.Duration, now time.Time) {
 	s.endPull(p)
 	if ps := s.byBox[p.Peer]; ps != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// InvalidChunk ends a pull whose answer was not the expected chunk.
+// InvalidChunk ends a pull whose response was not the expected chunk.
 func (s *Swarm) InvalidChunk(p Pull, now time.Time) { s.penalize(p, penaltyMin, now) }
 
 // ConnectionFailed ends a pull whose connection was refused or broken. It
@@ -106,7 +106,7 @@
 	s.penalize(p, penaltyMin, now)
 }
 
-// Unreachable ends a pull that timed out without an answer. Each further pull
+// Unreachable ends a pull that timed out without a response. Each further pull
 // from such a peer would cost the whole timeout, so the backoff is longer than
 // after a refused connection.
 func (s *Swarm) Unreachable(p Pull, now time.Time) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// Drop ends a pull whose answer was discarded or that was cancelled.
+// Drop ends a pull whose response was discarded or that was cancelled.
 func (s *Swarm) Drop(p Pull) { s.endPull(p) }
 
 // RemovePeer excludes a box that has left the plan from all further pulls.
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -19,7 +19,7 @@
 //   - All other chunks come from peers of the own region. The box that pulls
 //     sends the bitmap of the chunks that it holds or has in flight; the peer
 //     selects the chunk (see Picker), because it has counted which it has sent
-//     least. Each answer carries the sender's Availability, so that this needs
+//     least. Each response carries the sender's Availability, so that this needs
 //     no messages of its own.
 //
 // A sender whose chunk fails its digest, or that stalls, is backed off
@@ -62,7 +62,7 @@
 	TakeOverDelay time.Duration
 	// ExtraOrigin is the number of chunks that each box may read from the
 	// origin in addition to the schedule, once the scheduled times of all
-	// chunks have passed and no peer can be asked. It trades origin bytes for
+	// chunks have passed and no peer can be queried. It trades origin bytes for
 	// time.
 	ExtraOrigin int
 	// Downloads is the maximum number of pulls in flight; 0 stands for
@@ -114,10 +114,10 @@
 	None Kind = iota
 	// FromOrigin reads Chunk from the origin.
 	FromOrigin
-	// FromPeer asks Peer, in the own region, for any chunk that this box
+	// FromPeer requests from Peer, in the own region, any chunk that this box
 	// lacks; Chunk is -1 until Offered.
 	FromPeer
-	// FromRemoteRegion asks Peer, in another region, for Chunk.
+	// FromRemoteRegion requests Chunk from Peer, in another region.
 	FromRemoteRegion
 )
 
@@ -137,7 +137,7 @@
 	idleBackoffMin = 20 * time.Millisecond
 	idleBackoffMax = 640 * time.Millisecond
 	// penaltyMin and penaltyMax bound the backoff of a peer that failed;
-	// stallPenalty is the first backoff of one that stalls or does not answer.
+	// stallPenalty is the first backoff of one that stalls or does not respond.
 	penaltyMin   = 250 * time.Millisecond
 	penaltyMax   = 2 * time.Minute
 	stallPenalty = 2 * time.Second
@@ -162,8 +162,8 @@
 type peerState struct {
 	Peer
 	pulling bool // a pull from the peer is in flight
-	// retryAt is the time since Swarm.start from which the peer may be asked
-	// again. idleBackoff is the backoff after an answer without a useful
+	// retryAt is the time since Swarm.start from which the peer may be queried
+	// again. idleBackoff is the backoff after a response without a useful
 	// chunk, penalty that after a failure; both double, and zero is none.
 	retryAt     time.Duration
 	idleBackoff time.Duration
@@ -196,10 +196,10 @@
 	// an outage is expected to have sent the chunks that were missing. With
 	// PauseTakeOver, take-over delays count from then on.
 	catchUpAt time.Duration
-	// originRetry is the time from which the origin may be asked again.
+	// originRetry is the time from which the origin may be queried again.
 	originRetry time.Time
 	// lastSenderFailure is the time of the last failed read from the origin or
-	// of the last answer of a remote box that did not hold the chunk.
+	// of the last response of a remote box that did not hold the chunk.
 	lastSenderFailure time.Time
 	// chunkTime is the smoothed duration of a chunk's transfer.
 	chunkTime time.Duration
@@ -324,7 +324,7 @@
 	s.scheduleDone = 0
 }
 
-// MarkUnresponsive records that a box of the own region did not answer a query:
+// MarkUnresponsive records that a box of the own region did not respond to a query:
 // its first fetches are taken over without delay, and it is backed off like a
 // peer that stalls.
 func (s *Swarm) MarkUnresponsive(box string, now time.Time) {
@@ -359,7 +359,7 @@
 // Held returns a copy of the bitmap of verified chunks.
 func (s *Swarm) Held() *bitset.BitSet { return s.held.Clone() }
 
-// Availability is sent with each answer of a pull. A nil bitmap stands for
+// Availability is sent with each response to a pull. A nil bitmap stands for
 // unknown.
 type Availability struct {
 	// Held are the chunks that the sender holds.
@@ -370,7 +370,7 @@
 	Exists *bitset.BitSet
 }
 
-// Availability returns the availability to send with an answer.
+// Availability returns the availability to send with a response.
 func (s *Swarm) Availability() Availability {
 	return Availability{Held: s.held.Clone(), Exists: s.exists.Clone()}
 }
@@ -515,7 +515,7 @@
 }
 
 // startFirstFetch starts the fetch of a chunk that is new to the region, from
-// the origin or a remote box. It returns false if no remote box can be asked.
+// the origin or a remote box. It returns false if no remote box can be queried.
 func (s *Swarm) startFirstFetch(chunk int, since time.Duration) (Pull, bool) {
 	if s.readsOrigin() {
 		s.startPull(chunk)
@@ -532,7 +532,7 @@
 	return Pull{Kind: FromRemoteRegion, Chunk: chunk, Peer: ps.Box}, true
 }
 
-// remoteHolder returns the remote box to ask for chunk, or nil: of those that
+// remoteHolder returns the remote box to request chunk from, or nil: of those that
 // are not backed off, one that is known to hold the chunk, and otherwise the
 // first in the remote region's own order, which fetches it first there.
 func (s *Swarm) remoteHolder(chunk int, since time.Duration) *peerState {
--- a/transfer/swarm_test.go
+++ b/transfer/swarm_test.go
@@ -143,7 +143,7 @@
 }
 
 // TestInvalidChunkBackoffDoubles checks that a peer that sends invalid chunks is
-// asked at growing intervals.
+// queried at growing intervals.
 func TestInvalidChunkBackoffDoubles(t *testing.T) {
 	p := testParams(4, 8) // b0 and b2 share region A
 	s := newTestSwarm(p, "b0")
@@ -379,7 +379,7 @@
 }
 
 // TestUnreachablePeerBackoff checks that the backoff of a peer that does not
-// answer is longer than that of one that refuses the connection, such as one
+// respond is longer than that of one that refuses the connection, such as one
 // that restarts.
 func TestUnreachablePeerBackoff(t *testing.T) {
 	p := testParams(4, 64) // one peer in the own region
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func answer(id, body string) string {
+func rawResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -90,7 +90,7 @@
 		q, _ := http.ReadRequest(bufio.NewReader(io.MultiReader(strings.NewReader(line), r)))
 		body, _ := io.ReadAll(q.Body)
 		heads <- line + q.Host + " " + string(body)
-		write(c, answer("1", "ok"))
+		write(c, rawResponse("1", "ok"))
 	})
 	body, err := exchange(t, pool(), address, request("1"))
 	assert.NilError(t, err)
@@ -103,7 +103,7 @@
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		connections.Add(1)
 		for q := readRequest(r); q != nil; q = readRequest(r) {
-			write(c, answer(q.Header.Get("Id"), "ok"))
+			write(c, rawResponse(q.Header.Get("Id"), "ok"))
 		}
 	})
 	p := pool()
@@ -118,7 +118,7 @@
 func TestMismatchedResponseIsSkipped(t *testing.T) {
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		for q := readRequest(r); q != nil; q = readRequest(r) {
-			write(c, answer("old", "wrong")+answer(q.Header.Get("Id"), "right"))
+			write(c, rawResponse("old", "wrong")+rawResponse(q.Header.Get("Id"), "right"))
 		}
 	})
 	body, err := exchange(t, pool(), address, request("1"))
@@ -133,9 +133,9 @@
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		connections.Add(1)
 		for q := readRequest(r); q != nil; q = readRequest(r) {
-			write(c, answer(q.Header.Get("Id"), "ok"))
+			write(c, rawResponse(q.Header.Get("Id"), "ok"))
 			time.Sleep(20 * time.Millisecond)
-			write(c, answer(q.Header.Get("Id"), "surplus"))
+			write(c, rawResponse(q.Header.Get("Id"), "surplus"))
 			sent <- struct{}{}
 		}
 	})
@@ -157,7 +157,7 @@
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		if q := readRequest(r); q != nil {
 			requests.Add(1)
-			write(c, answer("1", "ok"))
+			write(c, rawResponse("1", "ok"))
 		}
 		if readRequest(r) != nil {
 			requests.Add(1)
@@ -239,11 +239,11 @@
 		connections.Add(1)
 		if n > 0 {
 			readRequest(r)
-			write(c, answer("2", "ok"))
+			write(c, rawResponse("2", "ok"))
 			return
 		}
 		_, _ = r.ReadString('\n')
-		write(c, answer("1", "no"))
+		write(c, rawResponse("1", "no"))
 		time.Sleep(time.Second)
 	})
 	p := pool()
@@ -298,7 +298,7 @@
 func TestSweep(t *testing.T) {
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		for q := readRequest(r); q != nil; q = readRequest(r) {
-			write(c, answer("1", "ok"))
+			write(c, rawResponse("1", "ok"))
 		}
 	})
 	p := pool()
