--- a/backpressure/permit.go
+++ b/backpressure/permit.go
@@ -21,9 +21,9 @@
 	// requestTimeout is when a permit request without a response counts as lost.
 	requestTimeout = 60 * time.Millisecond
 	// allocatorTimeout is how long permit requests may go unanswered until the
-	// allocator counts as unreachable.
+	// allocator counts as unresponsive.
 	allocatorTimeout = 300 * time.Millisecond
-	// allocatorRetryInterval is the time between permit requests to an unreachable
+	// allocatorRetryInterval is the time between permit requests to an unresponsive
 	// allocator.
 	allocatorRetryInterval = time.Second
 	// maxPermits bounds the permits of one request.
@@ -80,8 +80,8 @@
 	return permits{unansweredSince: p.unansweredSince, noAllocator: p.noAllocator}
 }
 
-// unreachable reports whether no allocator responds.
-func (p *permits) unreachable(now time.Time) bool {
+// unresponsive reports whether no allocator responds.
+func (p *permits) unresponsive(now time.Time) bool {
 	return !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) >= allocatorTimeout
 }
 
@@ -90,7 +90,7 @@
 	switch {
 	case p.granted > 0 && now.Before(p.grantedUntil):
 		return now
-	case p.unreachable(now):
+	case p.unresponsive(now):
 		return p.nextSlot(rate, gateways, now)
 	default:
 		return later(p.nextAt, now.Add(responseTime))
@@ -135,7 +135,7 @@
 	want := min(p.wanted, maxPermits)
 	p.wanted = 0
 	pause := requestTimeout
-	if p.unreachable(now) {
+	if p.unresponsive(now) {
 		pause = allocatorRetryInterval
 	}
 	if want == 0 || now.Before(p.nextAt) || now.Sub(p.requestedAt) < pause {
--- a/backpressure/quota.go
+++ b/backpressure/quota.go
@@ -35,12 +35,12 @@
 
 // Allocate merges the record of a permit request and grants permits. The result changed
 // reports that the grant must be sent to other gateways as well.
-func (q *Quotas) Allocate(a PermitRequest, now time.Time) (g Grant, changed bool) {
-	changed = len(q.table.Merge(a.Record, now)) > 0
-	s := q.table.State(a.ID, a.StartedMS)
+func (q *Quotas) Allocate(r PermitRequest, now time.Time) (g Grant, changed bool) {
+	changed = len(q.table.Merge(r.Record, now)) > 0
+	s := q.table.State(r.ID, r.StartedMS)
 	g.Record = s.record(now)
-	if a.Want > 0 && s.limit.Set {
-		g.Permits, g.AfterMS = q.refill(s, now).take(a.Want, s.limit.Rate)
+	if r.Want > 0 && s.limit.Set {
+		g.Permits, g.AfterMS = q.refill(s, now).take(r.Want, s.limit.Rate)
 	}
 	q.evict(now)
 	return g, changed
--- a/gateway/cluster_tasks.go
+++ b/gateway/cluster_tasks.go
@@ -187,7 +187,7 @@
 }
 
 // commit appends a record to the log and waits until the replica has applied it.
-// Errors are logged only: the next run of the tasks tries again.
+// Errors are logged only: the next run of the tasks retries.
 func (d *Daemon) commit(ctx context.Context, kind eventlog.Kind, body any) {
 	ctx, cancel := context.WithTimeout(ctx, taskTimeout)
 	defer cancel()
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -78,7 +78,7 @@
 	})
 }
 
-// setStatusTimeout makes a box unreachable after three probe cycles without a
+// setStatusTimeout makes a box unresponsive after three probe cycles without a
 // status, but not before membership.DefaultReportTimeout.
 func (v *boxView) setStatusTimeout(cycle time.Duration) {
 	const cycles = 3
@@ -155,7 +155,7 @@
 }
 
 // probeBox fetches the status of one box if it has changed since the last probe,
-// and records it. Errors are ignored: the box becomes unreachable after a few
+// and records it. Errors are ignored: the box becomes unresponsive after a few
 // missed probes.
 func (d *Daemon) probeBox(ctx context.Context, b membership.Box) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -27,7 +27,8 @@
 	service string
 	model   string // requested model, or empty for plain services
 	id      string // the caller's request ID, or empty
-	// identity is the same for all attempts and caller retries of one request, by whichever gateway.
+	// identity is the same for all attempts and caller retries of one request, at every
+	// gateway.
 	identity quarantine.ID
 	// trial reports that the request runs although it is in quarantine.
 	trial bool
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -97,14 +97,14 @@
 // queuePermitRequests queues the permit requests that are due for the endpoints of
 // a service. Server.mu must be held.
 func (s *Server) queuePermitRequests(service string, now time.Time) {
-	s.fleet.EachPermitRequest(service, now, func(e *fleet.Endpoint, a backpressure.PermitRequest) {
+	s.fleet.EachPermitRequest(service, now, func(e *fleet.Endpoint, r backpressure.PermitRequest) {
 		address := s.permitAllocator(e, now)
 		if address == "" {
 			e.Signals.SetNoAllocator(now)
 			return
 		}
 		if len(s.permitRequests) < maxPermitRequests {
-			s.permitRequests = append(s.permitRequests, PermitRequest{PermitRequest: a, Address: address})
+			s.permitRequests = append(s.permitRequests, PermitRequest{PermitRequest: r, Address: address})
 		}
 	})
 	if len(s.permitRequests) == 0 {
--- a/ingress/signals_test.go
+++ b/ingress/signals_test.go
@@ -125,7 +125,7 @@
 }
 
 // An endpoint's Retry-After applies to this gateway and is not forwarded to the
-// caller, whose next try another endpoint may serve.
+// caller, whose retry another endpoint may serve.
 func TestEndpointBackoffIsNotPassedToCallers(t *testing.T) {
 	g := newTestGateway(t)
 	g.decodeSignals()
--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -311,7 +311,7 @@
 	case errors.Is(err, errDigestMismatch):
 		swarm.InvalidChunk(p, now)
 	case isTimeout(err):
-		swarm.Unreachable(p, now)
+		swarm.Unresponsive(p, now)
 		i.log.Info("chunk pull timed out", "version", r.manifest.Version, "peer", p.Peer, "chunk", p.Chunk, "error", err.Error())
 	default:
 		swarm.ConnectionFailed(p, now)
--- a/state/state.go
+++ b/state/state.go
@@ -26,7 +26,7 @@
 	// operators to see.
 	maxInactivePlans = 64
 	// changeRetention is how long changes of homes are retained. It must be longer
-	// than dedup.Window, for which a home keeps its keys.
+	// than dedup.KeyTTL, for which a home keeps its keys.
 	changeRetention = 30 * time.Minute
 )
 
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -196,8 +196,8 @@
 			entries = append(entries, drawEntry(t, i))
 		}
 		setOffsets(entries)
-		whole := NewReplica()
-		if err := whole.Apply(entries); err != nil {
+		uninterrupted := NewReplica()
+		if err := uninterrupted.Apply(entries); err != nil {
 			t.Fatal(err)
 		}
 		pieces := NewReplica()
@@ -219,7 +219,7 @@
 		if err := restored.Apply(entries); err != nil {
 			t.Fatal(err)
 		}
-		want := whole.Checkpoint().Digest
+		want := uninterrupted.Checkpoint().Digest
 		if got := pieces.Checkpoint().Digest; got != want {
 			t.Fatalf("digest of records applied in pieces is %s, at once %s", got, want)
 		}
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -106,10 +106,10 @@
 	s.penalize(p, penaltyMin, now)
 }
 
-// Unreachable ends a pull that timed out without a response. Each further pull
+// Unresponsive ends a pull that timed out without a response. Each further pull
 // from such a peer would cost the whole timeout, so the backoff is longer than
 // after a refused connection.
-func (s *Swarm) Unreachable(p Pull, now time.Time) {
+func (s *Swarm) Unresponsive(p Pull, now time.Time) {
 	s.backOffOrigin(p, now)
 	s.penalize(p, stallPenalty, now)
 }
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -377,7 +377,7 @@
 
 // Next returns the next pull to carry out. The caller must report its end by
 // one of Arrived, NothingUseful, Busy, InvalidChunk, ConnectionFailed,
-// Unreachable, Stalled and Drop, unless its kind is None.
+// Unresponsive, Stalled and Drop, unless its kind is None.
 func (s *Swarm) Next(now time.Time) Pull {
 	if s.Done() || s.pulls >= s.pullLimit() {
 		return Pull{Wait: idleBackoffMin}
--- a/transfer/swarm_test.go
+++ b/transfer/swarm_test.go
@@ -253,7 +253,7 @@
 			case FromOrigin:
 				if now.Sub(begin) < outage {
 					attempts++
-					s.Unreachable(p, now)
+					s.Unresponsive(p, now)
 					continue
 				}
 				read++
@@ -378,10 +378,10 @@
 	}
 }
 
-// TestUnreachablePeerBackoff checks that the backoff of a peer that does not
+// TestUnresponsivePeerBackoff checks that the backoff of a peer that does not
 // respond is longer than that of one that refuses the connection, such as one
 // that restarts.
-func TestUnreachablePeerBackoff(t *testing.T) {
+func TestUnresponsivePeerBackoff(t *testing.T) {
 	p := testParams(4, 64) // one peer in the own region
 	pulls := func(report func(*Swarm, Pull, time.Time)) int {
 		s := newTestSwarm(p, "b0")
@@ -396,7 +396,7 @@
 		}
 		return n
 	}
-	assert.Equal(t, pulls((*Swarm).Unreachable), 2)
+	assert.Equal(t, pulls((*Swarm).Unresponsive), 2)
 	assert.Assert(t, pulls((*Swarm).ConnectionFailed) >= 4)
 }
 
