--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -274,7 +274,7 @@
 
 // PermitRequest returns the request to send to the permit allocator; ok is false if
 // there is none. It resets the demand.
-func (s *State) PermitRequest(now time.Time) (a PermitRequest, ok bool) {
+func (s *State) PermitRequest(now time.Time) (r PermitRequest, ok bool) {
 	if !s.notify && s.permits.wanted == 0 {
 		return PermitRequest{}, false
 	}
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -178,8 +178,8 @@
 			return
 		case <-server.PermitRequestsPending():
 		}
-		for _, a := range server.TakePermitRequests() {
-			subscriber.RequestPermits(a.PermitRequest, s.InternalAddress(a.Address, portPublish))
+		for _, r := range server.TakePermitRequests() {
+			subscriber.RequestPermits(r.PermitRequest, s.InternalAddress(r.Address, portPublish))
 		}
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -39,7 +39,7 @@
 		return attemptResult{failure: notRun(http.StatusBadRequest, "invalid", err.Error()), healthy: true}
 	}
 	client := d.Peers
-	if q.nonRepeatable {
+	if q.nonIdempotent {
 		client = d.singleUsePeers
 	}
 	resp, err := client.Do(req)
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if q.nonRepeatable {
+	if q.nonIdempotent {
 		req.GetBody = nil // without it net/http cannot resend the body
 	}
 	for _, name := range []string{"Content-Type", "Accept"} {
@@ -146,7 +146,7 @@
 	if ref.Valid() {
 		req.Header.Set(peer.HeaderVersion, ref.String())
 	}
-	if q.nonRepeatable {
+	if q.nonIdempotent {
 		req.Header.Set(peer.HeaderOnce, idempotencyKey(q))
 	}
 	if deadline, ok := q.ctx.Deadline(); ok {
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -21,8 +21,8 @@
 
 // Headers of callers' requests.
 const (
-	// headerKey carries the caller's idempotency key. A request with a key is
-	// not repeatable.
+	// headerKey carries the caller's idempotency key. A request with a key is treated as
+	// not idempotent.
 	headerKey = "Idempotency-Key"
 	// headerRepeatable is "true" if the request may run more than once, or
 	// "false".
@@ -68,9 +68,9 @@
 	versions     []weights.Ref
 	service      string
 	promptPrefix string
-	// nonRepeatable is set for a request that must run at most once; key is the
+	// nonIdempotent is set for a request that must run at most once; key is the
 	// caller's idempotency key, empty if there is none.
-	nonRepeatable bool
+	nonIdempotent bool
 	key           string
 	ctx           context.Context
 }
@@ -105,19 +105,19 @@
 // handleModel serves a request to a model.
 func (d *Daemon) handleModel(w http.ResponseWriter, r *http.Request) {
 	d.handle(w, r, func(q *request) *failure {
-		q.nonRepeatable = q.key != "" || r.Header.Get(headerRepeatable) == "false"
+		q.nonIdempotent = q.key != "" || r.Header.Get(headerRepeatable) == "false"
 		return d.routeModel(q)
 	})
 }
 
 // handleService serves a request to a plain service. Unless the caller specifies
-// otherwise, only reads are repeatable.
+// otherwise, only reads count as idempotent.
 func (d *Daemon) handleService(w http.ResponseWriter, r *http.Request) {
 	d.handle(w, r, func(q *request) *failure {
 		q.service = pathvar.Vars(r)["service"]
 		reads := r.Method == http.MethodGet || r.Method == http.MethodHead
 		repeatable := r.Header.Get(headerRepeatable)
-		q.nonRepeatable = q.key != "" || repeatable == "false" || !reads && repeatable != "true"
+		q.nonIdempotent = q.key != "" || repeatable == "false" || !reads && repeatable != "true"
 		return nil
 	})
 }
@@ -198,7 +198,7 @@
 			return nil, result.response
 		}
 		fail = fail.combine(result.failure)
-		if q.ctx.Err() != nil || !outcome.Retry(result.failure.outcome, !q.nonRepeatable, result.responseStarted) {
+		if q.ctx.Err() != nil || !outcome.Retry(result.failure.outcome, !q.nonIdempotent, result.responseStarted) {
 			break
 		}
 		if result.staleRoute {
--- a/ingress/storerollback_test.go
+++ b/ingress/storerollback_test.go
@@ -13,7 +13,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// newListedServer returns a server with a list of endpoints.
+// newListedServer returns a server with an endpoint list.
 func newListedServer(records ...fleet.Record) *Server {
 	s := New(Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 	s.SetEndpoints(records)
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -54,14 +54,14 @@
 }
 
 // Retry reports whether a request whose last attempt had the outcome o may be
-// retried. If the outcome is unknown, only a repeatable request may be retried, and
+// retried. If the outcome is unknown, only an idempotent request may be retried, and
 // only while no byte of a response has been sent to the caller.
-func Retry(o Outcome, repeatable, responseStarted bool) bool {
+func Retry(o Outcome, idempotent, responseStarted bool) bool {
 	switch o {
 	case NotRun:
 		return true
 	case Unknown:
-		return repeatable && !responseStarted
+		return idempotent && !responseStarted
 	default:
 		return false
 	}
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -18,5 +18,5 @@
 	assert.Assert(t, Retry(NotRun, false, false))
 	assert.Assert(t, Retry(Unknown, true, false))
 	assert.Assert(t, !Retry(Unknown, true, true), "retried after a response to the caller had started")
-	assert.Assert(t, !Retry(Unknown, false, false), "a request that is not repeatable was retried")
+	assert.Assert(t, !Retry(Unknown, false, false), "a non-idempotent request was retried")
 }
