--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -86,8 +86,8 @@
 	// called for each request.
 	Token func() string
 	// NoReuse opens a new connection for each request. net/http's transport retries
-	// a request by itself only on a reused connection, so a client for non-idempotent requests
-	// needs this option.
+	// a request by itself only on a reused connection, so a client for
+	// non-idempotent requests needs this option.
 	NoReuse bool
 	// Meter, if set, counts the bytes of the connections.
 	Meter *meter.Meter
