--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -316,7 +316,7 @@
 
 // The results of an attempt.
 const (
-	// Answered means that the endpoint gave a valid response.
+	// Responded means that the endpoint gave a valid response.
 	Responded Result = iota
 	// Failed means an error response or an invalid one.
 	Failed
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -32,7 +32,7 @@
 // also with a slow response of the store.
 func TestReaderIsConfirmedBeforeFollowersTimeOut(t *testing.T) {
 	b := New(2 * time.Second)
-	const slowAnswer = 240 * time.Millisecond
-	assert.Assert(t, b.Wait(0)+slowAnswer < b.Hold(0)-b.RelayTimeout())
+	const slowResponse = 240 * time.Millisecond
+	assert.Assert(t, b.Wait(0)+slowResponse < b.Hold(0)-b.RelayTimeout())
 	assert.Equal(t, b.Wait(b.StaleAfter()), time.Duration(0), "no long poll with old data")
 }
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -87,7 +87,7 @@
 	return &m, nil
 }
 
-// get sends a GET request and returns the body and the header of the answer. The
+// get sends a GET request and returns the body and the header of the response. The
 // header is returned with errNoReplica, too.
 func (c *peerClient) get(ctx context.Context, address, path string) ([]byte, http.Header, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
@@ -113,7 +113,7 @@
 	}
 }
 
-// held asks a peer which chunks of a version it holds. A peer without a replica
+// held queries which chunks of a version a peer holds. A peer without a replica
 // holds none.
 func (c *peerClient) held(ctx context.Context, address string, m *Manifest) (transfer.Availability, error) {
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
@@ -128,7 +128,7 @@
 // pull requests a chunk from a peer, or any chunk that is not in has if chunk is
 // -1. accept is called with the number of the offered chunk before its bytes are
 // read; if it returns false, pull returns errChunkNotNeeded. pull returns
-// stall.Err if no byte arrives within firstByteTimeout, or later for stallTimeout.
+// stall.ErrStalled if no byte arrives within firstByteTimeout, or later for stallTimeout.
 func (c *peerClient) pull(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, firstByteTimeout, stallTimeout time.Duration, accept func(int) bool) (transfer.Availability, []byte, error) {
 	ctx, guard := stall.New(ctx, firstByteTimeout, stallTimeout)
 	defer guard.Stop()
@@ -202,7 +202,7 @@
 	return found
 }
 
-// serveHeld answers with the chunks held, in the headers of package peer.
+// serveHeld responds with the chunks held, in the headers of package peer.
 func (i *Installer) serveHeld(w http.ResponseWriter, r *http.Request) {
 	found := i.requestedReplica(r)
 	if found == nil {
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Another topic must count as late if its last answer was late, or if a call is
-// late or ended late without an answer; a prompt answer must reset that.
+// Another topic must count as late if its last response was late, or if a call is
+// late or ended late without a response; a prompt response must reset that.
 func TestOthersLate(t *testing.T) {
 	now := time.Now()
 	p := New()
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -31,11 +31,11 @@
 	Sending
 	// Refused: the sidecar rejected the request at admission.
 	Refused
-	// Answering: the head of the response has arrived, but not its end.
+	// Responding: the head of the response has arrived, but not its end.
 	Responding
-	// AnsweredError: a whole response has arrived, which reports an error.
+	// ErrorResponse: a complete response has arrived, which reports an error.
 	ErrorResponse
-	// Done: the whole response has arrived.
+	// Done: the complete response has arrived.
 	Done
 )
 
@@ -54,14 +54,14 @@
 }
 
 // Retry reports whether a request whose last attempt had the outcome o may be
-// retried. If the outcome is unknown, only a repeatable request may be retried, and
+// retried. If the outcome is unknown, only an idempotent request may be retried, and
 // only while no byte of a response has been sent to the caller.
-func Retry(o Outcome, repeatable, answerStarted bool) bool {
+func Retry(o Outcome, idempotent, responseStarted bool) bool {
 	switch o {
 	case NotRun:
 		return true
 	case Unknown:
-		return repeatable && !answerStarted
+		return idempotent && !responseStarted
 	default:
 		return false
 	}
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -87,7 +87,7 @@
 // Target receives the endpoint list from a Follower.
 type Target interface {
 	// SetEra sets the store's era in which the next list was read, as in
-	// platform.Endpoints. It returns false for an earlier era than the current one.
+	// platform.EndpointHandler. It returns false for an earlier era than the current one.
 	SetEra(era int64) bool
 	// SetEndpoints replaces the list.
 	SetEndpoints(records []fleet.Record)
@@ -138,7 +138,7 @@
 
 // fetch requests the list from the gateway ip, which may hold the request for wait,
 // and passes it to the target. It returns false, and backs off from the gateway, if
-// that does not answer or its list is stale or of an earlier era.
+// that does not respond or its list is stale or of an earlier era.
 func (f *Follower) fetch(ctx context.Context, ip string, wait time.Duration) bool {
 	var got listResponse
 	if !f.readers.fetch(ctx, ip, pathList, url.Values{"had": {f.state}}, wait, f.budget.RelayTimeout(), &got) {
