--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -21,10 +21,10 @@
 	Commands []string  `json:"commands"`
 	Sizes    Sizes     `json:"sizes"`
 	Bounds   Bounds    `json:"bounds"`
-	Idle     []Idle    `json:"idle"`
-	Requests []Request `json:"requests"`
-	State    []State   `json:"state"`
-	Herd     Herd      `json:"herd"`
+	Idle     []IdleMeasurement    `json:"idle"`
+	Requests []RequestMeasurement `json:"requests"`
+	State    []StateMeasurement   `json:"state"`
+	StartUp     StartUp      `json:"herd"`
 }
 
 // Sizes are those expected within two years.
@@ -32,49 +32,49 @@
 	Gateways       int     `json:"gateways"`
 	Sidecars       int     `json:"sidecars"`
 	Runners        int     `json:"runners"`
-	Requests       float64 `json:"requests_a_second"`
-	Tokens         float64 `json:"tokens_a_second"`
-	Changes        int     `json:"changes_a_day"`
-	Replaced       int     `json:"boxes_replaced_a_day"`
-	Failed         int     `json:"boxes_failed_a_day"`
+	RequestsPerSecond       float64 `json:"requests_a_second"`
+	TokensPerSecond         float64 `json:"tokens_a_second"`
+	ChangesPerDay        int     `json:"changes_a_day"`
+	BoxesReplacedPerDay       int     `json:"boxes_replaced_a_day"`
+	BoxesFailedPerDay         int     `json:"boxes_failed_a_day"`
 	Workspaces     int     `json:"workspaces"`
 	PlansInForce   int     `json:"plans_in_force"`
-	Rollouts       int     `json:"rollouts_a_day"`
-	WavesARollout  int     `json:"waves_a_rollout"`
-	CheckpointEach int     `json:"records_a_checkpoint"`
+	RolloutsPerDay       int     `json:"rollouts_a_day"`
+	WavesPerRollout  int     `json:"waves_a_rollout"`
+	RecordsPerCheckpoint int     `json:"records_a_checkpoint"`
 }
 
 // Bounds are the users' bounds on control for each daemon, and the rates that
 // their store bears, of the smallest deployment: all daemons together.
 type Bounds struct {
 	CPUPercent float64 `json:"cpu_percent_of_a_core"`
-	MB         float64 `json:"resident_mb"`
-	BytesRate  float64 `json:"bytes_a_second"`
-	Appends    float64 `json:"appends_a_second"`
-	Reads      float64 `json:"reads_a_second"`
-	InForce    float64 `json:"in_force_seconds"`
+	ResidentMB         float64 `json:"resident_mb"`
+	BytesPerSecond  float64 `json:"bytes_a_second"`
+	AppendsPerSecond    float64 `json:"appends_a_second"`
+	ReadsPerSecond      float64 `json:"reads_a_second"`
+	InForceSeconds    float64 `json:"in_force_seconds"`
 }
 
 // Idle is the measured cost of idle control of one process.
-type Idle struct {
+type IdleMeasurement struct {
 	Sidecars int     `json:"sidecars"`
 	Role     string  `json:"role"`
-	CPU      float64 `json:"cpu_percent_of_a_core"`
-	MB       float64 `json:"resident_mb"`
-	InRate   float64 `json:"received_bytes_a_second"`
-	OutRate  float64 `json:"sent_bytes_a_second"`
+	CPUPercent      float64 `json:"cpu_percent_of_a_core"`
+	ResidentMB       float64 `json:"resident_mb"`
+	ReceivedBytesPerSecond   float64 `json:"received_bytes_a_second"`
+	SentBytesPerSecond  float64 `json:"sent_bytes_a_second"`
 }
 
 // Request is the measured cost of requests at one rate.
-type Request struct {
-	Rate      float64 `json:"requests_a_second"`
-	Tokens    float64 `json:"tokens_a_request"`
-	GatewayMS float64 `json:"gateway_cpu_ms_a_request"`
-	SidecarMS float64 `json:"sidecar_cpu_ms_a_request"`
+type RequestMeasurement struct {
+	RequestsPerSecond      float64 `json:"requests_a_second"`
+	TokensPerRequest    float64 `json:"tokens_a_request"`
+	GatewayCPUMS float64 `json:"gateway_cpu_ms_a_request"`
+	SidecarCPUMS float64 `json:"sidecar_cpu_ms_a_request"`
 }
 
 // State is the size of a checkpoint of a state with so many parts.
-type State struct {
+type StateMeasurement struct {
 	Workspaces int `json:"workspaces"`
 	PlanBoxes  int `json:"plan_boxes"`
 	Homes      int `json:"homes"`
@@ -82,15 +82,15 @@
 }
 
 // Herd is what the start-up test saw, in virtual time.
-type Herd struct {
+type StartUp struct {
 	Processes       int     `json:"processes"`
-	LogPeak         int     `json:"log_reads_a_second_peak"`
-	LogPeakDown     int     `json:"log_reads_a_second_peak_log_down"`
-	Checkpoints     int     `json:"checkpoints_read"`
-	IdleReads       float64 `json:"log_reads_a_second_idle"`
-	InForceCalm     float64 `json:"in_force_seconds_calm"`
-	InForceFrozen   float64 `json:"in_force_seconds_gateway_frozen"`
-	InForceAfterOut float64 `json:"in_force_seconds_after_outage"`
+	PeakLogReads         int     `json:"log_reads_a_second_peak"`
+	PeakLogReadsInOutage     int     `json:"log_reads_a_second_peak_log_down"`
+	CheckpointsRead     int     `json:"checkpoints_read"`
+	IdleLogReads       float64 `json:"log_reads_a_second_idle"`
+	InForceNormal     float64 `json:"in_force_seconds_calm"`
+	InForceGatewayFrozen   float64 `json:"in_force_seconds_gateway_frozen"`
+	InForceAfterOutage float64 `json:"in_force_seconds_after_outage"`
 }
 
 // Parse reads the data strictly enough to notice a wrong file.
@@ -107,53 +107,53 @@
 
 // Line is a straight line fitted to measurements.
 type Line struct {
-	At0, Slope float64
+	Intercept, Slope float64
 	// R2 is the share of the variance that the line explains.
 	R2 float64
 	// Worst is the largest distance of a measurement from the line, as a
 	// share of the measurement.
-	Worst float64
+	MaxRelativeError float64
 	// Highest is the highest measurement.
-	Highest float64
+	MaxMeasured float64
 }
 
 // Fit fits a line by least squares.
 func Fit(x, y []float64) Line {
 	at0, slope := stat.LinearRegression(x, y, nil, false)
-	l := Line{At0: at0, Slope: slope, R2: stat.RSquared(x, y, nil, at0, slope)}
+	l := Line{Intercept: at0, Slope: slope, R2: stat.RSquared(x, y, nil, at0, slope)}
 	for i := range x {
-		l.Highest = max(l.Highest, y[i])
+		l.MaxMeasured = max(l.MaxMeasured, y[i])
 		if y[i] != 0 {
-			l.Worst = max(l.Worst, abs(l.At(x[i])-y[i])/y[i])
+			l.MaxRelativeError = max(l.MaxRelativeError, abs(l.At(x[i])-y[i])/y[i])
 		}
 	}
 	return l
 }
 
 // At is the line's value at x.
-func (l Line) At(x float64) float64 { return l.At0 + l.Slope*x }
+func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
 // Upper is the line's value at x, or the highest measurement where the line
 // falls: what gets cheaper with size is not reckoned below what was seen.
-func (l Line) Upper(x float64) float64 {
+func (l Line) UpperEstimate(x float64) float64 {
 	if l.Slope < 0 {
-		return l.Highest
+		return l.MaxMeasured
 	}
 	return l.At(x)
 }
 
 // Quality is the fit in words.
-func (l Line) Quality() string {
-	if l.Worst > 0.15 {
-		return fmt.Sprintf("not straight: R² %.2f, off by up to %.0f%%", l.R2, 100*l.Worst)
+func (l Line) Summary() string {
+	if l.MaxRelativeError > 0.15 {
+		return fmt.Sprintf("not straight: R² %.2f, off by up to %.0f%%", l.R2, 100*l.MaxRelativeError)
 	}
-	return fmt.Sprintf("R² %.2f, off by up to %.0f%%", l.R2, 100*l.Worst)
+	return fmt.Sprintf("R² %.2f, off by up to %.0f%%", l.R2, 100*l.MaxRelativeError)
 }
 
 func abs(v float64) float64 { return max(v, -v) }
 
 // idle fits one figure of a role over the number of sidecars.
-func (d *Data) idle(role string, of func(Idle) float64) Line {
+func (d *Data) fitIdle(role string, of func(IdleMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Idle {
 		if r.Role == role {
@@ -165,10 +165,10 @@
 }
 
 // requests fits processor time a request over the tokens of its answer.
-func (d *Data) requests(of func(Request) float64) Line {
+func (d *Data) fitRequests(of func(RequestMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Requests {
-		x = append(x, r.Tokens)
+		x = append(x, r.TokensPerRequest)
 		y = append(y, of(r))
 	}
 	return Fit(x, y)
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -79,9 +79,9 @@
 
 func TestFit(t *testing.T) {
 	l := Fit([]float64{1, 2, 4}, []float64{12, 14, 18})
-	assert.Assert(t, abs(l.At0-10) < 1e-9 && abs(l.Slope-2) < 1e-9 && l.Worst < 1e-9)
+	assert.Assert(t, abs(l.Intercept-10) < 1e-9 && abs(l.Slope-2) < 1e-9 && l.MaxRelativeError < 1e-9)
 	bent := Fit([]float64{1, 2, 4}, []float64{1, 4, 16})
-	assert.Assert(t, strings.HasPrefix(bent.Quality(), "not straight"), bent.Quality())
+	assert.Assert(t, strings.HasPrefix(bent.Summary(), "not straight"), bent.Summary())
 	assert.Equal(t, Row{Value: 2, Bound: 1}.Verdict(), "**over**")
 	assert.Equal(t, Row{Value: 1, Bound: 1}.Verdict(), "within")
 }
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -33,34 +33,34 @@
 }
 
 const (
-	secondsADay = 86400
+	secondsPerDay = 86400
 	megabyte    = 1e6
 	// subsetCover and subsetMin are package route's: how many gateways work
 	// on each endpoint, and how many endpoints a gateway chooses itself.
 	subsetCover = 3
 	subsetMin   = 8
 	// originRow is the row of docs/transfer.json that the page takes.
-	originRow = "swarm"
+	transferRowName = "swarm"
 )
 
 // Transfer is what the page takes from docs/transfer.json.
 type Transfer struct {
 	Name         string  `json:"name"`
 	Boxes        int     `json:"boxes"`
-	All          float64 `json:"all"`
+	Duration          float64 `json:"all"`
 	OriginCopies float64 `json:"origin_copies"`
-	CrossCopies  float64 `json:"cross_copies"`
-	ControlBytes float64 `json:"control_bytes_a_box"`
+	CrossRegionCopies  float64 `json:"cross_copies"`
+	ControlBytesPerBox float64 `json:"control_bytes_a_box"`
 }
 
 // probed is how many endpoints one gateway works on at full size.
-func (s Sizes) probed() float64 {
+func (s Sizes) probedEndpoints() float64 {
 	return float64(subsetCover*s.Sidecars)/float64(s.Gateways) + subsetMin
 }
 
 // Rows works the page out.
 func Rows(d Data, transfers []Transfer) []Row {
-	rows := append(d.controlRows("gateway", d.Sizes.probed()), d.controlRows("sidecar", float64(d.Sizes.Sidecars))...)
+	rows := append(d.controlRows("gateway", d.Sizes.probedEndpoints()), d.controlRows("sidecar", float64(d.Sizes.Sidecars))...)
 	rows = append(rows, d.stateRow())
 	rows = append(rows, d.requestRows()...)
 	rows = append(rows, d.logRows()...)
@@ -68,9 +68,9 @@
 }
 
 func (d *Data) controlRows(role string, n float64) []Row {
-	cpu := d.idle(role, func(i Idle) float64 { return i.CPU })
-	mb := d.idle(role, func(i Idle) float64 { return i.MB })
-	net := d.idle(role, func(i Idle) float64 { return i.InRate + i.OutRate })
+	cpu := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.CPUPercent })
+	mb := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.ResidentMB })
+	net := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.ReceivedBytesPerSecond + i.SentBytesPerSecond })
 	carries := map[string]string{
 		"gateway": "`route.Subset` bounds whom it probes, `gateway.probeSquare` how often",
 		"sidecar": "`relay`: one long poll of one gateway; no call to other sidecars when idle",
@@ -79,15 +79,15 @@
 		if l.Slope < 0 {
 			return fmt.Sprintf("falls with size, as probes get rarer: the highest measurement is taken (%d to %d sidecars); TestMeasureIdle", d.Idle[0].Sidecars, d.Idle[len(d.Idle)-1].Sidecars)
 		}
-		return fmt.Sprintf("%.3g + %.3g %s an endpoint, at %.0f (%s); TestMeasureIdle", l.At0, l.Slope, unit, n, l.Quality())
+		return fmt.Sprintf("%.3g + %.3g %s an endpoint, at %.0f (%s); TestMeasureIdle", l.Intercept, l.Slope, unit, n, l.Summary())
 	}
-	traffic := Row{Role: role, What: "control traffic, both ways", Value: net.Upper(n), Bound: d.Bounds.BytesRate, Unit: "bytes/s", Source: source(net, "B/s"), Mechanism: carries}
+	traffic := Row{Role: role, What: "control traffic, both ways", Value: net.UpperEstimate(n), Bound: d.Bounds.BytesPerSecond, Unit: "bytes/s", Source: source(net, "B/s"), Mechanism: carries}
 	if role == "gateway" {
 		traffic.Value, traffic.Source = d.gatewayTraffic(n)
 	}
 	return []Row{
-		{Role: role, What: "processor, idle control", Value: cpu.Upper(n), Bound: d.Bounds.CPUPercent, Unit: "% of a core", Source: source(cpu, "%"), Mechanism: carries},
-		{Role: role, What: "resident memory, idle", Value: mb.Upper(n), Bound: d.Bounds.MB, Unit: "MB", Source: source(mb, "MB"), Mechanism: carries},
+		{Role: role, What: "processor, idle control", Value: cpu.UpperEstimate(n), Bound: d.Bounds.CPUPercent, Unit: "% of a core", Source: source(cpu, "%"), Mechanism: carries},
+		{Role: role, What: "resident memory, idle", Value: mb.UpperEstimate(n), Bound: d.Bounds.ResidentMB, Unit: "MB", Source: source(mb, "MB"), Mechanism: carries},
 		traffic,
 	}
 }
@@ -96,7 +96,7 @@
 const measuredGateways = 2
 
 // probeRate is package gateway's probes a second for n endpoints.
-func probeRate(n float64) float64 {
+func probesPerSecond(n float64) float64 {
 	const square, least, most = 0.0016, 0.5, 30.0
 	return n / min(max(n*n*square, least), most)
 }
@@ -111,7 +111,7 @@
 		if i.Role != "gateway" {
 			continue
 		}
-		p, r, y := probeRate(float64(i.Sidecars)), float64(i.Sidecars)/measuredGateways, i.InRate+i.OutRate
+		p, r, y := probesPerSecond(float64(i.Sidecars)), float64(i.Sidecars)/measuredGateways, i.ReceivedBytesPerSecond+i.SentBytesPerSecond
 		pp, pr, rr = pp+p*p, pr+p*r, rr+r*r
 		py, ry = py+p*y, ry+r*y
 	}
@@ -122,20 +122,20 @@
 		if i.Role != "gateway" {
 			continue
 		}
-		y := i.InRate + i.OutRate
-		worst = max(worst, abs(probe*probeRate(float64(i.Sidecars))+relayed*float64(i.Sidecars)/measuredGateways-y)/y)
+		y := i.ReceivedBytesPerSecond + i.SentBytesPerSecond
+		worst = max(worst, abs(probe*probesPerSecond(float64(i.Sidecars))+relayed*float64(i.Sidecars)/measuredGateways-y)/y)
 	}
 	sidecars := float64(d.Sizes.Sidecars) / float64(d.Sizes.Gateways)
-	source := fmt.Sprintf("%.0f B a probe, %.1f of them a second for %.0f endpoints; %.0f B/s a sidecar that reads the log here, %.0f of them (two slopes through three sizes, off by up to %.0f%%); TestMeasureIdle", probe, probeRate(probed), probed, relayed, sidecars, 100*worst)
-	return probe*probeRate(probed) + relayed*sidecars, source
+	source := fmt.Sprintf("%.0f B a probe, %.1f of them a second for %.0f endpoints; %.0f B/s a sidecar that reads the log here, %.0f of them (two slopes through three sizes, off by up to %.0f%%); TestMeasureIdle", probe, probesPerSecond(probed), probed, relayed, sidecars, 100*worst)
+	return probe*probesPerSecond(probed) + relayed*sidecars, source
 }
 
 func (d *Data) stateRow() Row {
-	perWorkspace := d.stateLine(func(s State) int { return s.Workspaces })
-	perStep := d.stateLine(func(s State) int { return s.PlanBoxes })
-	perHome := d.stateLine(func(s State) int { return s.Homes })
+	perWorkspace := d.fitState(func(s StateMeasurement) int { return s.Workspaces })
+	perStep := d.fitState(func(s StateMeasurement) int { return s.PlanBoxes })
+	perHome := d.fitState(func(s StateMeasurement) int { return s.Homes })
 	s := d.Sizes
-	bytes := perWorkspace.At0 + perWorkspace.Slope*float64(s.Workspaces) +
+	bytes := perWorkspace.Intercept + perWorkspace.Slope*float64(s.Workspaces) +
 		perStep.Slope*float64(s.PlansInForce*s.Sidecars) + perHome.Slope*float64(s.Sidecars)
 	return Row{
 		Role: "every process", What: "state, as a checkpoint", Value: bytes / megabyte, Unit: "MB",
@@ -145,15 +145,15 @@
 }
 
 func (d *Data) requestRows() []Row {
-	gateway := d.requests(func(r Request) float64 { return r.GatewayMS })
-	sidecar := d.requests(func(r Request) float64 { return r.SidecarMS })
+	gateway := d.fitRequests(func(r RequestMeasurement) float64 { return r.GatewayCPUMS })
+	sidecar := d.fitRequests(func(r RequestMeasurement) float64 { return r.SidecarCPUMS })
 	s := d.Sizes
-	tokens := s.Tokens / s.Requests
+	tokens := s.TokensPerSecond / s.RequestsPerSecond
 	row := func(role string, l Line, processes int) Row {
-		rate := s.Requests / float64(processes)
+		rate := s.RequestsPerSecond / float64(processes)
 		return Row{
 			Role: role, What: "processor, requests at the peak", Value: rate * l.At(tokens) / 1000, Unit: "cores a process",
-			Source:    fmt.Sprintf("%.2f ms + %.4f ms a token (%s); %.0f requests/s of %.0f tokens each; TestMeasureRequests", l.At0, l.Slope, l.Quality(), rate, tokens),
+			Source:    fmt.Sprintf("%.2f ms + %.4f ms a token (%s); %.0f requests/s of %.0f tokens each; TestMeasureRequests", l.Intercept, l.Slope, l.Summary(), rate, tokens),
 			Mechanism: "event by event, no buffer beyond 16 KB a stream",
 		}
 	}
@@ -161,50 +161,50 @@
 }
 
 // records is the number of records a day.
-func (s Sizes) records() float64 {
-	plans := 2*s.Rollouts + s.Rollouts*s.WavesARollout
-	homes := 2 * (s.Replaced + s.Failed)
-	n := float64(s.Changes + plans + homes)
-	return n + n/float64(s.CheckpointEach)
+func (s Sizes) recordsPerDay() float64 {
+	plans := 2*s.RolloutsPerDay + s.RolloutsPerDay*s.WavesPerRollout
+	homes := 2 * (s.BoxesReplacedPerDay + s.BoxesFailedPerDay)
+	n := float64(s.ChangesPerDay + plans + homes)
+	return n + n/float64(s.RecordsPerCheckpoint)
 }
 
 func (d *Data) logRows() []Row {
-	s, h := d.Sizes, d.Herd
-	perGateway := h.IdleReads / float64(s.Gateways)
+	s, h := d.Sizes, d.StartUp
+	perGateway := h.IdleLogReads / float64(s.Gateways)
 	return []Row{
-		{Role: "log service", What: "appends, mean over a day", Value: s.records() / secondsADay, Bound: d.Bounds.Appends, Unit: "a second",
-			Source:    fmt.Sprintf("%.0f records a day: %d changes, 2 a rollout and its waves, 2 a replaced or failed box, a checkpoint in %d", s.records(), s.Changes, s.CheckpointEach),
+		{Role: "log service", What: "appends, mean over a day", Value: s.recordsPerDay() / secondsPerDay, Bound: d.Bounds.AppendsPerSecond, Unit: "a second",
+			Source:    fmt.Sprintf("%.0f records a day: %d changes, 2 a rollout and its waves, 2 a replaced or failed box, a checkpoint in %d", s.recordsPerDay(), s.ChangesPerDay, s.RecordsPerCheckpoint),
 			Mechanism: "`eventlog.Commit`; homes are batched"},
-		{Role: "log service", What: "reads, idle", Value: h.IdleReads, Bound: d.Bounds.Reads, Unit: "a second",
+		{Role: "log service", What: "reads, idle", Value: h.IdleLogReads, Bound: d.Bounds.ReadsPerSecond, Unit: "a second",
 			Source: fmt.Sprintf("%.2f a gateway, none a sidecar; TestInForceEverywhere, %d processes", perGateway, h.Processes), Mechanism: "`relay`: gateways read, sidecars ask gateways"},
-		{Role: "log service", What: "reads, all processes start at once", Value: float64(h.LogPeak), Bound: d.Bounds.Reads, Unit: "a second at the peak",
-			Source: fmt.Sprintf("%d reads of checkpoints in all; TestStartUpHerd", h.Checkpoints), Mechanism: "`state.Follower.PeersFirst`: sidecars take their checkpoint from a gateway"},
-		{Role: "log service", What: "reads, all start while the log is down", Value: float64(h.LogPeakDown), Bound: d.Bounds.Reads, Unit: "a second at the peak",
+		{Role: "log service", What: "reads, all processes start at once", Value: float64(h.PeakLogReads), Bound: d.Bounds.ReadsPerSecond, Unit: "a second at the peak",
+			Source: fmt.Sprintf("%d reads of checkpoints in all; TestStartUpHerd", h.CheckpointsRead), Mechanism: "`state.Follower.PeersFirst`: sidecars take their checkpoint from a gateway"},
+		{Role: "log service", What: "reads, all start while the log is down", Value: float64(h.PeakLogReadsInOutage), Bound: d.Bounds.ReadsPerSecond, Unit: "a second at the peak",
 			Source: "TestStartUpHerd", Mechanism: "`relay.Directory`: a sidecar turns to the log once in 30 s at most"},
-		{Role: "every process", What: "configuration in force, calm", Value: h.InForceCalm, Bound: d.Bounds.InForce, Unit: "s", Source: "worst of 30 changes, virtual time; TestInForceEverywhere", Mechanism: "long polls"},
-		{Role: "every process", What: "configuration in force, a gateway frozen", Value: h.InForceFrozen, Bound: d.Bounds.InForce, Unit: "s", Source: "TestInForceEverywhere", Mechanism: "a read that hangs ends after 4.5 s, then the next gateway"},
-		{Role: "every process", What: "configuration in force, after a log outage", Value: h.InForceAfterOut, Bound: d.Bounds.InForce, Unit: "s", Source: "10 minutes of outage and a gateway still frozen, worst of 12 runs; TestInForceEverywhere", Mechanism: "pauses of 1.5 s at most"},
-		{Role: "box list", What: "reads", Value: float64(s.Gateways) / boxListEvery, Unit: "a second",
-			Source: fmt.Sprintf("each gateway every %.0f s; sidecars read a gateway's copy", boxListEvery), Mechanism: "`relay.Directory`"},
+		{Role: "every process", What: "configuration in force, calm", Value: h.InForceNormal, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "worst of 30 changes, virtual time; TestInForceEverywhere", Mechanism: "long polls"},
+		{Role: "every process", What: "configuration in force, a gateway frozen", Value: h.InForceGatewayFrozen, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "TestInForceEverywhere", Mechanism: "a read that hangs ends after 4.5 s, then the next gateway"},
+		{Role: "every process", What: "configuration in force, after a log outage", Value: h.InForceAfterOutage, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "10 minutes of outage and a gateway still frozen, worst of 12 runs; TestInForceEverywhere", Mechanism: "pauses of 1.5 s at most"},
+		{Role: "box list", What: "reads", Value: float64(s.Gateways) / boxListPollSeconds, Unit: "a second",
+			Source: fmt.Sprintf("each gateway every %.0f s; sidecars read a gateway's copy", boxListPollSeconds), Mechanism: "`relay.Directory`"},
 		{Role: "weight store", What: "requests for a manifest, a rollout", Value: float64(s.Gateways + 1), Unit: "requests",
 			Source: "one a gateway, one for the plan", Mechanism: "`gateway.manifests`"},
 	}
 }
 
 // boxListEvery is package relay's mean time between two looks, in seconds.
-const boxListEvery = 2.0
+const boxListPollSeconds = 2.0
 
 func (d *Data) transferRows(transfers []Transfer) []Row {
 	var out []Row
 	for _, t := range transfers {
-		if t.Name != originRow || t.Boxes != 410 {
+		if t.Name != transferRowName || t.Boxes != 410 {
 			continue
 		}
 		out = append(out,
 			Row{Role: "origin", What: "bytes, a rollout to 410 boxes", Value: t.OriginCopies, Bound: 1.05, Unit: "copies", Source: "docs/transfer.json, virtual time", Mechanism: "`transfer`: one reader a chunk, by rendezvous"},
-			Row{Role: "regions", What: "bytes across the border, a rollout", Value: t.CrossCopies, Unit: "copies for the second region", Source: "docs/transfer.json", Mechanism: "`transfer`: one crossing a chunk and region"},
-			Row{Role: "sidecar", What: "time to 410 replicas", Value: t.All, Bound: 1.15, Unit: "T*", Source: "docs/transfer.json", Mechanism: "`transfer`"},
-			Row{Role: "sidecar", What: "control bytes of a transfer, a box", Value: math.Round(t.ControlBytes/megabyte*10) / 10, Unit: "MB a rollout", Source: "docs/transfer.json; 400 bytes of heads and 3 bitmaps a pull", Mechanism: "bitmaps travel with the chunks"},
+			Row{Role: "regions", What: "bytes across the border, a rollout", Value: t.CrossRegionCopies, Unit: "copies for the second region", Source: "docs/transfer.json", Mechanism: "`transfer`: one crossing a chunk and region"},
+			Row{Role: "sidecar", What: "time to 410 replicas", Value: t.Duration, Bound: 1.15, Unit: "T*", Source: "docs/transfer.json", Mechanism: "`transfer`"},
+			Row{Role: "sidecar", What: "control bytes of a transfer, a box", Value: math.Round(t.ControlBytesPerBox/megabyte*10) / 10, Unit: "MB a rollout", Source: "docs/transfer.json; 400 bytes of heads and 3 bitmaps a pull", Mechanism: "bitmaps travel with the chunks"},
 		)
 	}
 	return out
@@ -219,11 +219,11 @@
 		if r.Bound > 0 {
 			bound = fmt.Sprintf("%g", r.Bound)
 		}
-		fmt.Fprintf(w, "| %s | %s | %s %s | %s | %s | %s | %s |\n", r.Role, r.What, number(r.Value), r.Unit, bound, r.Verdict(), r.Source, r.Mechanism)
+		fmt.Fprintf(w, "| %s | %s | %s %s | %s | %s | %s | %s |\n", r.Role, r.What, formatValue(r.Value), r.Unit, bound, r.Verdict(), r.Source, r.Mechanism)
 	}
 }
 
-func number(v float64) string {
+func formatValue(v float64) string {
 	switch {
 	case v >= 100:
 		return fmt.Sprintf("%.0f", v)
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -17,7 +17,7 @@
 
 // MeasureState returns the size of a state with so many workspaces, one
 // confirmed plan over planBoxes boxes, and homes.
-func MeasureState(workspaces, planBoxes, homes int) State {
+func MeasureState(workspaces, planBoxes, homes int) StateMeasurement {
 	r := state.NewReplica()
 	var entries []eventlog.Entry
 	add := func(kind eventlog.Kind, body any) {
@@ -45,7 +45,7 @@
 	if err := r.Apply(entries); err != nil {
 		panic("capacity: own records do not apply: " + err.Error()) // broken invariant
 	}
-	return State{Workspaces: workspaces, PlanBoxes: planBoxes, Homes: homes, Bytes: len(r.Checkpoint().State)}
+	return StateMeasurement{Workspaces: workspaces, PlanBoxes: planBoxes, Homes: homes, Bytes: len(r.Checkpoint().State)}
 }
 
 func samplePlan(boxes int) intent.Plan {
@@ -66,8 +66,8 @@
 
 // StateCases are the states that docs/capacity.json holds: three sizes of
 // each part.
-func StateCases() []State {
-	var out []State
+func StateCases() []StateMeasurement {
+	var out []StateMeasurement
 	for _, n := range []int{100, 200, 400} {
 		out = append(out, MeasureState(n, 0, 0), MeasureState(0, n, 0), MeasureState(0, 0, n))
 	}
@@ -75,7 +75,7 @@
 }
 
 // stateLine fits the bytes over one part, where the others are none.
-func (d *Data) stateLine(of func(State) int) Line {
+func (d *Data) fitState(of func(StateMeasurement) int) Line {
 	var x, y []float64
 	for _, s := range d.State {
 		if n := of(s); n > 0 {
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -47,9 +47,9 @@
 }
 
 var (
-	sweepHead = regexp.MustCompile(`^((?:\s+\d+)+)\s+power\s+at (\d+|null)\s*$`)
-	sweepDay  = regexp.MustCompile(`^(sweep-\d+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s`)
-	cells     = regexp.MustCompile(`\s{2,}`)
+	sweepHeaderPattern = regexp.MustCompile(`^((?:\s+\d+)+)\s+power\s+at (\d+|null)\s*$`)
+	sweepDayPattern  = regexp.MustCompile(`^(sweep-\d+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s`)
+	cellSeparator     = regexp.MustCompile(`\s{2,}`)
 )
 
 // ParseSweep reads a report.
@@ -57,12 +57,12 @@
 	s := Sweep{Site: site}
 	for _, line := range strings.Split(report, "\n") {
 		switch {
-		case sweepDay.MatchString(line):
+		case sweepDayPattern.MatchString(line):
 			if err := s.addDay(line); err != nil {
 				return s, err
 			}
-		case sweepHead.MatchString(line):
-			if err := s.addHead(line); err != nil {
+		case sweepHeaderPattern.MatchString(line):
+			if err := s.addHeader(line); err != nil {
 				return s, err
 			}
 		case len(s.Sizes) > 0:
@@ -76,7 +76,7 @@
 }
 
 func (s *Sweep) addDay(line string) error {
-	m := sweepDay.FindStringSubmatch(line)
+	m := sweepDayPattern.FindStringSubmatch(line)
 	worth, err := strconv.ParseFloat(m[2], 64)
 	if err != nil {
 		return errors.Trace(err)
@@ -90,8 +90,8 @@
 	return nil
 }
 
-func (s *Sweep) addHead(line string) error {
-	m := sweepHead.FindStringSubmatch(line)
+func (s *Sweep) addHeader(line string) error {
+	m := sweepHeaderPattern.FindStringSubmatch(line)
 	for _, field := range strings.Fields(m[1]) {
 		size, err := strconv.Atoi(field)
 		if err != nil {
@@ -109,7 +109,7 @@
 
 // addRow takes a line of the table; others have another number of cells.
 func (s *Sweep) addRow(line string) {
-	parts := cells.Split(strings.TrimSpace(line), -1)
+	parts := cellSeparator.Split(strings.TrimSpace(line), -1)
 	if len(parts) != len(s.Sizes)+3 {
 		return
 	}
--- a/explain/causes.go
+++ b/explain/causes.go
@@ -22,7 +22,7 @@
 	Outcome string    `json:"outcome"`
 	Cause   string    `json:"cause"`
 	// Returned says that the callers had been refused before.
-	Returned bool `json:"returned"`
+	CallerRetry bool `json:"returned"`
 	Requests int  `json:"requests"`
 }
 
@@ -39,12 +39,12 @@
 }
 
 // ended is the log line with which a request ends.
-type ended struct {
+type requestEnd struct {
 	Time     time.Time `json:"time"`
 	Request  string    `json:"request"`
 	Outcome  string    `json:"outcome"`
 	Cause    string    `json:"cause"`
-	Returned bool      `json:"returned"`
+	CallerRetry bool      `json:"returned"`
 }
 
 // Add counts the requests that end in the lines of r. Text ahead of a line's
@@ -57,15 +57,15 @@
 		if !found || !strings.Contains(text, `"outcome"`) {
 			continue
 		}
-		var line ended
+		var line requestEnd
 		if err := json.Unmarshal([]byte("{"+text), &line); err != nil || line.Request == "" || line.Outcome == "" {
 			continue // a cut line, or one about something else
 		}
 		c.counts[Cause{
 			Window:   line.Time.Truncate(c.window),
 			Outcome:  line.Outcome,
-			Cause:    kindOf(line.Cause),
-			Returned: line.Returned,
+			Cause:    causeKind(line.Cause),
+			CallerRetry: line.CallerRetry,
 		}]++
 	}
 	return errors.Trace(scanner.Err())
@@ -73,7 +73,7 @@
 
 // kindOf leaves out of a cause what differs from request to request: what
 // follows the first colon of an error is addresses and system calls.
-func kindOf(cause string) string {
+func causeKind(cause string) string {
 	kind, _, _ := strings.Cut(cause, ": ")
 	return kind
 }
@@ -100,7 +100,7 @@
 	}
 	for _, c := range list {
 		since := c.Window.Sub(list[0].Window)
-		if _, err := fmt.Fprintf(w, "%8.1f %8d  %-12s %-9t %s\n", since.Seconds(), c.Requests, c.Outcome, c.Returned, c.Cause); err != nil {
+		if _, err := fmt.Fprintf(w, "%8.1f %8d  %-12s %-9t %s\n", since.Seconds(), c.Requests, c.Outcome, c.CallerRetry, c.Cause); err != nil {
 			return errors.Trace(err)
 		}
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-func TestRequestInOrder(t *testing.T) {
+func TestRequestLinesSortedByTime(t *testing.T) {
 	got := lines(t, Request("r1"))
 	assert.Equal(t, len(got), 2)
 	assert.Equal(t, got[0].Message, "gateway: attempt")
@@ -38,7 +38,7 @@
 }
 
 // All tries of one request, whatever their ids.
-func TestTriesOfARequest(t *testing.T) {
+func TestIdentitySelectsAllTries(t *testing.T) {
 	const tries = `{"time":"2026-01-01T00:00:02Z","msg":"gateway: request","request":"r1","identity":"1f","outcome":"failed"}
 {"time":"2026-01-01T00:00:01Z","msg":"gateway: endpoint crashed","request":"r1","identity":"1f","crashes":1}
 {"time":"2026-01-01T00:00:03Z","msg":"gateway: request","request":"r2","identity":"1f","outcome":"quarantined"}
--- a/httpserve/httpserve.go
+++ b/httpserve/httpserve.go
@@ -46,12 +46,12 @@
 
 // maxDepth is how many path segments may follow a route of DeepRoutes:
 // rest's router knows no catch-all.
-const maxDepth = 8
+const maxSubpathSegments = 8
 
 // DeepRoutes returns routes for one to maxDepth path segments below path.
 func DeepRoutes(method, path string, h http.HandlerFunc) []Route {
 	var out []Route
-	for i := range maxDepth {
+	for i := range maxSubpathSegments {
 		path += "/:p" + strconv.Itoa(i)
 		out = append(out, Route{Method: method, Path: path, Handler: h})
 	}
@@ -60,7 +60,7 @@
 
 // Server is a listening HTTP server. Use Listen.
 type Server struct {
-	http     *http.Server
+	server     *http.Server
 	listener net.Listener
 }
 
@@ -98,10 +98,10 @@
 		ln = tls.NewListener(ln, o.TLS)
 	}
 	s := &Server{
-		http:     &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout},
+		server:     &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout},
 		listener: ln,
 	}
-	go func() { _ = s.http.Serve(ln) }() // ends with ErrServerClosed at Close
+	go func() { _ = s.server.Serve(ln) }() // ends with ErrServerClosed at Close
 	return s, nil
 }
 
@@ -128,15 +128,15 @@
 // Stop stops listening and waits for requests in progress until ctx ends;
 // then it cuts them and returns ctx's error.
 func (s *Server) Stop(ctx context.Context) error {
-	err := s.http.Shutdown(ctx)
+	err := s.server.Shutdown(ctx)
 	if err != nil {
-		_ = s.http.Close() // the bound has passed: cut what is left
+		_ = s.server.Close() // the bound has passed: cut what is left
 	}
 	return err
 }
 
 // Kill closes the listener and every connection at once, as a crash would.
-func (s *Server) Kill() { _ = s.http.Close() }
+func (s *Server) Kill() { _ = s.server.Close() }
 
 // WriteJSON answers with a status and a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -20,44 +20,44 @@
 )
 
 // lookEvery is how often a file's time is looked at.
-const lookEvery = time.Second
+const checkInterval = time.Second
 
 // watched calls read when one of the files has changed.
-type watched struct {
+type fileWatcher struct {
 	mu     sync.Mutex
 	files  []string
-	looked time.Time
-	stamp  time.Time
-	read   func() error
+	lastCheck time.Time
+	modTime  time.Time
+	reload   func() error
 }
 
-func (w *watched) refresh() error {
+func (w *fileWatcher) refresh() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if now.Sub(w.looked) < lookEvery {
+	if now.Sub(w.lastCheck) < checkInterval {
 		return nil
 	}
-	w.looked = now
-	newest := w.stamp
+	w.lastCheck = now
+	newest := w.modTime
 	for _, f := range w.files {
 		if info, err := os.Stat(f); err == nil && info.ModTime().After(newest) {
 			newest = info.ModTime()
 		}
 	}
-	if newest.Equal(w.stamp) {
+	if newest.Equal(w.modTime) {
 		return nil
 	}
-	if err := w.read(); err != nil {
+	if err := w.reload(); err != nil {
 		return err
 	}
-	w.stamp = newest
+	w.modTime = newest
 	return nil
 }
 
 // File is a key in a file. Use OpenFile.
 type File struct {
-	watch watched
+	watch fileWatcher
 	mu    sync.Mutex
 	key   string
 }
@@ -68,7 +68,7 @@
 	if path == "" {
 		return f, nil
 	}
-	f.watch = watched{files: []string{path}, read: func() error { return f.load(path) }}
+	f.watch = fileWatcher{files: []string{path}, reload: func() error { return f.load(path) }}
 	if err := f.watch.refresh(); err != nil {
 		return nil, err
 	}
@@ -101,27 +101,27 @@
 }
 
 // pair is a certificate with its clients' authority.
-type pair struct {
-	watch watched
+type keyPair struct {
+	watch fileWatcher
 	mu    sync.Mutex
 	cert  *tls.Certificate
-	pool  *x509.CertPool
+	clientCAs  *x509.CertPool
 }
 
-func openPair(t settings.TLS) (*pair, error) {
-	p := new(pair)
+func openKeyPair(t settings.TLS) (*keyPair, error) {
+	p := new(keyPair)
 	files := []string{t.CertFile, t.KeyFile}
 	if t.ClientCAFile != "" {
 		files = append(files, t.ClientCAFile)
 	}
-	p.watch = watched{files: files, read: func() error { return p.load(t) }}
+	p.watch = fileWatcher{files: files, reload: func() error { return p.load(t) }}
 	if err := p.watch.refresh(); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *pair) load(t settings.TLS) error {
+func (p *keyPair) load(t settings.TLS) error {
 	cert, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
 	if err != nil {
 		return errors.Annotate(err, "certificate")
@@ -139,15 +139,15 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cert, p.pool = &cert, pool
+	p.cert, p.clientCAs = &cert, pool
 	return nil
 }
 
-func (p *pair) current() (*tls.Certificate, *x509.CertPool) {
+func (p *keyPair) current() (*tls.Certificate, *x509.CertPool) {
 	_ = p.watch.refresh() // unreadable files leave the former pair
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cert, p.pool
+	return p.cert, p.clientCAs
 }
 
 // ServerTLS returns the configuration of a listener, or nil for plain HTTP.
@@ -155,7 +155,7 @@
 	if !t.Enabled() {
 		return nil, nil
 	}
-	p, err := openPair(t)
+	p, err := openKeyPair(t)
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +179,7 @@
 	if !t.Enabled() {
 		return nil, nil
 	}
-	p, err := openPair(t)
+	p, err := openKeyPair(t)
 	if err != nil {
 		return nil, err
 	}
--- a/load/load.go
+++ b/load/load.go
@@ -96,9 +96,9 @@
 
 // Histogram bounds, in microseconds.
 const (
-	lowest  = 1
-	highest = 10 * 60 * 1000 * 1000
-	digits  = 3
+	histogramMin  = 1
+	histogramMax = 10 * 60 * 1000 * 1000
+	histogramDigits  = 3
 )
 
 // ClassReport is what became of a class's requests. Times are in
@@ -139,8 +139,8 @@
 type recorder struct {
 	mu       sync.Mutex
 	report   ClassReport
-	first    *hdrhistogram.Histogram
-	between  *hdrhistogram.Histogram
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens  *hdrhistogram.Histogram
 	total    *hdrhistogram.Histogram
 	refused  *hdrhistogram.Histogram
 	versions map[string]int
@@ -148,19 +148,19 @@
 }
 
 func newRecorder(name string) *recorder {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(histogramMin, histogramMax, histogramDigits) }
 	return &recorder{
 		report:   ClassReport{Name: name, Outcomes: make(map[outcome.Outcome]int)},
-		first:    h(),
-		between:  h(),
+		firstToken:    h(),
+		betweenTokens:  h(),
 		total:    h(),
 		refused:  h(),
 		versions: make(map[string]int),
 	}
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(d.Microseconds(), lowest)) // past the highest value the run has failed anyway
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(max(d.Microseconds(), histogramMin)) // past the highest value the run has failed anyway
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
@@ -169,33 +169,33 @@
 }
 
 // take records one answer.
-func (r *recorder) take(a answer, intended time.Time) {
+func (r *recorder) add(a response, intended time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Sent++
-	if a.broken {
+	if a.invalid {
 		r.report.Broken++
 	}
 	r.report.Outcomes[a.outcome]++
 	switch a.outcome {
 	case outcome.Completed:
 		r.versions[a.version]++
-		record(r.total, a.end.Sub(intended))
-		if !a.first.IsZero() {
-			record(r.first, a.first.Sub(intended))
+		recordDuration(r.total, a.end.Sub(intended))
+		if !a.firstEvent.IsZero() {
+			recordDuration(r.firstToken, a.firstEvent.Sub(intended))
 		}
 		for _, gap := range a.gaps {
-			record(r.between, gap)
+			recordDuration(r.betweenTokens, gap)
 		}
 	case outcome.NotRun:
-		r.notRun = append(r.notRun, a.request)
-		record(r.refused, a.end.Sub(intended))
+		r.notRun = append(r.notRun, a.requestID)
+		recordDuration(r.refused, a.end.Sub(intended))
 	}
 }
 
 func (r *recorder) result() ClassReport {
 	out := r.report
-	out.FirstToken, out.BetweenToken = quantiles(r.first), quantiles(r.between)
+	out.FirstToken, out.BetweenToken = quantiles(r.firstToken), quantiles(r.betweenTokens)
 	out.Total, out.Refused = quantiles(r.total), quantiles(r.refused)
 	return out
 }
@@ -220,14 +220,14 @@
 		if intended.After(end) {
 			break
 		}
-		at := pick(m.Classes, rng.Float64())
+		at := pickClass(m.Classes, rng.Float64())
 		target := m.Targets[n%len(m.Targets)]
-		order := m.Classes[at].order(rng)
+		order := m.Classes[at].newRequest(rng)
 		time.Sleep(time.Until(intended))
 		requests.Add(1)
 		go func(intended time.Time) {
 			defer requests.Done()
-			recorders[at].take(s.send(ctx, target, order), intended)
+			recorders[at].add(s.send(ctx, target, order), intended)
 		}(intended)
 	}
 	requests.Wait()
@@ -243,7 +243,7 @@
 }
 
 // pick chooses a class by its share.
-func pick(classes []Class, at float64) int {
+func pickClass(classes []Class, at float64) int {
 	sum := 0.0
 	for _, c := range classes {
 		sum += c.Share
--- a/load/send.go
+++ b/load/send.go
@@ -21,17 +21,17 @@
 )
 
 // order is one request to send.
-type order struct {
-	path, key, once string
+type requestSpec struct {
+	path, key, idempotencyKey string
 	body            []byte
 	stream          bool
 }
 
 // order draws a request of the class.
-func (c *Class) order(rng *rand.Rand) order {
-	o := order{key: c.key}
+func (c *Class) newRequest(rng *rand.Rand) requestSpec {
+	o := requestSpec{key: c.key}
 	if rng.Float64() < c.NotRepeatable {
-		o.once = uuid.Must(uuid.NewV7()).String()
+		o.idempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
 	if c.Service != "" {
 		o.path = "/v1/services/" + c.Service + "/load"
@@ -46,18 +46,18 @@
 
 // SendKey sends one request of the class under the given key.
 func (c *Class) SendKey(ctx context.Context, target, key string) outcome.Outcome {
-	o := c.order(rand.New(rand.NewPCG(1, 1)))
-	o.once = key
+	o := c.newRequest(rand.New(rand.NewPCG(1, 1)))
+	o.idempotencyKey = key
 	return newSender().send(ctx, target, o).outcome
 }
 
 // answer is what came back.
-type answer struct {
-	request, version string
+type response struct {
+	requestID, version string
 	outcome          outcome.Outcome
-	first, end       time.Time
+	firstEvent, end       time.Time
 	gaps             []time.Duration
-	broken           bool
+	invalid           bool
 }
 
 // sender sends requests over a pool of connections.
@@ -68,7 +68,7 @@
 	return &sender{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: perHost, DisableCompression: true}}}
 }
 
-func (s *sender) send(ctx context.Context, target string, o order) (a answer) {
+func (s *sender) send(ctx context.Context, target string, o requestSpec) (a response) {
 	defer func() { a.end = time.Now() }()
 	a.outcome = outcome.Unknown
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+o.path, bytes.NewReader(o.body))
@@ -78,24 +78,24 @@
 	req.GetBody = nil // the tool sends each request once
 	req.Header.Set("Authorization", "Bearer "+o.key)
 	req.Header.Set("Content-Type", "application/json")
-	if o.once != "" {
-		req.Header.Set("Idempotency-Key", o.once)
+	if o.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", o.idempotencyKey)
 	}
 	resp, err := s.client.Do(req)
 	if err != nil {
 		return a
 	}
 	defer resp.Body.Close()
-	a.request, a.version = resp.Header.Get(peer.HeaderRequest), resp.Header.Get(peer.HeaderVersion)
+	a.requestID, a.version = resp.Header.Get(peer.HeaderRequest), resp.Header.Get(peer.HeaderVersion)
 	if v := resp.Header.Get(peer.HeaderOutcome); v != "" {
 		a.outcome = outcome.Outcome(v)
 	}
 	if o.stream && resp.StatusCode == http.StatusOK && resp.Header.Get(peer.HeaderReason) == "" {
-		a.read(resp.Body)
+		a.readStream(resp.Body)
 		return a
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		a.outcome, a.broken = outcome.Unknown, true
+		a.outcome, a.invalid = outcome.Unknown, true
 	}
 	return a
 }
@@ -108,7 +108,7 @@
 }
 
 // read follows a stream to its end and checks whose it is.
-func (a *answer) read(body io.Reader) {
+func (a *response) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	last := time.Time{}
 	for lines.Scan() {
@@ -129,15 +129,15 @@
 			a.outcome = e.Error.Outcome
 			return
 		}
-		if e.ID != a.request || a.version != "" && e.Model != a.version {
+		if e.ID != a.requestID || a.version != "" && e.Model != a.version {
 			break
 		}
-		if a.first.IsZero() {
-			a.first = now
+		if a.firstEvent.IsZero() {
+			a.firstEvent = now
 		} else {
 			a.gaps = append(a.gaps, now.Sub(last))
 		}
 		last = now
 	}
-	a.outcome, a.broken = outcome.Unknown, true
+	a.outcome, a.invalid = outcome.Unknown, true
 }
--- a/process/process.go
+++ b/process/process.go
@@ -61,10 +61,10 @@
 
 	config  Config
 	peerTLS call.Options
-	token   peer.Token
+	peerKey   peer.Token
 	stop    context.CancelFunc
 	ctx     context.Context
-	loops   sync.WaitGroup
+	background   sync.WaitGroup
 }
 
 // New prepares a process; nothing runs until Follow or Go.
@@ -84,11 +84,11 @@
 		Incarnation: uuid.NewString(),
 		Replica:     state.NewReplica(),
 		config:      c,
-		token:       key.Key,
+		peerKey:       key.Key,
 	}
 	p.peerTLS = call.Options{TLS: peerTLS, Meter: p.Meter}
 	p.Platform = call.New("platform", call.Options{Meter: p.Meter})
-	p.Peers = peer.NewClient(p.peerTLS, p.token)
+	p.Peers = peer.NewClient(p.peerTLS, p.peerKey)
 	p.Journal = &eventlog.Client{Call: p.Platform, Address: c.Platform.Log}
 	p.Directory = &relay.Directory{
 		Self:     c.Node.Box,
@@ -109,7 +109,7 @@
 func (p *Process) PeersOnce() *call.Client {
 	o := p.peerTLS
 	o.NoReuse = true
-	return peer.NewClient(o, p.token)
+	return peer.NewClient(o, p.peerKey)
 }
 
 // Listen binds an address and serves routes under the given TLS settings.
@@ -137,9 +137,9 @@
 
 // Go runs f until the process ends.
 func (p *Process) Go(f func(context.Context)) {
-	p.loops.Add(1)
+	p.background.Add(1)
 	go func() {
-		defer p.loops.Done()
+		defer p.background.Done()
 		f(p.ctx)
 	}()
 }
@@ -152,7 +152,7 @@
 	defer cancel()
 	err := p.Requests.Drain(ctx)
 	p.stop()
-	p.loops.Wait()
+	p.background.Wait()
 	for _, s := range servers {
 		if stopErr := s.Stop(ctx); err == nil {
 			err = stopErr
@@ -168,13 +168,13 @@
 		s.Kill()
 	}
 	p.stop()
-	p.loops.Wait()
+	p.background.Wait()
 }
 
 // Guard asks callers for the shared key and marks answers while draining.
 func (p *Process) Guard(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !p.token.Allowed(r) {
+		if !p.peerKey.Allowed(r) {
 			p.Log.Info("peer without the key refused", "from", r.RemoteAddr)
 			http.Error(w, "wrong or missing key", http.StatusUnauthorized)
 			return
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -211,7 +211,7 @@
 
 type checker struct{ problems Problems }
 
-func (c *checker) add(path, value, want string) {
+func (c *checker) report(path, value, want string) {
 	for _, p := range c.problems {
 		if p.Path == path {
 			return // the first word on a field is the plainest
@@ -235,7 +235,7 @@
 	}
 	c.decodeErrors(d.Decode(raw), raw)
 	for _, path := range meta.Unused {
-		c.add(path, "unknown field", "a field named on docs/SETTINGS.md")
+		c.report(path, "unknown field", "a field named on docs/SETTINGS.md")
 	}
 }
 
@@ -244,7 +244,7 @@
 	switch e := err.(type) {
 	case nil:
 	case *mapstructure.DecodeError:
-		c.add(e.Name(), valueAt(raw, e.Name()), "a value of the documented type: "+e.Unwrap().Error())
+		c.report(e.Name(), jsonAt(raw, e.Name()), "a value of the documented type: "+e.Unwrap().Error())
 	case interface{ Unwrap() []error }:
 		for _, one := range e.Unwrap() {
 			c.decodeErrors(one, raw)
@@ -252,12 +252,12 @@
 	case interface{ Unwrap() error }:
 		c.decodeErrors(e.Unwrap(), raw)
 	default:
-		c.add("settings", err.Error(), "values of the documented types")
+		c.report("settings", err.Error(), "values of the documented types")
 	}
 }
 
 // valueAt is what stands at a path, as JSON.
-func valueAt(raw map[string]any, path string) string {
+func jsonAt(raw map[string]any, path string) string {
 	var at any = raw
 	for _, name := range strings.Split(path, ".") {
 		inner, ok := at.(map[string]any)
@@ -284,11 +284,11 @@
 	c.tls("peer_tls", s.PeerTLS)
 	c.file("peer_key_file", s.PeerKeyFile)
 	c.file("operator_key_file", s.OperatorKeyFile)
-	c.number("max_in_flight", s.MaxInFlight, 1, 100000)
-	c.number("queue", s.Queue, 0, 100000)
-	c.duration("request_timeout", s.RequestTimeout, time.Second, time.Hour)
-	c.duration("drain_timeout", s.DrainTimeout, time.Second, time.Hour)
-	c.duration("plan_ttl", s.PlanTTL, time.Second, 24*time.Hour)
+	c.intRange("max_in_flight", s.MaxInFlight, 1, 100000)
+	c.intRange("queue", s.Queue, 0, 100000)
+	c.durationRange("request_timeout", s.RequestTimeout, time.Second, time.Hour)
+	c.durationRange("drain_timeout", s.DrainTimeout, time.Second, time.Hour)
+	c.durationRange("plan_ttl", s.PlanTTL, time.Second, 24*time.Hour)
 	c.choice("weighing", string(s.Weighing), string(intent.TimeToReplicas), string(intent.OriginBytes))
 	c.links(s.Links)
 	c.telemetry(s.Log, s.Trace)
@@ -301,9 +301,9 @@
 	c.address("endpoint", s.Endpoint)
 	c.tls("peer_tls", s.PeerTLS)
 	c.file("peer_key_file", s.PeerKeyFile)
-	c.number("max_in_flight", s.MaxInFlight, 1, 100000)
-	c.number("queue", s.Queue, 0, 100000)
-	c.duration("drain_timeout", s.DrainTimeout, time.Second, time.Hour)
+	c.intRange("max_in_flight", s.MaxInFlight, 1, 100000)
+	c.intRange("queue", s.Queue, 0, 100000)
+	c.durationRange("drain_timeout", s.DrainTimeout, time.Second, time.Hour)
 	c.links(s.Links)
 	c.telemetry(s.Log, s.Trace)
 }
@@ -330,16 +330,16 @@
 	c.choice("log.level", l.Level, telemetry.LevelError, telemetry.LevelInfo, telemetry.LevelDebug)
 	c.choice("trace.exporter", t.Exporter, telemetry.ExportNone, telemetry.ExportFile, telemetry.ExportOTLP)
 	if t.Exporter != telemetry.ExportNone && t.Target == "" {
-		c.add("trace.target", `""`, "a file for exporter file, host:port for otlphttp")
+		c.report("trace.target", `""`, "a file for exporter file, host:port for otlphttp")
 	}
 	if t.Sample < 0 || t.Sample > 1 {
-		c.add("trace.sample", strconv.FormatFloat(t.Sample, 'g', -1, 64), "0 to 1")
+		c.report("trace.sample", strconv.FormatFloat(t.Sample, 'g', -1, 64), "0 to 1")
 	}
 }
 
 func (c *checker) name(path, v string) {
 	if v == "" || len(v) > 64 || strings.ContainsAny(v, " /\\\"") {
-		c.add(path, strconv.Quote(v), "a name of 1 to 64 characters without space, slash or quote")
+		c.report(path, strconv.Quote(v), "a name of 1 to 64 characters without space, slash or quote")
 	}
 }
 
@@ -347,31 +347,31 @@
 	host, port, err := net.SplitHostPort(v)
 	n, bad := strconv.Atoi(port)
 	if err != nil || bad != nil || n < 0 || n > 65535 || net.ParseIP(host) == nil {
-		c.add(path, strconv.Quote(v), "an IP number and port, as in 10.0.0.7:8080")
+		c.report(path, strconv.Quote(v), "an IP number and port, as in 10.0.0.7:8080")
 	}
 }
 
-func (c *checker) number(path string, v, low, high int) {
+func (c *checker) intRange(path string, v, low, high int) {
 	if v < low || v > high {
-		c.add(path, strconv.Itoa(v), fmt.Sprintf("%d to %d", low, high))
+		c.report(path, strconv.Itoa(v), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-func (c *checker) duration(path string, v, low, high time.Duration) {
+func (c *checker) durationRange(path string, v, low, high time.Duration) {
 	if v < low || v > high {
-		c.add(path, v.String(), fmt.Sprintf("%v to %v", low, high))
+		c.report(path, v.String(), fmt.Sprintf("%v to %v", low, high))
 	}
 }
 
 func (c *checker) rate(path string, v float64) {
 	if v < 0 || v > 1e12 {
-		c.add(path, strconv.FormatFloat(v, 'g', -1, 64), "0 (not known) to 1e12 bytes a second")
+		c.report(path, strconv.FormatFloat(v, 'g', -1, 64), "0 (not known) to 1e12 bytes a second")
 	}
 }
 
 func (c *checker) choice(path, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
-		c.add(path, strconv.Quote(v), "one of "+strings.Join(allowed, ", "))
+		c.report(path, strconv.Quote(v), "one of "+strings.Join(allowed, ", "))
 	}
 }
 
@@ -380,13 +380,13 @@
 		return
 	}
 	if _, err := os.Stat(v); err != nil {
-		c.add(path, strconv.Quote(v), "a file that can be read")
+		c.report(path, strconv.Quote(v), "a file that can be read")
 	}
 }
 
 func (c *checker) tls(path string, t TLS) {
 	if (t.CertFile == "") != (t.KeyFile == "") {
-		c.add(path, "one of cert_file and key_file is missing", "both or neither")
+		c.report(path, "one of cert_file and key_file is missing", "both or neither")
 	}
 	v := reflect.ValueOf(t)
 	for i := range v.NumField() {
--- a/telemetry/pages_test.go
+++ b/telemetry/pages_test.go
@@ -22,12 +22,12 @@
 var loggingFolders = []string{"../ingress", "../installer", "../storerelay", "../storewatch", "../platform", "../cmd/mintlift/platform*.go"}
 
 // event is a log line as the code or the page has it.
-type event struct{ fields []string }
+type logEvent struct{ fields []string }
 
 // codeEvents reads the log calls of the code, and the names of metrics.
-func codeEvents(t *testing.T) (events map[string]event, metrics map[string]bool) {
+func codeEvents(t *testing.T) (events map[string]logEvent, metrics map[string]bool) {
 	t.Helper()
-	events, metrics = map[string]event{}, map[string]bool{}
+	events, metrics = map[string]logEvent{}, map[string]bool{}
 	for _, folder := range loggingFolders {
 		pattern := folder
 		if !strings.HasSuffix(folder, ".go") {
@@ -53,7 +53,7 @@
 	return events, metrics
 }
 
-func addCall(call *ast.CallExpr, events map[string]event, metrics map[string]bool) {
+func addCall(call *ast.CallExpr, events map[string]logEvent, metrics map[string]bool) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return
@@ -69,17 +69,17 @@
 	default:
 		return
 	}
-	if len(args) == 0 || text(args[0]) == "" {
+	if len(args) == 0 || stringLiteral(args[0]) == "" {
 		return
 	}
-	name := text(args[0])
+	name := stringLiteral(args[0])
 	if selector.Sel.Name != "Info" && selector.Sel.Name != "Error" {
 		metrics[name] = true
 		return
 	}
 	e := events[name]
 	for at := 1; at < len(args); at += 2 {
-		if field := text(args[at]); field != "" && !slices.Contains(e.fields, field) {
+		if field := stringLiteral(args[at]); field != "" && !slices.Contains(e.fields, field) {
 			e.fields = append(e.fields, field)
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 // text is the value of a string literal, or empty.
-func text(e ast.Expr) string {
+func stringLiteral(e ast.Expr) string {
 	literal, ok := e.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return ""
@@ -96,15 +96,15 @@
 	return value
 }
 
-var row = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|([^|]*)\\|")
+var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|([^|]*)\\|")
 
 // page reads a table of docs/LOGS.md: names and what stands beside them.
-func page(t *testing.T) map[string]string {
+func readLogsPage(t *testing.T) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("../docs/LOGS.md")
 	assert.NilError(t, err)
 	out := map[string]string{}
-	for _, match := range row.FindAllStringSubmatch(string(data), -1) {
+	for _, match := range tableRow.FindAllStringSubmatch(string(data), -1) {
 		out[match[1]] = match[2]
 	}
 	return out
@@ -114,7 +114,7 @@
 // fields, and no others.
 func TestLogsPage(t *testing.T) {
 	events, metrics := codeEvents(t)
-	listed := page(t)
+	listed := readLogsPage(t)
 	assert.Assert(t, len(events) > 20, "only %d events found in the code", len(events))
 	for name, e := range events {
 		fields, ok := listed[name]
--- a/telemetry/prefix.go
+++ b/telemetry/prefix.go
@@ -8,7 +8,7 @@
 )
 
 // nameKey is the attribute under which logr hands a logger's name to slog.
-const nameKey = "logger"
+const loggerNameKey = "logger"
 
 // prefixHandler moves a logger's name to the front of each message.
 type prefixHandler struct {
@@ -21,7 +21,7 @@
 	out := &prefixHandler{Handler: h.Handler, name: h.name}
 	var rest []slog.Attr
 	for _, a := range attrs {
-		if a.Key == nameKey {
+		if a.Key == loggerNameKey {
 			out.name = a.Value.String()
 			continue
 		}
@@ -43,7 +43,7 @@
 	out := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
 	name := h.name
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == nameKey {
+		if a.Key == loggerNameKey {
 			name = a.Value.String()
 			return true
 		}
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -12,11 +12,11 @@
 // Bounds of a Sink.
 const (
 	// sinkBytes is the most that waits to be written.
-	sinkBytes = 256 << 10
+	sinkCapacity = 256 << 10
 	// sinkReserve is kept for lines that are not about single requests.
-	sinkReserve = 64 << 10
+	sinkReserved = 64 << 10
 	// sinkFlush is how often waiting lines are written.
-	sinkFlush = 100 * time.Millisecond
+	sinkFlushInterval = 100 * time.Millisecond
 )
 
 // Sink writes log lines without ever blocking who logs. Lines wait in a
@@ -25,40 +25,40 @@
 type Sink struct {
 	out     io.Writer
 	mu      sync.Mutex
-	waiting []byte
+	buffered []byte
 	dropped uint64
-	written uint64
-	wake    chan struct{}
+	accepted uint64
+	closing    chan struct{}
 	done    chan struct{}
 }
 
 // NewSink returns a sink that writes to out from a goroutine of its own.
 func NewSink(out io.Writer) *Sink {
-	s := &Sink{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	s := &Sink{out: out, closing: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
 // Write takes one line about a single request.
-func (s *Sink) Write(line []byte) (int, error) { return s.add(line, sinkBytes-sinkReserve) }
+func (s *Sink) Write(line []byte) (int, error) { return s.add(line, sinkCapacity-sinkReserved) }
 
 // Rare returns the writer for lines about the process itself, which are
 // dropped last.
-func (s *Sink) Rare() io.Writer { return rareWriter{s} }
+func (s *Sink) Rare() io.Writer { return priorityWriter{s} }
 
-type rareWriter struct{ sink *Sink }
+type priorityWriter struct{ sink *Sink }
 
-func (w rareWriter) Write(line []byte) (int, error) { return w.sink.add(line, sinkBytes) }
+func (w priorityWriter) Write(line []byte) (int, error) { return w.sink.add(line, sinkCapacity) }
 
 func (s *Sink) add(line []byte, bound int) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting)+len(line) > bound {
+	if len(s.buffered)+len(line) > bound {
 		s.dropped++
 		return len(line), nil
 	}
-	s.waiting = append(s.waiting, line...)
-	s.written++
+	s.buffered = append(s.buffered, line...)
+	s.accepted++
 	return len(line), nil
 }
 
@@ -66,12 +66,12 @@
 func (s *Sink) Counts() (taken, dropped uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.written, s.dropped
+	return s.accepted, s.dropped
 }
 
 // Close writes what waits, for at most limit.
 func (s *Sink) Close(limit time.Duration) {
-	close(s.wake)
+	close(s.closing)
 	select {
 	case <-s.done:
 	case <-time.After(limit):
@@ -80,18 +80,18 @@
 
 func (s *Sink) run() {
 	defer close(s.done)
-	tick := time.NewTicker(sinkFlush)
+	tick := time.NewTicker(sinkFlushInterval)
 	defer tick.Stop()
 	var spare []byte
 	var told uint64
 	for open := true; open; {
 		select {
-		case _, open = <-s.wake:
+		case _, open = <-s.closing:
 		case <-tick.C:
 		}
 		s.mu.Lock()
-		lines := s.waiting
-		s.waiting = spare[:0]
+		lines := s.buffered
+		s.buffered = spare[:0]
 		dropped := s.dropped
 		s.mu.Unlock()
 		if dropped > told {
