--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -17,63 +17,63 @@
 // Data is what docs/capacity.json holds.
 type Data struct {
 	// Machine says on what the measurements ran, and Commands how.
-	Machine  string    `json:"machine"`
-	Commands []string  `json:"commands"`
-	Sizes    Sizes     `json:"sizes"`
-	Bounds   Bounds    `json:"bounds"`
+	Machine  string               `json:"machine"`
+	Commands []string             `json:"commands"`
+	Sizes    Sizes                `json:"sizes"`
+	Bounds   Bounds               `json:"bounds"`
 	Idle     []IdleMeasurement    `json:"idle"`
 	Requests []RequestMeasurement `json:"requests"`
 	State    []StateMeasurement   `json:"state"`
-	StartUp     StartUp      `json:"herd"`
+	StartUp  StartUp              `json:"herd"`
 }
 
 // Sizes are those expected within two years.
 type Sizes struct {
-	Gateways       int     `json:"gateways"`
-	Sidecars       int     `json:"sidecars"`
-	Runners        int     `json:"runners"`
-	RequestsPerSecond       float64 `json:"requests_a_second"`
-	TokensPerSecond         float64 `json:"tokens_a_second"`
+	Gateways             int     `json:"gateways"`
+	Sidecars             int     `json:"sidecars"`
+	Runners              int     `json:"runners"`
+	RequestsPerSecond    float64 `json:"requests_a_second"`
+	TokensPerSecond      float64 `json:"tokens_a_second"`
 	ChangesPerDay        int     `json:"changes_a_day"`
-	BoxesReplacedPerDay       int     `json:"boxes_replaced_a_day"`
-	BoxesFailedPerDay         int     `json:"boxes_failed_a_day"`
-	Workspaces     int     `json:"workspaces"`
-	PlansInForce   int     `json:"plans_in_force"`
+	BoxesReplacedPerDay  int     `json:"boxes_replaced_a_day"`
+	BoxesFailedPerDay    int     `json:"boxes_failed_a_day"`
+	Workspaces           int     `json:"workspaces"`
+	PlansInForce         int     `json:"plans_in_force"`
 	RolloutsPerDay       int     `json:"rollouts_a_day"`
-	WavesPerRollout  int     `json:"waves_a_rollout"`
+	WavesPerRollout      int     `json:"waves_a_rollout"`
 	RecordsPerCheckpoint int     `json:"records_a_checkpoint"`
 }
 
 // Bounds are the users' bounds on control for each daemon, and the rates that
 // their store bears, of the smallest deployment: all daemons together.
 type Bounds struct {
-	CPUPercent float64 `json:"cpu_percent_of_a_core"`
-	ResidentMB         float64 `json:"resident_mb"`
-	BytesPerSecond  float64 `json:"bytes_a_second"`
-	AppendsPerSecond    float64 `json:"appends_a_second"`
-	ReadsPerSecond      float64 `json:"reads_a_second"`
-	InForceSeconds    float64 `json:"in_force_seconds"`
+	CPUPercent       float64 `json:"cpu_percent_of_a_core"`
+	ResidentMB       float64 `json:"resident_mb"`
+	BytesPerSecond   float64 `json:"bytes_a_second"`
+	AppendsPerSecond float64 `json:"appends_a_second"`
+	ReadsPerSecond   float64 `json:"reads_a_second"`
+	InForceSeconds   float64 `json:"in_force_seconds"`
 }
 
-// Idle is the measured cost of idle control of one process.
+// IdleMeasurement is the measured cost of idle control of one process.
 type IdleMeasurement struct {
-	Sidecars int     `json:"sidecars"`
-	Role     string  `json:"role"`
-	CPUPercent      float64 `json:"cpu_percent_of_a_core"`
-	ResidentMB       float64 `json:"resident_mb"`
-	ReceivedBytesPerSecond   float64 `json:"received_bytes_a_second"`
-	SentBytesPerSecond  float64 `json:"sent_bytes_a_second"`
+	Sidecars               int     `json:"sidecars"`
+	Role                   string  `json:"role"`
+	CPUPercent             float64 `json:"cpu_percent_of_a_core"`
+	ResidentMB             float64 `json:"resident_mb"`
+	ReceivedBytesPerSecond float64 `json:"received_bytes_a_second"`
+	SentBytesPerSecond     float64 `json:"sent_bytes_a_second"`
 }
 
-// Request is the measured cost of requests at one rate.
+// RequestMeasurement is the measured cost of requests at one rate.
 type RequestMeasurement struct {
-	RequestsPerSecond      float64 `json:"requests_a_second"`
-	TokensPerRequest    float64 `json:"tokens_a_request"`
-	GatewayCPUMS float64 `json:"gateway_cpu_ms_a_request"`
-	SidecarCPUMS float64 `json:"sidecar_cpu_ms_a_request"`
+	RequestsPerSecond float64 `json:"requests_a_second"`
+	TokensPerRequest  float64 `json:"tokens_a_request"`
+	GatewayCPUMS      float64 `json:"gateway_cpu_ms_a_request"`
+	SidecarCPUMS      float64 `json:"sidecar_cpu_ms_a_request"`
 }
 
-// State is the size of a checkpoint of a state with so many parts.
+// StateMeasurement is the size of a checkpoint of a state with so many parts.
 type StateMeasurement struct {
 	Workspaces int `json:"workspaces"`
 	PlanBoxes  int `json:"plan_boxes"`
@@ -81,16 +81,16 @@
 	Bytes      int `json:"bytes"`
 }
 
-// Herd is what the start-up test saw, in virtual time.
+// StartUp is what the start-up test saw, in virtual time.
 type StartUp struct {
-	Processes       int     `json:"processes"`
+	Processes            int     `json:"processes"`
 	PeakLogReads         int     `json:"log_reads_a_second_peak"`
-	PeakLogReadsInOutage     int     `json:"log_reads_a_second_peak_log_down"`
-	CheckpointsRead     int     `json:"checkpoints_read"`
-	IdleLogReads       float64 `json:"log_reads_a_second_idle"`
-	InForceNormal     float64 `json:"in_force_seconds_calm"`
-	InForceGatewayFrozen   float64 `json:"in_force_seconds_gateway_frozen"`
-	InForceAfterOutage float64 `json:"in_force_seconds_after_outage"`
+	PeakLogReadsInOutage int     `json:"log_reads_a_second_peak_log_down"`
+	CheckpointsRead      int     `json:"checkpoints_read"`
+	IdleLogReads         float64 `json:"log_reads_a_second_idle"`
+	InForceNormal        float64 `json:"in_force_seconds_calm"`
+	InForceGatewayFrozen float64 `json:"in_force_seconds_gateway_frozen"`
+	InForceAfterOutage   float64 `json:"in_force_seconds_after_outage"`
 }
 
 // Parse reads the data strictly enough to notice a wrong file.
@@ -110,10 +110,10 @@
 	Intercept, Slope float64
 	// R2 is the share of the variance that the line explains.
 	R2 float64
-	// Worst is the largest distance of a measurement from the line, as a
+	// MaxRelativeError is the largest distance of a measurement from the line, as a
 	// share of the measurement.
 	MaxRelativeError float64
-	// Highest is the highest measurement.
+	// MaxMeasured is the highest measurement.
 	MaxMeasured float64
 }
 
@@ -133,7 +133,7 @@
 // At is the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// Upper is the line's value at x, or the highest measurement where the line
+// UpperEstimate is the line's value at x, or the highest measurement where the line
 // falls: what gets cheaper with size is not reckoned below what was seen.
 func (l Line) UpperEstimate(x float64) float64 {
 	if l.Slope < 0 {
@@ -142,7 +142,7 @@
 	return l.At(x)
 }
 
-// Quality is the fit in words.
+// Summary is the fit in words.
 func (l Line) Summary() string {
 	if l.MaxRelativeError > 0.15 {
 		return fmt.Sprintf("not straight: R² %.2f, off by up to %.0f%%", l.R2, 100*l.MaxRelativeError)
@@ -152,7 +152,7 @@
 
 func abs(v float64) float64 { return max(v, -v) }
 
-// idle fits one figure of a role over the number of sidecars.
+// fitIdle fits one figure of a role over the number of sidecars.
 func (d *Data) fitIdle(role string, of func(IdleMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Idle {
@@ -164,7 +164,7 @@
 	return Fit(x, y)
 }
 
-// requests fits processor time a request over the tokens of its answer.
+// fitRequests fits processor time a request over the tokens of its answer.
 func (d *Data) fitRequests(of func(RequestMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Requests {
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -34,26 +34,26 @@
 
 const (
 	secondsPerDay = 86400
-	megabyte    = 1e6
+	megabyte      = 1e6
 	// subsetCover and subsetMin are package route's: how many gateways work
 	// on each endpoint, and how many endpoints a gateway chooses itself.
 	subsetCover = 3
 	subsetMin   = 8
-	// originRow is the row of docs/transfer.json that the page takes.
+	// transferRowName is the row of docs/transfer.json that the page takes.
 	transferRowName = "swarm"
 )
 
 // Transfer is what the page takes from docs/transfer.json.
 type Transfer struct {
-	Name         string  `json:"name"`
-	Boxes        int     `json:"boxes"`
-	Duration          float64 `json:"all"`
-	OriginCopies float64 `json:"origin_copies"`
+	Name               string  `json:"name"`
+	Boxes              int     `json:"boxes"`
+	Duration           float64 `json:"all"`
+	OriginCopies       float64 `json:"origin_copies"`
 	CrossRegionCopies  float64 `json:"cross_copies"`
 	ControlBytesPerBox float64 `json:"control_bytes_a_box"`
 }
 
-// probed is how many endpoints one gateway works on at full size.
+// probedEndpoints is how many endpoints one gateway works on at full size.
 func (s Sizes) probedEndpoints() float64 {
 	return float64(subsetCover*s.Sidecars)/float64(s.Gateways) + subsetMin
 }
@@ -95,7 +95,7 @@
 // measuredGateways is how many gateways shared the sidecars of TestMeasureIdle.
 const measuredGateways = 2
 
-// probeRate is package gateway's probes a second for n endpoints.
+// probesPerSecond is package gateway's probes a second for n endpoints.
 func probesPerSecond(n float64) float64 {
 	const square, least, most = 0.0016, 0.5, 30.0
 	return n / min(max(n*n*square, least), most)
@@ -160,7 +160,7 @@
 	return []Row{row("gateway", gateway, s.Gateways), row("sidecar", sidecar, s.Sidecars)}
 }
 
-// records is the number of records a day.
+// recordsPerDay is the number of records a day.
 func (s Sizes) recordsPerDay() float64 {
 	plans := 2*s.RolloutsPerDay + s.RolloutsPerDay*s.WavesPerRollout
 	homes := 2 * (s.BoxesReplacedPerDay + s.BoxesFailedPerDay)
@@ -191,7 +191,7 @@
 	}
 }
 
-// boxListEvery is package relay's mean time between two looks, in seconds.
+// boxListPollSeconds is package relay's mean time between two looks, in seconds.
 const boxListPollSeconds = 2.0
 
 func (d *Data) transferRows(transfers []Transfer) []Row {
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -74,7 +74,7 @@
 	return out
 }
 
-// stateLine fits the bytes over one part, where the others are none.
+// fitState fits the bytes over one part, where the others are none.
 func (d *Data) fitState(of func(StateMeasurement) int) Line {
 	var x, y []float64
 	for _, s := range d.State {
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -48,8 +48,8 @@
 
 var (
 	sweepHeaderPattern = regexp.MustCompile(`^((?:\s+\d+)+)\s+power\s+at (\d+|null)\s*$`)
-	sweepDayPattern  = regexp.MustCompile(`^(sweep-\d+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s`)
-	cellSeparator     = regexp.MustCompile(`\s{2,}`)
+	sweepDayPattern    = regexp.MustCompile(`^(sweep-\d+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s`)
+	cellSeparator      = regexp.MustCompile(`\s{2,}`)
 )
 
 // ParseSweep reads a report.
--- a/explain/causes.go
+++ b/explain/causes.go
@@ -21,9 +21,9 @@
 	Window  time.Time `json:"window"`
 	Outcome string    `json:"outcome"`
 	Cause   string    `json:"cause"`
-	// Returned says that the callers had been refused before.
+	// CallerRetry says that the callers had been refused before.
 	CallerRetry bool `json:"returned"`
-	Requests int  `json:"requests"`
+	Requests    int  `json:"requests"`
 }
 
 // Causes counts requests by window, outcome and cause. Use Add for each log
@@ -38,12 +38,12 @@
 	return &Causes{window: window, counts: make(map[Cause]int)}
 }
 
-// ended is the log line with which a request ends.
+// requestEnd is the log line with which a request ends.
 type requestEnd struct {
-	Time     time.Time `json:"time"`
-	Request  string    `json:"request"`
-	Outcome  string    `json:"outcome"`
-	Cause    string    `json:"cause"`
+	Time        time.Time `json:"time"`
+	Request     string    `json:"request"`
+	Outcome     string    `json:"outcome"`
+	Cause       string    `json:"cause"`
 	CallerRetry bool      `json:"returned"`
 }
 
@@ -62,16 +62,16 @@
 			continue // a cut line, or one about something else
 		}
 		c.counts[Cause{
-			Window:   line.Time.Truncate(c.window),
-			Outcome:  line.Outcome,
-			Cause:    causeKind(line.Cause),
+			Window:      line.Time.Truncate(c.window),
+			Outcome:     line.Outcome,
+			Cause:       causeKind(line.Cause),
 			CallerRetry: line.CallerRetry,
 		}]++
 	}
 	return errors.Trace(scanner.Err())
 }
 
-// kindOf leaves out of a cause what differs from request to request: what
+// causeKind leaves out of a cause what differs from request to request: what
 // follows the first colon of an error is addresses and system calls.
 func causeKind(cause string) string {
 	kind, _, _ := strings.Cut(cause, ": ")
--- a/httpserve/httpserve.go
+++ b/httpserve/httpserve.go
@@ -44,7 +44,7 @@
 // Methods are the methods that plain services are called with.
 var Methods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
-// maxDepth is how many path segments may follow a route of DeepRoutes:
+// maxSubpathSegments is how many path segments may follow a route of DeepRoutes:
 // rest's router knows no catch-all.
 const maxSubpathSegments = 8
 
@@ -60,7 +60,7 @@
 
 // Server is a listening HTTP server. Use Listen.
 type Server struct {
-	server     *http.Server
+	server   *http.Server
 	listener net.Listener
 }
 
@@ -98,7 +98,7 @@
 		ln = tls.NewListener(ln, o.TLS)
 	}
 	s := &Server{
-		server:     &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout},
+		server:   &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout},
 		listener: ln,
 	}
 	go func() { _ = s.server.Serve(ln) }() // ends with ErrServerClosed at Close
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -19,16 +19,16 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// lookEvery is how often a file's time is looked at.
+// checkInterval is how often a file's time is looked at.
 const checkInterval = time.Second
 
-// watched calls read when one of the files has changed.
+// fileWatcher calls read when one of the files has changed.
 type fileWatcher struct {
-	mu     sync.Mutex
-	files  []string
+	mu        sync.Mutex
+	files     []string
 	lastCheck time.Time
-	modTime  time.Time
-	reload   func() error
+	modTime   time.Time
+	reload    func() error
 }
 
 func (w *fileWatcher) refresh() error {
@@ -100,12 +100,12 @@
 	return f.key
 }
 
-// pair is a certificate with its clients' authority.
+// keyPair is a certificate with its clients' authority.
 type keyPair struct {
-	watch fileWatcher
-	mu    sync.Mutex
-	cert  *tls.Certificate
-	clientCAs  *x509.CertPool
+	watch     fileWatcher
+	mu        sync.Mutex
+	cert      *tls.Certificate
+	clientCAs *x509.CertPool
 }
 
 func openKeyPair(t settings.TLS) (*keyPair, error) {
--- a/load/load.go
+++ b/load/load.go
@@ -96,9 +96,9 @@
 
 // Histogram bounds, in microseconds.
 const (
-	histogramMin  = 1
-	histogramMax = 10 * 60 * 1000 * 1000
-	histogramDigits  = 3
+	histogramMin    = 1
+	histogramMax    = 10 * 60 * 1000 * 1000
+	histogramDigits = 3
 )
 
 // ClassReport is what became of a class's requests. Times are in
@@ -137,25 +137,25 @@
 
 // recorder collects one class's results.
 type recorder struct {
-	mu       sync.Mutex
-	report   ClassReport
+	mu            sync.Mutex
+	report        ClassReport
 	firstToken    *hdrhistogram.Histogram
-	betweenTokens  *hdrhistogram.Histogram
-	total    *hdrhistogram.Histogram
-	refused  *hdrhistogram.Histogram
-	versions map[string]int
-	notRun   []string
+	betweenTokens *hdrhistogram.Histogram
+	total         *hdrhistogram.Histogram
+	refused       *hdrhistogram.Histogram
+	versions      map[string]int
+	notRun        []string
 }
 
 func newRecorder(name string) *recorder {
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(histogramMin, histogramMax, histogramDigits) }
 	return &recorder{
-		report:   ClassReport{Name: name, Outcomes: make(map[outcome.Outcome]int)},
+		report:        ClassReport{Name: name, Outcomes: make(map[outcome.Outcome]int)},
 		firstToken:    h(),
-		betweenTokens:  h(),
-		total:    h(),
-		refused:  h(),
-		versions: make(map[string]int),
+		betweenTokens: h(),
+		total:         h(),
+		refused:       h(),
+		versions:      make(map[string]int),
 	}
 }
 
@@ -168,7 +168,7 @@
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99)}
 }
 
-// take records one answer.
+// add records one answer.
 func (r *recorder) add(a response, intended time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,7 +242,7 @@
 	return out, nil
 }
 
-// pick chooses a class by its share.
+// pickClass chooses a class by its share.
 func pickClass(classes []Class, at float64) int {
 	sum := 0.0
 	for _, c := range classes {
--- a/load/send.go
+++ b/load/send.go
@@ -20,14 +20,14 @@
 	"github.com/mintlift/mintlift/peer"
 )
 
-// order is one request to send.
+// requestSpec is one request to send.
 type requestSpec struct {
 	path, key, idempotencyKey string
-	body            []byte
-	stream          bool
+	body                      []byte
+	stream                    bool
 }
 
-// order draws a request of the class.
+// requestSpec draws a request of the class.
 func (c *Class) newRequest(rng *rand.Rand) requestSpec {
 	o := requestSpec{key: c.key}
 	if rng.Float64() < c.NotRepeatable {
@@ -51,13 +51,13 @@
 	return newSender().send(ctx, target, o).outcome
 }
 
-// answer is what came back.
+// response is what came back.
 type response struct {
 	requestID, version string
-	outcome          outcome.Outcome
-	firstEvent, end       time.Time
-	gaps             []time.Duration
-	invalid           bool
+	outcome            outcome.Outcome
+	firstEvent, end    time.Time
+	gaps               []time.Duration
+	invalid            bool
 }
 
 // sender sends requests over a pool of connections.
@@ -107,7 +107,7 @@
 	Error *peer.RefusalError `json:"error"`
 }
 
-// read follows a stream to its end and checks whose it is.
+// readStream follows a stream to its end and checks whose it is.
 func (a *response) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	last := time.Time{}
--- a/process/process.go
+++ b/process/process.go
@@ -59,12 +59,12 @@
 	// Requests counts the requests in progress.
 	Requests drain.Tracker
 
-	config  Config
-	peerTLS call.Options
-	peerKey   peer.Token
-	stop    context.CancelFunc
-	ctx     context.Context
-	background   sync.WaitGroup
+	config     Config
+	peerTLS    call.Options
+	peerKey    peer.Token
+	stop       context.CancelFunc
+	ctx        context.Context
+	background sync.WaitGroup
 }
 
 // New prepares a process; nothing runs until Follow or Go.
@@ -84,7 +84,7 @@
 		Incarnation: uuid.NewString(),
 		Replica:     state.NewReplica(),
 		config:      c,
-		peerKey:       key.Key,
+		peerKey:     key.Key,
 	}
 	p.peerTLS = call.Options{TLS: peerTLS, Meter: p.Meter}
 	p.Platform = call.New("platform", call.Options{Meter: p.Meter})
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -256,7 +256,7 @@
 	}
 }
 
-// valueAt is what stands at a path, as JSON.
+// jsonAt is what stands at a path, as JSON.
 func jsonAt(raw map[string]any, path string) string {
 	var at any = raw
 	for _, name := range strings.Split(path, ".") {
--- a/telemetry/pages_test.go
+++ b/telemetry/pages_test.go
@@ -21,7 +21,7 @@
 // A daemon's start stands in several files of cmd/mintlift.
 var loggingFolders = []string{"../ingress", "../installer", "../storerelay", "../storewatch", "../platform", "../cmd/mintlift/platform*.go"}
 
-// event is a log line as the code or the page has it.
+// logEvent is a log line as the code or the page has it.
 type logEvent struct{ fields []string }
 
 // codeEvents reads the log calls of the code, and the names of metrics.
@@ -86,7 +86,7 @@
 	events[name] = e
 }
 
-// text is the value of a string literal, or empty.
+// stringLiteral is the value of a string literal, or empty.
 func stringLiteral(e ast.Expr) string {
 	literal, ok := e.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -98,7 +98,7 @@
 
 var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|([^|]*)\\|")
 
-// page reads a table of docs/LOGS.md: names and what stands beside them.
+// readLogsPage reads a table of docs/LOGS.md: names and what stands beside them.
 func readLogsPage(t *testing.T) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("../docs/LOGS.md")
--- a/telemetry/prefix.go
+++ b/telemetry/prefix.go
@@ -7,7 +7,7 @@
 	"log/slog"
 )
 
-// nameKey is the attribute under which logr hands a logger's name to slog.
+// loggerNameKey is the attribute under which logr hands a logger's name to slog.
 const loggerNameKey = "logger"
 
 // prefixHandler moves a logger's name to the front of each message.
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -11,11 +11,11 @@
 
 // Bounds of a Sink.
 const (
-	// sinkBytes is the most that waits to be written.
+	// sinkCapacity is the most that waits to be written.
 	sinkCapacity = 256 << 10
-	// sinkReserve is kept for lines that are not about single requests.
+	// sinkReserved is kept for lines that are not about single requests.
 	sinkReserved = 64 << 10
-	// sinkFlush is how often waiting lines are written.
+	// sinkFlushInterval is how often waiting lines are written.
 	sinkFlushInterval = 100 * time.Millisecond
 )
 
@@ -23,13 +23,13 @@
 // bounded buffer; what does not fit is dropped and counted, and the count
 // is told in a line of its own.
 type Sink struct {
-	out     io.Writer
-	mu      sync.Mutex
+	out      io.Writer
+	mu       sync.Mutex
 	buffered []byte
-	dropped uint64
+	dropped  uint64
 	accepted uint64
-	closing    chan struct{}
-	done    chan struct{}
+	closing  chan struct{}
+	done     chan struct{}
 }
 
 // NewSink returns a sink that writes to out from a goroutine of its own.
