--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package capacity works out what each role costs at a given size from
-// slopes that were measured. The measurements and the sizes are data
-// (docs/capacity.json); the page docs/CAPACITY.md is made from them, and a
-// test fails when the two disagree.
+// Package capacity extrapolates the resource usage of each role to a given
+// deployment size from measurements. The measurements and sizes are read from
+// docs/capacity.json; docs/CAPACITY.md is generated from them.
 package capacity
 
 import (
@@ -14,9 +13,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Data is what docs/capacity.json holds.
+// Data is the content of docs/capacity.json.
 type Data struct {
-	// Machine says on what the measurements ran, and Commands how.
+	// Machine describes the hardware of the measurements; Commands are the
+	// command lines that produced them.
 	Machine  string               `json:"machine"`
 	Commands []string             `json:"commands"`
 	Sizes    Sizes                `json:"sizes"`
@@ -27,7 +27,7 @@
 	StartUp  StartUp              `json:"herd"`
 }
 
-// Sizes are those expected within two years.
+// Sizes is the deployment size to extrapolate to.
 type Sizes struct {
 	Gateways             int     `json:"gateways"`
 	Sidecars             int     `json:"sidecars"`
@@ -44,8 +44,9 @@
 	RecordsPerCheckpoint int     `json:"records_a_checkpoint"`
 }
 
-// Bounds are the users' bounds on control for each daemon, and the rates that
-// their store bears, of the smallest deployment: all daemons together.
+// Bounds are the users' limits on the control plane: CPU, memory and traffic
+// of each daemon, the request rates that the store of the smallest deployment
+// supports for all daemons together, and the time until a change is in force.
 type Bounds struct {
 	CPUPercent       float64 `json:"cpu_percent_of_a_core"`
 	ResidentMB       float64 `json:"resident_mb"`
@@ -55,7 +56,8 @@
 	InForceSeconds   float64 `json:"in_force_seconds"`
 }
 
-// IdleMeasurement is the measured cost of idle control of one process.
+// IdleMeasurement is the resource usage of one process of Role without
+// requests.
 type IdleMeasurement struct {
 	Sidecars               int     `json:"sidecars"`
 	Role                   string  `json:"role"`
@@ -65,7 +67,7 @@
 	SentBytesPerSecond     float64 `json:"sent_bytes_a_second"`
 }
 
-// RequestMeasurement is the measured cost of requests at one rate.
+// RequestMeasurement is the CPU time per request at one request rate.
 type RequestMeasurement struct {
 	RequestsPerSecond float64 `json:"requests_a_second"`
 	TokensPerRequest  float64 `json:"tokens_a_request"`
@@ -73,7 +75,8 @@
 	SidecarCPUMS      float64 `json:"sidecar_cpu_ms_a_request"`
 }
 
-// StateMeasurement is the size of a checkpoint of a state with so many parts.
+// StateMeasurement is the size of the checkpoint of a state with the given
+// numbers of workspaces, boxes of one plan, and homes.
 type StateMeasurement struct {
 	Workspaces int `json:"workspaces"`
 	PlanBoxes  int `json:"plan_boxes"`
@@ -81,7 +84,8 @@
 	Bytes      int `json:"bytes"`
 }
 
-// StartUp is what the start-up test saw, in virtual time.
+// StartUp is the log load and the configuration delay when all processes start
+// at once, measured in virtual time.
 type StartUp struct {
 	Processes            int     `json:"processes"`
 	PeakLogReads         int     `json:"log_reads_a_second_peak"`
@@ -93,7 +97,8 @@
 	InForceAfterOutage   float64 `json:"in_force_seconds_after_outage"`
 }
 
-// Parse reads the data strictly enough to notice a wrong file.
+// Parse decodes the content of docs/capacity.json. Data without measurements
+// of each kind is an errors.NotValid error.
 func Parse(b []byte) (Data, error) {
 	var d Data
 	if err := json.Unmarshal(b, &d); err != nil {
@@ -105,19 +110,18 @@
 	return d, nil
 }
 
-// Line is a straight line fitted to measurements.
+// Line is a linear fit of measurements.
 type Line struct {
 	Intercept, Slope float64
-	// R2 is the share of the variance that the line explains.
+	// R2 is the coefficient of determination.
 	R2 float64
-	// MaxRelativeError is the largest distance of a measurement from the line, as a
-	// share of the measurement.
+	// MaxRelativeError is the largest error of the line at a measurement,
+	// relative to that measurement.
 	MaxRelativeError float64
-	// MaxMeasured is the highest measurement.
-	MaxMeasured float64
+	MaxMeasured      float64
 }
 
-// Fit fits a line by least squares.
+// Fit returns the least-squares line through the points (x[i], y[i]).
 func Fit(x, y []float64) Line {
 	at0, slope := stat.LinearRegression(x, y, nil, false)
 	l := Line{Intercept: at0, Slope: slope, R2: stat.RSquared(x, y, nil, at0, slope)}
@@ -130,11 +134,11 @@
 	return l
 }
 
-// At is the line's value at x.
+// At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// UpperEstimate is the line's value at x, or the highest measurement where the line
-// falls: what gets cheaper with size is not reckoned below what was seen.
+// UpperEstimate returns the line's value at x, or MaxMeasured if the slope is
+// negative, so that nothing is extrapolated below the measurements.
 func (l Line) UpperEstimate(x float64) float64 {
 	if l.Slope < 0 {
 		return l.MaxMeasured
@@ -142,7 +146,7 @@
 	return l.At(x)
 }
 
-// Summary is the fit in words.
+// Summary describes the quality of the fit.
 func (l Line) Summary() string {
 	if l.MaxRelativeError > 0.15 {
 		return fmt.Sprintf("not straight: R² %.2f, off by up to %.0f%%", l.R2, 100*l.MaxRelativeError)
@@ -152,29 +156,31 @@
 
 func abs(v float64) float64 { return max(v, -v) }
 
-// fitIdle fits one figure of a role over the number of sidecars.
-func (d *Data) fitIdle(role string, of func(IdleMeasurement) float64) Line {
+// fitIdle fits a value of a role's idle measurements over the number of
+// sidecars.
+func (d *Data) fitIdle(role string, value func(IdleMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Idle {
 		if r.Role == role {
 			x = append(x, float64(r.Sidecars))
-			y = append(y, of(r))
+			y = append(y, value(r))
 		}
 	}
 	return Fit(x, y)
 }
 
-// fitRequests fits processor time a request over the tokens of its answer.
-func (d *Data) fitRequests(of func(RequestMeasurement) float64) Line {
+// fitRequests fits CPU time per request over the tokens of its response.
+func (d *Data) fitRequests(value func(RequestMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Requests {
 		x = append(x, r.TokensPerRequest)
-		y = append(y, of(r))
+		y = append(y, value(r))
 	}
 	return Fit(x, y)
 }
 
-// Committed works the page out from the two committed files.
+// Committed returns the rows of the page for the contents of docs/capacity.json
+// and docs/transfer.json.
 func Committed(data, transfer []byte) ([]Row, error) {
 	d, err := Parse(data)
 	if err != nil {
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -14,8 +14,9 @@
 
 const page = "../docs/CAPACITY.md"
 
-// TestPageAgrees fails when the page's table and the data disagree.
-func TestPageAgrees(t *testing.T) {
+// TestPageMatchesData guards against a table in docs/CAPACITY.md that is older
+// than docs/capacity.json or docs/transfer.json.
+func TestPageMatchesData(t *testing.T) {
 	rows, err := Committed(docs.Capacity, docs.Transfer)
 	assert.NilError(t, err)
 	var want strings.Builder
@@ -25,9 +26,9 @@
 	assert.Assert(t, strings.Contains(string(b), want.String()), "docs/CAPACITY.md is not what `go run ./cmd/mintlift capacity` prints:\n%s", want.String())
 }
 
-// TestPageAgreesWithSweeps fails when the page's tables and the reports in
-// docs/sweeps disagree.
-func TestPageAgreesWithSweeps(t *testing.T) {
+// TestPageMatchesSweeps guards against tables in docs/CAPACITY.md that are older
+// than the reports in docs/sweeps.
+func TestPageMatchesSweeps(t *testing.T) {
 	sweeps, err := Sweeps(docs.Sweeps)
 	assert.NilError(t, err)
 	assert.Assert(t, len(sweeps) > 0)
@@ -69,8 +70,8 @@
 	assert.ErrorContains(t, err, "1 days")
 }
 
-// TestStateSlopes measures the state's sizes anew: they are the same every
-// run.
+// TestStateSlopes guards against committed checkpoint sizes that differ from
+// those of the current code. The sizes are deterministic.
 func TestStateSlopes(t *testing.T) {
 	d, err := Parse(docs.Capacity)
 	assert.NilError(t, err)
@@ -80,8 +81,8 @@
 func TestFit(t *testing.T) {
 	l := Fit([]float64{1, 2, 4}, []float64{12, 14, 18})
 	assert.Assert(t, abs(l.Intercept-10) < 1e-9 && abs(l.Slope-2) < 1e-9 && l.MaxRelativeError < 1e-9)
-	bent := Fit([]float64{1, 2, 4}, []float64{1, 4, 16})
-	assert.Assert(t, strings.HasPrefix(bent.Summary(), "not straight"), bent.Summary())
+	curved := Fit([]float64{1, 2, 4}, []float64{1, 4, 16})
+	assert.Assert(t, strings.HasPrefix(curved.Summary(), "not straight"), curved.Summary())
 	assert.Equal(t, Row{Value: 2, Bound: 1}.Verdict(), "**over**")
 	assert.Equal(t, Row{Value: 1, Bound: 1}.Verdict(), "within")
 }
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -8,19 +8,21 @@
 	"math"
 )
 
-// Row is a line of the page: one figure of one role at full size.
+// Row is one figure of one role at full size. Its field names are part of the
+// output of "mintlift capacity --json".
 type Row struct {
 	Role, What string
-	// Value at full size, in Unit; Bound is 0 where the users set none.
+	// Value and Bound are in Unit; Bound is 0 if the figure has no limit.
 	Value, Bound float64
 	Unit         string
-	// Source is the slope, its fit, and what measured it.
+	// Source describes the fit and names the test or file with the measurements.
 	Source string
-	// Mechanism carries the row.
+	// Mechanism names the code that determines the figure.
 	Mechanism string
 }
 
-// Verdict compares the value with the bound.
+// Verdict returns the page's text for whether Value is within Bound; it is
+// empty without a bound.
 func (r Row) Verdict() string {
 	switch {
 	case r.Bound == 0:
@@ -35,15 +37,16 @@
 const (
 	secondsPerDay = 86400
 	megabyte      = 1e6
-	// subsetCover and subsetMin are package route's: how many gateways work
-	// on each endpoint, and how many endpoints a gateway chooses itself.
+	// subsetCover and subsetMin are the constants of package route: how many
+	// gateways select each endpoint, and how many endpoints each gateway
+	// selects in addition.
 	subsetCover = 3
 	subsetMin   = 8
-	// transferRowName is the row of docs/transfer.json that the page takes.
+	// transferRowName selects the rows of docs/transfer.json for the page.
 	transferRowName = "swarm"
 )
 
-// Transfer is what the page takes from docs/transfer.json.
+// Transfer is one row of docs/transfer.json.
 type Transfer struct {
 	Name               string  `json:"name"`
 	Boxes              int     `json:"boxes"`
@@ -53,12 +56,12 @@
 	ControlBytesPerBox float64 `json:"control_bytes_a_box"`
 }
 
-// probedEndpoints is how many endpoints one gateway works on at full size.
+// probedEndpoints returns how many endpoints a gateway probes at full size.
 func (s Sizes) probedEndpoints() float64 {
 	return float64(subsetCover*s.Sidecars)/float64(s.Gateways) + subsetMin
 }
 
-// Rows works the page out.
+// Rows returns the rows of the page.
 func Rows(d Data, transfers []Transfer) []Row {
 	rows := append(d.controlRows("gateway", d.Sizes.probedEndpoints()), d.controlRows("sidecar", float64(d.Sizes.Sidecars))...)
 	rows = append(rows, d.stateRow())
@@ -71,7 +74,7 @@
 	cpu := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.CPUPercent })
 	mb := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.ResidentMB })
 	net := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.ReceivedBytesPerSecond + i.SentBytesPerSecond })
-	carries := map[string]string{
+	mechanism := map[string]string{
 		"gateway": "`route.Subset` bounds whom it probes, `gateway.probeSquare` how often",
 		"sidecar": "`relay`: one long poll of one gateway; no call to other sidecars when idle",
 	}[role]
@@ -81,31 +84,35 @@
 		}
 		return fmt.Sprintf("%.3g + %.3g %s an endpoint, at %.0f (%s); TestMeasureIdle", l.Intercept, l.Slope, unit, n, l.Summary())
 	}
-	traffic := Row{Role: role, What: "control traffic, both ways", Value: net.UpperEstimate(n), Bound: d.Bounds.BytesPerSecond, Unit: "bytes/s", Source: source(net, "B/s"), Mechanism: carries}
+	traffic := Row{Role: role, What: "control traffic, both ways", Value: net.UpperEstimate(n), Bound: d.Bounds.BytesPerSecond, Unit: "bytes/s", Source: source(net, "B/s"), Mechanism: mechanism}
 	if role == "gateway" {
 		traffic.Value, traffic.Source = d.gatewayTraffic(n)
 	}
 	return []Row{
-		{Role: role, What: "processor, idle control", Value: cpu.UpperEstimate(n), Bound: d.Bounds.CPUPercent, Unit: "% of a core", Source: source(cpu, "%"), Mechanism: carries},
-		{Role: role, What: "resident memory, idle", Value: mb.UpperEstimate(n), Bound: d.Bounds.ResidentMB, Unit: "MB", Source: source(mb, "MB"), Mechanism: carries},
+		{Role: role, What: "processor, idle control", Value: cpu.UpperEstimate(n), Bound: d.Bounds.CPUPercent, Unit: "% of a core", Source: source(cpu, "%"), Mechanism: mechanism},
+		{Role: role, What: "resident memory, idle", Value: mb.UpperEstimate(n), Bound: d.Bounds.ResidentMB, Unit: "MB", Source: source(mb, "MB"), Mechanism: mechanism},
 		traffic,
 	}
 }
 
-// measuredGateways is how many gateways shared the sidecars of TestMeasureIdle.
+// measuredGateways is the number of gateways that shared the sidecars in
+// TestMeasureIdle.
 const measuredGateways = 2
 
-// probesPerSecond is package gateway's probes a second for n endpoints.
+// probesPerSecond returns how many probes a gateway sends per second to n
+// endpoints, by the constants of package gateway.
 func probesPerSecond(n float64) float64 {
-	const square, least, most = 0.0016, 0.5, 30.0
-	return n / min(max(n*n*square, least), most)
+	const square, minCycle, maxCycle = 0.0016, 0.5, 30.0 // seconds
+	return n / min(max(n*n*square, minCycle), maxCycle)
 }
 
-// gatewayTraffic works out a gateway's control traffic from two slopes: what
-// a probe costs, and what a sidecar costs that reads the log from it. A
-// line over the number of sidecars would not do, because probes get rarer
-// as endpoints get more.
+// gatewayTraffic estimates a gateway's control traffic in bytes per second and
+// describes the fit. It fits two coefficients, bytes per probe and bytes per
+// second for each sidecar that reads the log from the gateway, because the
+// probe rate is not linear in the number of endpoints.
 func (d *Data) gatewayTraffic(probed float64) (float64, string) {
+	// Sums of the normal equations: p is the probe rate, r the number of
+	// sidecars that read from the gateway, y the traffic.
 	var pp, pr, rr, py, ry float64
 	for _, i := range d.Idle {
 		if i.Role != "gateway" {
@@ -116,30 +123,30 @@
 		py, ry = py+p*y, ry+r*y
 	}
 	det := pp*rr - pr*pr
-	probe, relayed := (py*rr-ry*pr)/det, (ry*pp-py*pr)/det
-	worst := 0.0
+	probeBytes, sidecarBytes := (py*rr-ry*pr)/det, (ry*pp-py*pr)/det
+	maxError := 0.0
 	for _, i := range d.Idle {
 		if i.Role != "gateway" {
 			continue
 		}
 		y := i.ReceivedBytesPerSecond + i.SentBytesPerSecond
-		worst = max(worst, abs(probe*probesPerSecond(float64(i.Sidecars))+relayed*float64(i.Sidecars)/measuredGateways-y)/y)
+		maxError = max(maxError, abs(probeBytes*probesPerSecond(float64(i.Sidecars))+sidecarBytes*float64(i.Sidecars)/measuredGateways-y)/y)
 	}
 	sidecars := float64(d.Sizes.Sidecars) / float64(d.Sizes.Gateways)
-	source := fmt.Sprintf("%.0f B a probe, %.1f of them a second for %.0f endpoints; %.0f B/s a sidecar that reads the log here, %.0f of them (two slopes through three sizes, off by up to %.0f%%); TestMeasureIdle", probe, probesPerSecond(probed), probed, relayed, sidecars, 100*worst)
-	return probe*probesPerSecond(probed) + relayed*sidecars, source
+	source := fmt.Sprintf("%.0f B a probe, %.1f of them a second for %.0f endpoints; %.0f B/s a sidecar that reads the log here, %.0f of them (two slopes through three sizes, off by up to %.0f%%); TestMeasureIdle", probeBytes, probesPerSecond(probed), probed, sidecarBytes, sidecars, 100*maxError)
+	return probeBytes*probesPerSecond(probed) + sidecarBytes*sidecars, source
 }
 
 func (d *Data) stateRow() Row {
 	perWorkspace := d.fitState(func(s StateMeasurement) int { return s.Workspaces })
-	perStep := d.fitState(func(s StateMeasurement) int { return s.PlanBoxes })
+	perPlanBox := d.fitState(func(s StateMeasurement) int { return s.PlanBoxes })
 	perHome := d.fitState(func(s StateMeasurement) int { return s.Homes })
 	s := d.Sizes
 	bytes := perWorkspace.Intercept + perWorkspace.Slope*float64(s.Workspaces) +
-		perStep.Slope*float64(s.PlansInForce*s.Sidecars) + perHome.Slope*float64(s.Sidecars)
+		perPlanBox.Slope*float64(s.PlansInForce*s.Sidecars) + perHome.Slope*float64(s.Sidecars)
 	return Row{
 		Role: "every process", What: "state, as a checkpoint", Value: bytes / megabyte, Unit: "MB",
-		Source:    fmt.Sprintf("%.0f B a workspace, %.0f a box of a plan in force, %.0f a home (bytes, the same every run; TestStateSlopes)", perWorkspace.Slope, perStep.Slope, perHome.Slope),
+		Source:    fmt.Sprintf("%.0f B a workspace, %.0f a box of a plan in force, %.0f a home (bytes, the same every run; TestStateSlopes)", perWorkspace.Slope, perPlanBox.Slope, perHome.Slope),
 		Mechanism: "`state` keeps plans in force, 64 others, 4,096 record ids",
 	}
 }
@@ -160,7 +167,8 @@
 	return []Row{row("gateway", gateway, s.Gateways), row("sidecar", sidecar, s.Sidecars)}
 }
 
-// recordsPerDay is the number of records a day.
+// recordsPerDay returns the number of records appended to the log per day,
+// checkpoints included.
 func (s Sizes) recordsPerDay() float64 {
 	plans := 2*s.RolloutsPerDay + s.RolloutsPerDay*s.WavesPerRollout
 	homes := 2 * (s.BoxesReplacedPerDay + s.BoxesFailedPerDay)
@@ -191,7 +199,8 @@
 	}
 }
 
-// boxListPollSeconds is package relay's mean time between two looks, in seconds.
+// boxListPollSeconds is the mean time between a gateway's reads of the box list
+// in package relay.
 const boxListPollSeconds = 2.0
 
 func (d *Data) transferRows(transfers []Transfer) []Row {
@@ -210,7 +219,7 @@
 	return out
 }
 
-// Markdown prints the rows as a table.
+// Markdown writes the rows as a Markdown table.
 func Markdown(w io.Writer, rows []Row) {
 	fmt.Fprintln(w, "| role | what | at full size | bound | | slope and source | carried by |")
 	fmt.Fprintln(w, "|---|---|---:|---:|---|---|---|")
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -15,12 +15,12 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// MeasureState returns the size of a state with so many workspaces, one
-// confirmed plan over planBoxes boxes, and homes.
+// MeasureState returns the checkpoint size of a state with the given numbers of
+// workspaces and homes, and one confirmed plan over planBoxes boxes.
 func MeasureState(workspaces, planBoxes, homes int) StateMeasurement {
 	r := state.NewReplica()
 	var entries []eventlog.Entry
-	add := func(kind eventlog.Kind, body any) {
+	appendRecord := func(kind eventlog.Kind, body any) {
 		rec, err := eventlog.NewRecord(kind, "entry-01", time.UnixMilli(1_800_000_000_000), body)
 		if err != nil {
 			panic("capacity: record does not marshal: " + err.Error()) // plain fields always marshal
@@ -33,17 +33,17 @@
 		entries = append(entries, eventlog.Entry{Offset: int64(len(entries)), Data: b})
 	}
 	for i := range workspaces {
-		add(state.KindWorkspaceSet, state.WorkspaceSet{Workspace: workspace.Workspace{Name: fmt.Sprintf("workspace-%04d", i), KeyHash: workspace.HashKey("k"), Priority: 50}})
+		appendRecord(state.KindWorkspaceSet, state.WorkspaceSet{Workspace: workspace.Workspace{Name: fmt.Sprintf("workspace-%04d", i), KeyHash: workspace.HashKey("k"), Priority: 50}})
 	}
 	if planBoxes > 0 {
-		add(state.KindPlanProposed, state.PlanProposed{Plan: samplePlan(planBoxes)})
-		add(state.KindPlanConfirmed, state.PlanRef{Plan: "plan-1"})
+		appendRecord(state.KindPlanProposed, state.PlanProposed{Plan: samplePlan(planBoxes)})
+		appendRecord(state.KindPlanConfirmed, state.PlanRef{Plan: "plan-1"})
 	}
 	if homes > 0 {
-		add(state.KindHomesChanged, sampleHomes(homes))
+		appendRecord(state.KindHomesChanged, sampleHomes(homes))
 	}
 	if err := r.Apply(entries); err != nil {
-		panic("capacity: own records do not apply: " + err.Error()) // broken invariant
+		panic("capacity: generated records do not apply: " + err.Error()) // unreachable: the records are valid
 	}
 	return StateMeasurement{Workspaces: workspaces, PlanBoxes: planBoxes, Homes: homes, Bytes: len(r.Checkpoint().State)}
 }
@@ -64,8 +64,8 @@
 	return c
 }
 
-// StateCases are the states that docs/capacity.json holds: three sizes of
-// each part.
+// StateCases measures the states of docs/capacity.json: three sizes each for
+// workspaces, plan boxes and homes.
 func StateCases() []StateMeasurement {
 	var out []StateMeasurement
 	for _, n := range []int{100, 200, 400} {
@@ -74,11 +74,12 @@
 	return out
 }
 
-// fitState fits the bytes over one part, where the others are none.
-func (d *Data) fitState(of func(StateMeasurement) int) Line {
+// fitState fits the checkpoint size over one kind of content, using the
+// measurements that have any of it.
+func (d *Data) fitState(count func(StateMeasurement) int) Line {
 	var x, y []float64
 	for _, s := range d.State {
-		if n := of(s); n > 0 {
+		if n := count(s); n > 0 {
 			x = append(x, float64(n))
 			y = append(y, float64(s.Bytes))
 		}
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -14,35 +14,39 @@
 	"github.com/juju/errors"
 )
 
-// Sweep is a report of the same day at several sizes of a deployment, as the
-// users' bench prints it.
+// Sweep is a report of the users' bench on the same test day at several sizes
+// of a deployment. Its field names, and those of SweepDay and SweepRow, are part
+// of the output of "mintlift capacity --json".
 type Sweep struct {
 	// Site is the deployment's name.
 	Site string
-	// Sizes are the numbers of our machines, and Target the one to which each
-	// figure is carried on, or 0 if the deployment names none.
+	// Sizes are numbers of mintlift boxes. Target is the number to which the
+	// figures are extrapolated, or 0 if there is none.
 	Sizes  []int
 	Target int
 	Days   []SweepDay
 	Rows   []SweepRow
 }
 
-// SweepDay is how the day ended at one size.
+// SweepDay is the result at one size.
 type SweepDay struct {
-	Name          string
+	Name string
+	// Worth is the credit earned, Served the requests completed, both as shares
+	// of the whole day.
 	Worth, Served float64
-	// Broken are the rules that were broken, or empty.
+	// Broken lists the bench rules that were violated; empty means none.
 	Broken string
 }
 
 // SweepRow is one figure at each size.
 type SweepRow struct {
 	Name string
-	// Busiest is the figure of the busiest machine, or the longest time, as the
-	// report gives it.
+	// Busiest is the figure of the most loaded machine, or the longest time,
+	// at each of Sweep.Sizes, as printed in the report.
 	Busiest []string
-	// Power is that of machines with which the figure grows, and AtTarget what
-	// that leads to, as the report gives them.
+	// Power is the exponent with which the figure grows with the number of
+	// machines, AtTarget its extrapolation to Sweep.Target, as printed in the
+	// report.
 	Power, AtTarget string
 }
 
@@ -52,7 +56,8 @@
 	cellSeparator      = regexp.MustCompile(`\s{2,}`)
 )
 
-// ParseSweep reads a report.
+// ParseSweep parses a report. A report without sizes or figures, or without a
+// day for each size, is an errors.NotValid error.
 func ParseSweep(site, report string) (Sweep, error) {
 	s := Sweep{Site: site}
 	for _, line := range strings.Split(report, "\n") {
@@ -107,7 +112,8 @@
 	return errors.Trace(err)
 }
 
-// addRow takes a line of the table; others have another number of cells.
+// addRow parses a row of the table. Lines with another number of cells are
+// ignored.
 func (s *Sweep) addRow(line string) {
 	parts := cellSeparator.Split(strings.TrimSpace(line), -1)
 	if len(parts) != len(s.Sizes)+3 {
@@ -123,7 +129,7 @@
 	s.Rows = append(s.Rows, row)
 }
 
-// Markdown writes the sweep as the page has it.
+// Markdown writes the sweep as a section of docs/CAPACITY.md.
 func (s *Sweep) Markdown(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "### %s\n\n|", s.Site)
 	for _, size := range s.Sizes {
@@ -149,7 +155,7 @@
 	_, _ = fmt.Fprintln(w)
 }
 
-// Sweeps reads the reports of a folder sweeps, by name.
+// Sweeps parses the reports sweeps/SITE.txt of files, sorted by name.
 func Sweeps(files fs.FS) ([]Sweep, error) {
 	names, err := fs.Glob(files, "sweeps/*.txt")
 	if err != nil {
--- a/load/load.go
+++ b/load/load.go
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load sends a mix of callers' requests to gateways and reports
-// what came back.
+// Package load is an open-loop load generator for gateways.
 //
-// Arrivals are open-loop: each request has an intended start drawn ahead,
-// and latencies are measured from it, so a slow system does not slow its
-// own test down or hide its queue. Every answer is checked: it must end
-// with its mark, carry one request id and one version.
+// The start of each request is drawn in advance and latencies are measured
+// from it, so that queueing in a slow system is neither throttled nor hidden
+// (coordinated omission). Each stream is validated: it must end with [DONE] and
+// have the same request id and version in all events.
 package load
 
 import (
@@ -24,39 +23,40 @@
 	"github.com/mintlift/mintlift/outcome"
 )
 
-// Mix describes the load. It is read from JSON.
+// Mix describes the load: request classes and their arrival rate.
 type Mix struct {
 	Name string `json:"name"`
-	// Rate is the mean number of requests a second, Seconds the duration.
+	// Rate is the mean number of requests per second, Seconds the duration.
 	Rate    float64 `json:"rate"`
 	Seconds float64 `json:"seconds"`
-	// Seed makes the arrivals the same every run.
-	Seed    uint64   `json:"seed"`
-	Classes []Class  `json:"classes"`
+	// Seed makes arrivals and requests reproducible.
+	Seed    uint64  `json:"seed"`
+	Classes []Class `json:"classes"`
+	// Targets are the gateways' addresses (host:port), used in turn.
 	Targets []string `json:"-"`
 }
 
-// Class is one kind of requests.
+// Class is a kind of request.
 type Class struct {
 	Name string `json:"name"`
-	// Share of the requests, relative to the other classes'.
+	// Share is the class's weight relative to those of the other classes.
 	Share float64 `json:"share"`
-	// KeyFile holds the workspace's key.
+	// KeyFile is the path of the file with the workspace's key.
 	KeyFile string `json:"key_file"`
-	// Model asks a model engine; Service a plain service.
+	// Model or Service, not both, is the model or the plain service to call.
 	Model   string `json:"model,omitempty"`
 	Service string `json:"service,omitempty"`
-	// Tokens is the length of the answer; Prefixes how many different
-	// prompt starts there are.
+	// Tokens is the requested length of the response, Prefixes the number of
+	// different prompts; 0 counts as 1.
 	Tokens   int `json:"tokens,omitempty"`
 	Prefixes int `json:"prefixes,omitempty"`
-	// NotRepeatable is the share of requests that carry a key.
+	// NotRepeatable is the share of requests that carry an idempotency key.
 	NotRepeatable float64 `json:"not_repeatable,omitempty"`
 
 	key string
 }
 
-// ReadMix reads a mix and the key files that it names.
+// ReadMix reads a mix in JSON and its classes' key files, and validates it.
 func ReadMix(file string) (Mix, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -78,10 +78,10 @@
 	return m, m.Validate()
 }
 
-// SetKey gives a class its key without a file.
+// SetKey sets the workspace's key without reading KeyFile.
 func (c *Class) SetKey(key string) { c.key = key }
 
-// Validate reports the first value that makes no load.
+// Validate returns an errors.NotValid error for the first value out of range.
 func (m *Mix) Validate() error {
 	if m.Rate <= 0 || m.Seconds <= 0 || len(m.Classes) == 0 {
 		return errors.NotValidf("mix %q: rate %g, seconds %g, %d classes", m.Name, m.Rate, m.Seconds, len(m.Classes))
@@ -101,22 +101,23 @@
 	histogramDigits = 3
 )
 
-// ClassReport is what became of a class's requests. Times are in
-// milliseconds from the intended start.
+// ClassReport summarizes the requests of a class. Times are in milliseconds
+// from the intended start.
 type ClassReport struct {
 	Name     string                  `json:"name"`
 	Sent     int                     `json:"sent"`
 	Outcomes map[outcome.Outcome]int `json:"outcomes"`
-	// Broken counts answers that were cut, mixed or not the request's own.
+	// Broken counts responses that were truncated, or had events of another
+	// request or version.
 	Broken       int       `json:"broken"`
 	FirstToken   Quantiles `json:"first_token_ms"`
 	BetweenToken Quantiles `json:"between_tokens_ms"`
 	Total        Quantiles `json:"total_ms"`
-	// Refused is the time to a refusal.
+	// Refused is the time until a request was refused as not run.
 	Refused Quantiles `json:"refused_ms"`
 }
 
-// Quantiles of a histogram, in milliseconds.
+// Quantiles are quantiles of a histogram, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -129,13 +130,14 @@
 	Rate    float64       `json:"rate"`
 	Seconds float64       `json:"seconds"`
 	Classes []ClassReport `json:"classes"`
-	// Versions counts completed answers by version.
+	// Versions counts completed requests by the version that served them.
 	Versions map[string]int `json:"versions"`
 	// NotRun lists the ids of requests refused as not run.
 	NotRun []string `json:"-"`
 }
 
-// recorder collects one class's results.
+// recorder collects the results of one class. mu guards all other fields while
+// requests are in flight.
 type recorder struct {
 	mu            sync.Mutex
 	report        ClassReport
@@ -148,19 +150,19 @@
 }
 
 func newRecorder(name string) *recorder {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(histogramMin, histogramMax, histogramDigits) }
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(histogramMin, histogramMax, histogramDigits) }
 	return &recorder{
 		report:        ClassReport{Name: name, Outcomes: make(map[outcome.Outcome]int)},
-		firstToken:    h(),
-		betweenTokens: h(),
-		total:         h(),
-		refused:       h(),
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
+		total:         newHistogram(),
+		refused:       newHistogram(),
 		versions:      make(map[string]int),
 	}
 }
 
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(d.Microseconds(), histogramMin)) // past the highest value the run has failed anyway
+	_ = h.RecordValue(max(d.Microseconds(), histogramMin)) // fails above histogramMax only; such values are dropped
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
@@ -168,28 +170,28 @@
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99)}
 }
 
-// add records one answer.
-func (r *recorder) add(a response, intended time.Time) {
+// add records the result of the request that was due at intended.
+func (r *recorder) add(result response, intended time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Sent++
-	if a.invalid {
+	if result.invalid {
 		r.report.Broken++
 	}
-	r.report.Outcomes[a.outcome]++
-	switch a.outcome {
+	r.report.Outcomes[result.outcome]++
+	switch result.outcome {
 	case outcome.Completed:
-		r.versions[a.version]++
-		recordDuration(r.total, a.end.Sub(intended))
-		if !a.firstEvent.IsZero() {
-			recordDuration(r.firstToken, a.firstEvent.Sub(intended))
+		r.versions[result.version]++
+		recordDuration(r.total, result.end.Sub(intended))
+		if !result.firstEvent.IsZero() {
+			recordDuration(r.firstToken, result.firstEvent.Sub(intended))
 		}
-		for _, gap := range a.gaps {
+		for _, gap := range result.gaps {
 			recordDuration(r.betweenTokens, gap)
 		}
 	case outcome.NotRun:
-		r.notRun = append(r.notRun, a.requestID)
-		recordDuration(r.refused, a.end.Sub(intended))
+		r.notRun = append(r.notRun, result.requestID)
+		recordDuration(r.refused, result.end.Sub(intended))
 	}
 }
 
@@ -200,8 +202,8 @@
 	return out
 }
 
-// Run sends the mix to its targets until it ends, and waits for the
-// answers.
+// Run sends the mix to its targets for its duration, or until ctx is done, and
+// waits for all responses.
 func Run(ctx context.Context, m Mix) (Report, error) {
 	if err := m.Validate(); err != nil {
 		return Report{}, err
@@ -220,14 +222,14 @@
 		if intended.After(end) {
 			break
 		}
-		at := pickClass(m.Classes, rng.Float64())
+		class := pickClass(m.Classes, rng.Float64())
 		target := m.Targets[n%len(m.Targets)]
-		order := m.Classes[at].newRequest(rng)
+		spec := m.Classes[class].newRequest(rng)
 		time.Sleep(time.Until(intended))
 		requests.Add(1)
 		go func(intended time.Time) {
 			defer requests.Done()
-			recorders[at].add(s.send(ctx, target, order), intended)
+			recorders[class].add(s.send(ctx, target, spec), intended)
 		}(intended)
 	}
 	requests.Wait()
@@ -242,18 +244,19 @@
 	return out, nil
 }
 
-// pickClass chooses a class by its share.
-func pickClass(classes []Class, at float64) int {
+// pickClass returns the index of the class at point, from 0 to 1, of the
+// cumulated shares.
+func pickClass(classes []Class, point float64) int {
 	sum := 0.0
 	for _, c := range classes {
 		sum += c.Share
 	}
-	at *= sum
+	point *= sum
 	for i, c := range classes {
-		if at < c.Share {
+		if point < c.Share {
 			return i
 		}
-		at -= c.Share
+		point -= c.Share
 	}
 	return len(classes) - 1
 }
--- a/load/print.go
+++ b/load/print.go
@@ -10,7 +10,7 @@
 	"github.com/mintlift/mintlift/outcome"
 )
 
-// Print writes the report as a table.
+// Print writes the report as a table with one row per class.
 func (r *Report) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "%s: %.0f requests a second for %.0f s\n", r.Mix, r.Rate, r.Seconds)
--- a/load/send.go
+++ b/load/send.go
@@ -20,7 +20,8 @@
 	"github.com/mintlift/mintlift/peer"
 )
 
-// requestSpec is one request to send.
+// requestSpec describes a request to send. An empty idempotencyKey means that
+// none is sent.
 type requestSpec struct {
 	path, key, idempotencyKey string
 	body                      []byte
@@ -29,29 +30,30 @@
 
 // requestSpec draws a request of the class.
 func (c *Class) newRequest(rng *rand.Rand) requestSpec {
-	o := requestSpec{key: c.key}
+	spec := requestSpec{key: c.key}
 	if rng.Float64() < c.NotRepeatable {
-		o.idempotencyKey = uuid.Must(uuid.NewV7()).String()
+		spec.idempotencyKey = uuid.Must(uuid.NewV7()).String()
 	}
 	if c.Service != "" {
-		o.path = "/v1/services/" + c.Service + "/load"
-		o.body = []byte(`{"page":1}`)
-		return o
+		spec.path = "/v1/services/" + c.Service + "/load"
+		spec.body = []byte(`{"page":1}`)
+		return spec
 	}
-	o.path, o.stream = "/v1/chat/completions", true
+	spec.path, spec.stream = "/v1/chat/completions", true
 	prompt := fmt.Sprintf("prompt %d", rng.IntN(max(c.Prefixes, 1)))
-	o.body = fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, c.Model, max(c.Tokens, 1), prompt)
-	return o
+	spec.body = fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, c.Model, max(c.Tokens, 1), prompt)
+	return spec
 }
 
-// SendKey sends one request of the class under the given key.
+// SendKey sends one request of the class with the given idempotency key.
 func (c *Class) SendKey(ctx context.Context, target, key string) outcome.Outcome {
-	o := c.newRequest(rand.New(rand.NewPCG(1, 1)))
-	o.idempotencyKey = key
-	return newSender().send(ctx, target, o).outcome
+	spec := c.newRequest(rand.New(rand.NewPCG(1, 1)))
+	spec.idempotencyKey = key
+	return newSender().send(ctx, target, spec).outcome
 }
 
-// response is what came back.
+// response is the result of a request. firstEvent is zero without events; gaps
+// are the times between them. invalid marks a truncated or mismatched response.
 type response struct {
 	requestID, version string
 	outcome            outcome.Outcome
@@ -60,7 +62,7 @@
 	invalid            bool
 }
 
-// sender sends requests over a pool of connections.
+// sender sends requests over pooled connections.
 type sender struct{ client *http.Client }
 
 func newSender() *sender {
@@ -68,47 +70,48 @@
 	return &sender{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: perHost, DisableCompression: true}}}
 }
 
-func (s *sender) send(ctx context.Context, target string, o requestSpec) (a response) {
-	defer func() { a.end = time.Now() }()
-	a.outcome = outcome.Unknown
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+o.path, bytes.NewReader(o.body))
+func (s *sender) send(ctx context.Context, target string, spec requestSpec) (result response) {
+	defer func() { result.end = time.Now() }()
+	result.outcome = outcome.Unknown
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+spec.path, bytes.NewReader(spec.body))
 	if err != nil {
-		return a
+		return result
 	}
-	req.GetBody = nil // the tool sends each request once
-	req.Header.Set("Authorization", "Bearer "+o.key)
+	req.GetBody = nil // no retries by the transport
+	req.Header.Set("Authorization", "Bearer "+spec.key)
 	req.Header.Set("Content-Type", "application/json")
-	if o.idempotencyKey != "" {
-		req.Header.Set("Idempotency-Key", o.idempotencyKey)
+	if spec.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", spec.idempotencyKey)
 	}
 	resp, err := s.client.Do(req)
 	if err != nil {
-		return a
+		return result
 	}
 	defer resp.Body.Close()
-	a.requestID, a.version = resp.Header.Get(peer.HeaderRequest), resp.Header.Get(peer.HeaderVersion)
+	result.requestID, result.version = resp.Header.Get(peer.HeaderRequest), resp.Header.Get(peer.HeaderVersion)
 	if v := resp.Header.Get(peer.HeaderOutcome); v != "" {
-		a.outcome = outcome.Outcome(v)
+		result.outcome = outcome.Outcome(v)
 	}
-	if o.stream && resp.StatusCode == http.StatusOK && resp.Header.Get(peer.HeaderReason) == "" {
-		a.readStream(resp.Body)
-		return a
+	if spec.stream && resp.StatusCode == http.StatusOK && resp.Header.Get(peer.HeaderReason) == "" {
+		result.readStream(resp.Body)
+		return result
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		a.outcome, a.invalid = outcome.Unknown, true
+		result.outcome, result.invalid = outcome.Unknown, true
 	}
-	return a
+	return result
 }
 
-// streamEvent is what a caller reads of an event.
+// streamEvent is the part of a stream's event that is validated.
 type streamEvent struct {
 	ID    string             `json:"id"`
 	Model string             `json:"model"`
 	Error *peer.RefusalError `json:"error"`
 }
 
-// readStream follows a stream to its end and checks whose it is.
-func (a *response) readStream(body io.Reader) {
+// readStream reads a stream to its end and sets the outcome and the event
+// times. Each event must have the response's request id and version.
+func (r *response) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	last := time.Time{}
 	for lines.Scan() {
@@ -117,7 +120,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			a.outcome = outcome.Completed
+			r.outcome = outcome.Completed
 			return
 		}
 		now := time.Now()
@@ -126,18 +129,18 @@
 			break
 		}
 		if e.Error != nil {
-			a.outcome = e.Error.Outcome
+			r.outcome = e.Error.Outcome
 			return
 		}
-		if e.ID != a.requestID || a.version != "" && e.Model != a.version {
+		if e.ID != r.requestID || r.version != "" && e.Model != r.version {
 			break
 		}
-		if a.firstEvent.IsZero() {
-			a.firstEvent = now
+		if r.firstEvent.IsZero() {
+			r.firstEvent = now
 		} else {
-			a.gaps = append(a.gaps, now.Sub(last))
+			r.gaps = append(r.gaps, now.Sub(last))
 		}
 		last = now
 	}
-	a.outcome, a.invalid = outcome.Unknown, true
+	r.outcome, r.invalid = outcome.Unknown, true
 }
--- a/telemetry/pages_test.go
+++ b/telemetry/pages_test.go
@@ -17,14 +17,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// loggingFolders are the packages whose lines docs/LOGS.md lists.
-// A daemon's start stands in several files of cmd/mintlift.
+// loggingFolders are the folders or file patterns whose log lines and metrics
+// docs/LOGS.md lists.
 var loggingFolders = []string{"../ingress", "../installer", "../storerelay", "../storewatch", "../platform", "../cmd/mintlift/platform*.go"}
 
-// logEvent is a log line as the code or the page has it.
+// logEvent is a log line with the keys of its fields.
 type logEvent struct{ fields []string }
 
-// codeEvents reads the log calls of the code, and the names of metrics.
+// codeEvents parses loggingFolders and returns the log lines by message, and the
+// names of the metrics.
 func codeEvents(t *testing.T) (events map[string]logEvent, metrics map[string]bool) {
 	t.Helper()
 	events, metrics = map[string]logEvent{}, map[string]bool{}
@@ -86,7 +87,8 @@
 	events[name] = e
 }
 
-// stringLiteral is the value of a string literal, or empty.
+// stringLiteral returns the value of a string literal, or "" for any other
+// expression.
 func stringLiteral(e ast.Expr) string {
 	literal, ok := e.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -98,7 +100,8 @@
 
 var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|([^|]*)\\|")
 
-// readLogsPage reads a table of docs/LOGS.md: names and what stands beside them.
+// readLogsPage returns the table rows of docs/LOGS.md: the second cell by the
+// name in the first.
 func readLogsPage(t *testing.T) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("../docs/LOGS.md")
@@ -110,24 +113,24 @@
 	return out
 }
 
-// docs/LOGS.md lists every line and metric that the code writes, with its
-// fields, and no others.
+// TestLogsPage guards against a docs/LOGS.md that lacks a log line, a field or a
+// metric of the code, or lists one that the code does not write.
 func TestLogsPage(t *testing.T) {
 	events, metrics := codeEvents(t)
-	listed := readLogsPage(t)
+	documented := readLogsPage(t)
 	assert.Assert(t, len(events) > 20, "only %d events found in the code", len(events))
 	for name, e := range events {
-		fields, ok := listed[name]
+		fields, ok := documented[name]
 		assert.Check(t, ok, "event %q is not on the page (fields %s)", name, strings.Join(e.fields, ", "))
 		for _, field := range e.fields {
 			assert.Check(t, strings.Contains(fields, field), "field %q of event %q is not on the page", field, name)
 		}
 	}
 	for name := range metrics {
-		_, ok := listed[name]
+		_, ok := documented[name]
 		assert.Check(t, ok, "metric %q is not on the page", name)
 	}
-	for name := range listed {
+	for name := range documented {
 		_, ok := events[name]
 		assert.Check(t, ok || metrics[name], "%q is on the page only", name)
 	}
--- a/telemetry/prefix.go
+++ b/telemetry/prefix.go
@@ -7,10 +7,12 @@
 	"log/slog"
 )
 
-// loggerNameKey is the attribute under which logr hands a logger's name to slog.
+// loggerNameKey is the key of the attribute in which logr passes a logger's name
+// to slog.
 const loggerNameKey = "logger"
 
-// prefixHandler moves a logger's name to the front of each message.
+// prefixHandler prepends the logger's name to each message and removes the
+// attribute that carries it.
 type prefixHandler struct {
 	slog.Handler
 	name string
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -9,19 +9,18 @@
 	"time"
 )
 
-// Bounds of a Sink.
+// Limits of a Sink, in bytes, and its flush interval.
 const (
-	// sinkCapacity is the most that waits to be written.
+	// sinkCapacity bounds the buffered lines.
 	sinkCapacity = 256 << 10
-	// sinkReserved is kept for lines that are not about single requests.
-	sinkReserved = 64 << 10
-	// sinkFlushInterval is how often waiting lines are written.
+	// sinkReserved is the part of sinkCapacity that only PriorityWriter uses.
+	sinkReserved      = 64 << 10
 	sinkFlushInterval = 100 * time.Millisecond
 )
 
-// Sink writes log lines without ever blocking who logs. Lines wait in a
-// bounded buffer; what does not fit is dropped and counted, and the count
-// is told in a line of its own.
+// Sink writes log lines without blocking the loggers. Lines are buffered up to
+// a limit; further lines are dropped and counted, and the count is logged. Its
+// methods may be called concurrently.
 type Sink struct {
 	out      io.Writer
 	mu       sync.Mutex
@@ -32,28 +31,29 @@
 	done     chan struct{}
 }
 
-// NewSink returns a sink that writes to out from a goroutine of its own.
+// NewSink returns a sink that writes to out from its own goroutine until Close.
 func NewSink(out io.Writer) *Sink {
 	s := &Sink{out: out, closing: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes one line about a single request.
+// Write buffers a line, normally one about a single request. It never fails; the
+// line is dropped if it does not fit into the unreserved part of the buffer.
 func (s *Sink) Write(line []byte) (int, error) { return s.add(line, sinkCapacity-sinkReserved) }
 
-// Rare returns the writer for lines about the process itself, which are
-// dropped last.
+// Rare returns a writer that may use the whole buffer, for lines about the
+// process itself: they are dropped last.
 func (s *Sink) Rare() io.Writer { return priorityWriter{s} }
 
 type priorityWriter struct{ sink *Sink }
 
 func (w priorityWriter) Write(line []byte) (int, error) { return w.sink.add(line, sinkCapacity) }
 
-func (s *Sink) add(line []byte, bound int) (int, error) {
+func (s *Sink) add(line []byte, limit int) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.buffered)+len(line) > bound {
+	if len(s.buffered)+len(line) > limit {
 		s.dropped++
 		return len(line), nil
 	}
@@ -62,44 +62,46 @@
 	return len(line), nil
 }
 
-// Counts returns how many lines were taken and dropped.
-func (s *Sink) Counts() (taken, dropped uint64) {
+// Counts returns the numbers of accepted and of dropped lines so far.
+func (s *Sink) Counts() (accepted, dropped uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted, s.dropped
 }
 
-// Close writes what waits, for at most limit.
-func (s *Sink) Close(limit time.Duration) {
+// Close flushes the buffered lines and stops the sink's goroutine. It returns
+// after timeout at the latest. It must be called once only; lines added later
+// are not written.
+func (s *Sink) Close(timeout time.Duration) {
 	close(s.closing)
 	select {
 	case <-s.done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
 
 func (s *Sink) run() {
 	defer close(s.done)
-	tick := time.NewTicker(sinkFlushInterval)
-	defer tick.Stop()
-	var spare []byte
-	var told uint64
+	ticker := time.NewTicker(sinkFlushInterval)
+	defer ticker.Stop()
+	var spare []byte // the buffer written last, reused
+	var reported uint64
 	for open := true; open; {
 		select {
 		case _, open = <-s.closing:
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		s.mu.Lock()
 		lines := s.buffered
 		s.buffered = spare[:0]
 		dropped := s.dropped
 		s.mu.Unlock()
-		if dropped > told {
-			lines = fmt.Appendf(lines, "{\"msg\":\"log lines dropped\",\"count\":%d,\"total\":%d}\n", dropped-told, dropped)
-			told = dropped
+		if dropped > reported {
+			lines = fmt.Appendf(lines, "{\"msg\":\"log lines dropped\",\"count\":%d,\"total\":%d}\n", dropped-reported, dropped)
+			reported = dropped
 		}
 		if len(lines) > 0 {
-			_, _ = s.out.Write(lines) // nothing can be told of a log that fails
+			_, _ = s.out.Write(lines) // a failing log cannot be logged
 		}
 		spare = lines
 	}
--- a/telemetry/sink_test.go
+++ b/telemetry/sink_test.go
@@ -13,7 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Nobody reads: lines are dropped and counted, and nobody who logs waits.
+// TestSinkNeverBlocks guards against loggers that block when the output does
+// not accept lines, and against drops that are not reported.
 func TestSinkNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
 	s := NewSink(writer)
@@ -32,16 +33,16 @@
 	}
 	_, dropped := s.Counts()
 	assert.Assert(t, dropped > 1000, "dropped %d", dropped)
-	before := dropped
+	droppedBefore := dropped
 	_, _ = s.Rare().Write([]byte("rare\n"))
 	_, dropped = s.Counts()
-	assert.Equal(t, dropped, before, "rare lines are dropped last")
+	assert.Equal(t, dropped, droppedBefore, "a priority line was dropped before the buffer was full")
 
 	var got lockedBuffer
 	go func() { _, _ = io.Copy(&got, reader) }()
 	deadline := time.Now().Add(10 * time.Second)
 	for !strings.Contains(got.String(), "log lines dropped") || !strings.Contains(got.String(), "rare\n") {
-		assert.Assert(t, time.Now().Before(deadline), "the drop is not told")
+		assert.Assert(t, time.Now().Before(deadline), "dropped lines not reported")
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -63,7 +64,7 @@
 	return b.b.String()
 }
 
-func TestSinkCloseWritesWhatWaits(t *testing.T) {
+func TestSinkCloseFlushes(t *testing.T) {
 	var got lockedBuffer
 	s := NewSink(&got)
 	_, _ = s.Write([]byte("last\n"))
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -2,12 +2,10 @@
 
 // Package telemetry sets up a process's logs, metrics and traces.
 //
-// Logs are logr over the standard library's slog JSON handler: one line a
-// record, the part's name as a fixed prefix of the message, the level from
-// settings. slog was taken because it needs no further library and its
-// level can be changed while the process runs. Metrics are
-// VictoriaMetrics/metrics in a Set that the process owns. Traces are
-// go-zero's OpenTelemetry agent, exported to a file or over OTLP.
+// Logs are written by logr over slog's JSON handler, one line per record, with
+// the logger's name as a prefix of the message. Metrics are kept in a
+// VictoriaMetrics/metrics Set per process. Traces are recorded by go-zero's
+// OpenTelemetry agent and exported to a file or over OTLP.
 package telemetry
 
 import (
@@ -26,19 +24,20 @@
 	"github.com/mintlift/mintlift/internal/meter"
 )
 
-// LogSettings choose what is logged.
+// LogSettings configure logging.
 type LogSettings struct {
 	// Level is "error", "info" or "debug".
 	Level string `json:"level"`
 }
 
-// TraceSettings choose where spans go.
+// TraceSettings configure tracing.
 type TraceSettings struct {
 	// Exporter is "none", "file" or "otlphttp".
 	Exporter string `json:"exporter"`
-	// Target is a file's path, or host:port of the collector.
+	// Target is the path of the file, or host:port of the OTLP collector.
 	Target string `json:"target"`
-	// Sample is the share of requests traced when the caller does not say.
+	// Sample is the share of requests, 0 to 1, that are traced unless the
+	// caller made the sampling decision.
 	Sample float64 `json:"sample"`
 }
 
@@ -56,7 +55,8 @@
 	ExportOTLP = "otlphttp"
 )
 
-// NewLogger returns a logger that writes JSON lines to w.
+// NewLogger returns a logger that writes JSON lines to w. An empty or unknown
+// level is LevelInfo.
 func NewLogger(w io.Writer, s LogSettings) logr.Logger {
 	level := slog.LevelInfo
 	switch s.Level {
@@ -68,10 +68,11 @@
 	return logr.FromSlogHandler(&prefixHandler{Handler: slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})})
 }
 
-// Part returns a logger whose messages start with "part: ".
-func Part(l logr.Logger, part string) logr.Logger { return l.WithName(part) }
+// Part returns a logger whose messages have the prefix "name: ".
+func Part(l logr.Logger, name string) logr.Logger { return l.WithName(name) }
 
-// StartTraces installs the exporter; the returned function flushes it.
+// StartTraces starts the global trace exporter. The returned function flushes
+// and stops it.
 func StartTraces(process string, s TraceSettings) (stop func(), err error) {
 	c := trace.Config{Name: process, Endpoint: s.Target, Sampler: s.Sample}
 	switch s.Exporter {
@@ -94,27 +95,29 @@
 // NewMetrics returns an empty set.
 func NewMetrics() *Metrics { return &Metrics{set: metrics.NewSet()} }
 
-// Counter returns the counter with this name and labels, given as pairs.
+// Counter returns the counter with this name and labels, creating it if needed.
+// labels alternates names and values.
 func (m *Metrics) Counter(name string, labels ...string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(series(name, labels))
 }
 
-// Histogram returns the histogram with this name and labels.
+// Histogram returns the histogram with this name and labels, as in Counter.
 func (m *Metrics) Histogram(name string, labels ...string) *metrics.Histogram {
 	return m.set.GetOrCreateHistogram(series(name, labels))
 }
 
-// Gauge registers a gauge that is read when metrics are.
+// Gauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) Gauge(name string, read func() float64) { m.set.GetOrCreateGauge(name, read) }
 
-// Traffic registers the gauges of a meter.
+// Traffic registers the gauges of received and sent bytes of a meter.
 func (m *Metrics) Traffic(t *meter.Meter) {
 	m.Gauge("mintlift_net_received_bytes", func() float64 { return float64(t.In()) })
 	m.Gauge("mintlift_net_sent_bytes", func() float64 { return float64(t.Out()) })
 }
 
-// State registers the gauges that every process has: its state's offset,
-// the seconds since it heard the log, and the requests in progress.
+// State registers the gauges common to all processes: the state's offset in
+// the event log, the time since the last contact with the log, and the numbers
+// of active and waiting requests.
 func (m *Metrics) State(offset func() int64, contact func() time.Time, load func() (active, waiting int)) {
 	m.Gauge("mintlift_state_offset", func() float64 { return float64(offset()) })
 	m.Gauge("mintlift_log_contact_seconds", func() float64 { return time.Since(contact()).Seconds() })
@@ -128,7 +131,7 @@
 	})
 }
 
-// Handler serves the set, and the process's own metrics, on /metrics.
+// Handler writes the set and the Go process metrics in Prometheus format.
 func (m *Metrics) Handler(w http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
