--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -24,7 +24,7 @@
 	Idle     []IdleMeasurement    `json:"idle"`
 	Requests []RequestMeasurement `json:"requests"`
 	State    []StateMeasurement   `json:"state"`
-	StartUp  StartUp              `json:"herd"`
+	Simulation  Simulation              `json:"herd"`
 }
 
 // Sizes is the deployment size to extrapolate to.
@@ -84,9 +84,10 @@
 	Bytes      int `json:"bytes"`
 }
 
-// StartUp is the log load and the configuration delay when all processes start
-// at once, measured in virtual time.
-type StartUp struct {
+// Simulation holds the results of the tests in virtual time: the log's reads per
+// second, with peaks for all processes starting at once, and the seconds until a
+// configuration change is in force at all processes.
+type Simulation struct {
 	Processes            int     `json:"processes"`
 	PeakLogReads         int     `json:"log_reads_a_second_peak"`
 	PeakLogReadsInOutage int     `json:"log_reads_a_second_peak_log_down"`
@@ -123,8 +124,8 @@
 
 // Fit returns the least-squares line through the points (x[i], y[i]).
 func Fit(x, y []float64) Line {
-	at0, slope := stat.LinearRegression(x, y, nil, false)
-	l := Line{Intercept: at0, Slope: slope, R2: stat.RSquared(x, y, nil, at0, slope)}
+	intercept, slope := stat.LinearRegression(x, y, nil, false)
+	l := Line{Intercept: intercept, Slope: slope, R2: stat.RSquared(x, y, nil, intercept, slope)}
 	for i := range x {
 		l.MaxMeasured = max(l.MaxMeasured, y[i])
 		if y[i] != 0 {
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -20,8 +20,8 @@
 type Sweep struct {
 	// Site is the deployment's name.
 	Site string
-	// Sizes are numbers of mintlift boxes. Target is the number to which the
-	// figures are extrapolated, or 0 if there is none.
+	// Sizes are numbers of machines that run mintlift. Target is the number to
+	// which the figures are extrapolated, or 0 if there is none.
 	Sizes  []int
 	Target int
 	Days   []SweepDay
@@ -31,8 +31,8 @@
 // SweepDay is the result at one size.
 type SweepDay struct {
 	Name string
-	// Worth is the credit earned, Served the requests completed, both as shares
-	// of the whole day.
+	// Worth is the share of the day's credit that was earned, Served the share
+	// of requests served.
 	Worth, Served float64
 	// Broken lists the bench rules that were violated; empty means none.
 	Broken string
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -48,8 +48,8 @@
 // Endpoint selects the lines about an endpoint.
 func Endpoint(id string) Filter { return Filter{endpointFields, id} }
 
-// Identity selects the lines about all attempts and retries of a request, which
-// have different ids but the same identity.
+// Identity selects the lines about a request and its retries, which have
+// different ids but the same identity.
 func Identity(id string) Filter { return Filter{identityFields, id} }
 
 // Version selects the lines about a version of the weights.
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -133,20 +133,20 @@
 	if err != nil {
 		return errors.Annotate(err, "load certificate")
 	}
-	var pool *x509.CertPool
+	var clientCAs *x509.CertPool
 	if t.ClientCAFile != "" {
 		pem, err := os.ReadFile(t.ClientCAFile)
 		if err != nil {
 			return errors.Annotate(err, "read client CA file")
 		}
-		pool = x509.NewCertPool()
-		if !pool.AppendCertsFromPEM(pem) {
+		clientCAs = x509.NewCertPool()
+		if !clientCAs.AppendCertsFromPEM(pem) {
 			return errors.NotValidf("PEM certificates in client CA file %s", t.ClientCAFile)
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cert, p.clientCAs = &cert, pool
+	p.cert, p.clientCAs = &cert, clientCAs
 	return nil
 }
 
@@ -170,10 +170,10 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := p.current()
+			cert, clientCAs := p.current()
 			c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{*cert}}
-			if pool != nil {
-				c.ClientCAs, c.ClientAuth = pool, tls.RequireAndVerifyClientCert
+			if clientCAs != nil {
+				c.ClientCAs, c.ClientAuth = clientCAs, tls.RequireAndVerifyClientCert
 			}
 			return c, nil
 		},
@@ -192,10 +192,10 @@
 	if err != nil {
 		return nil, err
 	}
-	_, pool := p.current()
+	_, peerCAs := p.current()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
-		RootCAs:    pool,
+		RootCAs:    peerCAs,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			cert, _ := p.current()
 			return cert, nil
