--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -17,14 +17,14 @@
 type Data struct {
 	// Machine describes the hardware of the measurements; Commands are the
 	// command lines that produced them.
-	Machine  string               `json:"machine"`
-	Commands []string             `json:"commands"`
-	Sizes    Sizes                `json:"sizes"`
-	Bounds   Bounds               `json:"bounds"`
-	Idle     []IdleMeasurement    `json:"idle"`
-	Requests []RequestMeasurement `json:"requests"`
-	State    []StateMeasurement   `json:"state"`
-	Simulation  Simulation              `json:"herd"`
+	Machine    string               `json:"machine"`
+	Commands   []string             `json:"commands"`
+	Sizes      Sizes                `json:"sizes"`
+	Bounds     Bounds               `json:"bounds"`
+	Idle       []IdleMeasurement    `json:"idle"`
+	Requests   []RequestMeasurement `json:"requests"`
+	State      []StateMeasurement   `json:"state"`
+	Simulation Simulation           `json:"herd"`
 }
 
 // Sizes is the deployment size to extrapolate to.
