--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -14,55 +14,60 @@
 	"github.com/juju/errors"
 )
 
-// Sweep is a report of the same day at several sizes of a deployment, as the
-// users' bench prints it.
+// Sweep is a report of the users' bench on the same test day at several sizes
+// of a deployment. Its field names, and those of SweepDay and SweepRow, are part
+// of the output of "mintlift capacity --json".
 type Sweep struct {
 	// Site is the deployment's name.
 	Site string
-	// Sizes are the numbers of our machines, and Target the one to which each
-	// figure is carried on, or 0 if the deployment names none.
+	// Sizes are numbers of machines that run mintlift. Target is the number to
+	// which the figures are extrapolated, or 0 if there is none.
 	Sizes  []int
 	Target int
 	Days   []SweepDay
 	Rows   []SweepRow
 }
 
-// SweepDay is how the day ended at one size.
+// SweepDay is the result at one size.
 type SweepDay struct {
-	Name          string
+	Name string
+	// Worth is the share of the day's credit that was earned, Served the share
+	// of requests served.
 	Worth, Served float64
-	// Broken are the rules that were broken, or empty.
+	// Broken lists the bench rules that were violated; empty means none.
 	Broken string
 }
 
 // SweepRow is one figure at each size.
 type SweepRow struct {
 	Name string
-	// Busiest is the figure of the busiest machine, or the longest time, as the
-	// report gives it.
+	// Busiest is the figure of the most loaded machine, or the longest time,
+	// at each of Sweep.Sizes, as printed in the report.
 	Busiest []string
-	// Power is that of machines with which the figure grows, and AtTarget what
-	// that leads to, as the report gives them.
+	// Power is the exponent with which the figure grows with the number of
+	// machines, AtTarget its extrapolation to Sweep.Target, as printed in the
+	// report.
 	Power, AtTarget string
 }
 
 var (
-	sweepHead = regexp.MustCompile(`^((?:\s+\d+)+)\s+power\s+at (\d+|null)\s*$`)
-	sweepDay  = regexp.MustCompile(`^(sweep-\d+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s`)
-	cells     = regexp.MustCompile(`\s{2,}`)
+	sweepHeaderPattern = regexp.MustCompile(`^((?:\s+\d+)+)\s+power\s+at (\d+|null)\s*$`)
+	sweepDayPattern    = regexp.MustCompile(`^(sweep-\d+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s`)
+	cellSeparator      = regexp.MustCompile(`\s{2,}`)
 )
 
-// ParseSweep reads a report.
+// ParseSweep parses a report. A report without sizes or figures, or without a
+// day for each size, is an errors.NotValid error.
 func ParseSweep(site, report string) (Sweep, error) {
 	s := Sweep{Site: site}
 	for _, line := range strings.Split(report, "\n") {
 		switch {
-		case sweepDay.MatchString(line):
+		case sweepDayPattern.MatchString(line):
 			if err := s.addDay(line); err != nil {
 				return s, err
 			}
-		case sweepHead.MatchString(line):
-			if err := s.addHead(line); err != nil {
+		case sweepHeaderPattern.MatchString(line):
+			if err := s.addHeader(line); err != nil {
 				return s, err
 			}
 		case len(s.Sizes) > 0:
@@ -76,7 +81,7 @@
 }
 
 func (s *Sweep) addDay(line string) error {
-	m := sweepDay.FindStringSubmatch(line)
+	m := sweepDayPattern.FindStringSubmatch(line)
 	worth, err := strconv.ParseFloat(m[2], 64)
 	if err != nil {
 		return errors.Trace(err)
@@ -90,8 +95,8 @@
 	return nil
 }
 
-func (s *Sweep) addHead(line string) error {
-	m := sweepHead.FindStringSubmatch(line)
+func (s *Sweep) addHeader(line string) error {
+	m := sweepHeaderPattern.FindStringSubmatch(line)
 	for _, field := range strings.Fields(m[1]) {
 		size, err := strconv.Atoi(field)
 		if err != nil {
@@ -107,9 +112,10 @@
 	return errors.Trace(err)
 }
 
-// addRow takes a line of the table; others have another number of cells.
+// addRow parses a row of the table. Lines with another number of cells are
+// ignored.
 func (s *Sweep) addRow(line string) {
-	parts := cells.Split(strings.TrimSpace(line), -1)
+	parts := cellSeparator.Split(strings.TrimSpace(line), -1)
 	if len(parts) != len(s.Sizes)+3 {
 		return
 	}
@@ -123,7 +129,7 @@
 	s.Rows = append(s.Rows, row)
 }
 
-// Markdown writes the sweep as the page has it.
+// Markdown writes the sweep as a section of docs/CAPACITY.md.
 func (s *Sweep) Markdown(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "### %s\n\n|", s.Site)
 	for _, size := range s.Sizes {
@@ -149,7 +155,7 @@
 	_, _ = fmt.Fprintln(w)
 }
 
-// Sweeps reads the reports of a folder sweeps, by name.
+// Sweeps parses the reports sweeps/SITE.txt of files, sorted by name.
 func Sweeps(files fs.FS) ([]Sweep, error) {
 	names, err := fs.Glob(files, "sweeps/*.txt")
 	if err != nil {
--- a/explain/causes.go
+++ b/explain/causes.go
@@ -15,40 +15,42 @@
 	"github.com/juju/errors"
 )
 
-// Cause counts the requests that ended in one way within one window.
+// Cause is the number of requests that ended with the same outcome and cause in
+// the same time window.
 type Cause struct {
-	// Window is the begin of the window.
+	// Window is the start of the window.
 	Window  time.Time `json:"window"`
 	Outcome string    `json:"outcome"`
 	Cause   string    `json:"cause"`
-	// Returned says that the callers had been refused before.
-	Returned bool `json:"returned"`
-	Requests int  `json:"requests"`
+	// CallerRetry reports whether the requests were retries by callers after a
+	// refusal.
+	CallerRetry bool `json:"returned"`
+	Requests    int  `json:"requests"`
 }
 
 // Causes counts requests by window, outcome and cause. Use Add for each log
 // file.
 type Causes struct {
 	window time.Duration
-	counts map[Cause]int // by what Cause says but for Requests
+	counts map[Cause]int // the keys have Requests 0
 }
 
-// NewCauses counts by windows of this length.
+// NewCauses returns an empty count with windows of the given length.
 func NewCauses(window time.Duration) *Causes {
 	return &Causes{window: window, counts: make(map[Cause]int)}
 }
 
-// ended is the log line with which a request ends.
-type ended struct {
-	Time     time.Time `json:"time"`
-	Request  string    `json:"request"`
-	Outcome  string    `json:"outcome"`
-	Cause    string    `json:"cause"`
-	Returned bool      `json:"returned"`
+// requestEnd is the log line that is written at the end of a request.
+type requestEnd struct {
+	Time        time.Time `json:"time"`
+	Request     string    `json:"request"`
+	Outcome     string    `json:"outcome"`
+	Cause       string    `json:"cause"`
+	CallerRetry bool      `json:"returned"`
 }
 
-// Add counts the requests that end in the lines of r. Text ahead of a line's
-// JSON and lines that hold none are left out.
+// Add counts the requests whose end is logged in r. Text before the JSON of a
+// line is ignored, and so are lines without JSON.
 func (c *Causes) Add(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -57,29 +59,29 @@
 		if !found || !strings.Contains(text, `"outcome"`) {
 			continue
 		}
-		var line ended
+		var line requestEnd
 		if err := json.Unmarshal([]byte("{"+text), &line); err != nil || line.Request == "" || line.Outcome == "" {
-			continue // a cut line, or one about something else
+			continue // truncated, or not the end of a request
 		}
 		c.counts[Cause{
-			Window:   line.Time.Truncate(c.window),
-			Outcome:  line.Outcome,
-			Cause:    kindOf(line.Cause),
-			Returned: line.Returned,
+			Window:      line.Time.Truncate(c.window),
+			Outcome:     line.Outcome,
+			Cause:       causeKind(line.Cause),
+			CallerRetry: line.CallerRetry,
 		}]++
 	}
 	return errors.Trace(scanner.Err())
 }
 
-// kindOf leaves out of a cause what differs from request to request: what
-// follows the first colon of an error is addresses and system calls.
-func kindOf(cause string) string {
+// causeKind returns the part of a cause before the first colon. The rest, such
+// as addresses, differs between requests.
+func causeKind(cause string) string {
 	kind, _, _ := strings.Cut(cause, ": ")
 	return kind
 }
 
-// List returns the counts in the order of their windows, the largest of each
-// first.
+// List returns the counts sorted by window, and by descending number of
+// requests within a window.
 func (c *Causes) List() []Cause {
 	out := make([]Cause, 0, len(c.counts))
 	for cause, n := range c.counts {
@@ -93,14 +95,15 @@
 	return out
 }
 
-// WriteCauses prints counts for people: seconds since the first window.
+// WriteCauses writes counts as a table, with windows in seconds since the first.
+// list is sorted as by List.
 func WriteCauses(w io.Writer, list []Cause) error {
 	if _, err := fmt.Fprintf(w, "%8s %8s  %-12s %-9s %s\n", "second", "requests", "outcome", "returned", "cause"); err != nil {
 		return errors.Trace(err)
 	}
 	for _, c := range list {
 		since := c.Window.Sub(list[0].Window)
-		if _, err := fmt.Fprintf(w, "%8.1f %8d  %-12s %-9t %s\n", since.Seconds(), c.Requests, c.Outcome, c.Returned, c.Cause); err != nil {
+		if _, err := fmt.Fprintf(w, "%8.1f %8d  %-12s %-9t %s\n", since.Seconds(), c.Requests, c.Outcome, c.CallerRetry, c.Cause); err != nil {
 			return errors.Trace(err)
 		}
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -26,7 +26,9 @@
 	return out
 }
 
-func TestRequestInOrder(t *testing.T) {
+// TestRequestLinesSortedByTime guards against lines that are out of order or have
+// the wrong source.
+func TestRequestLinesSortedByTime(t *testing.T) {
 	got := lines(t, Request("r1"))
 	assert.Equal(t, len(got), 2)
 	assert.Equal(t, got[0].Message, "gateway: attempt")
@@ -37,8 +39,9 @@
 	assert.Assert(t, strings.Contains(out.String(), "    0.500s  1.2 gateway-2            gateway: request             outcome=answered request=r1"), out.String())
 }
 
-// All tries of one request, whatever their ids.
-func TestTriesOfARequest(t *testing.T) {
+// TestIdentitySelectsAllTries guards against missing the tries of a request that
+// have another request id.
+func TestIdentitySelectsAllTries(t *testing.T) {
 	const tries = `{"time":"2026-01-01T00:00:02Z","msg":"gateway: request","request":"r1","identity":"1f","outcome":"failed"}
 {"time":"2026-01-01T00:00:01Z","msg":"gateway: endpoint crashed","request":"r1","identity":"1f","crashes":1}
 {"time":"2026-01-01T00:00:03Z","msg":"gateway: request","request":"r2","identity":"1f","outcome":"quarantined"}
--- a/telemetry/pages_test.go
+++ b/telemetry/pages_test.go
@@ -17,17 +17,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// loggingFolders are the packages whose lines docs/LOGS.md lists.
-// A daemon's start stands in several files of cmd/mintlift.
+// loggingFolders are the folders or file patterns whose log lines and metrics
+// docs/LOGS.md lists.
 var loggingFolders = []string{"../ingress", "../installer", "../storerelay", "../storewatch", "../platform", "../cmd/mintlift/platform*.go"}
 
-// event is a log line as the code or the page has it.
-type event struct{ fields []string }
+// logEvent is a log line with the keys of its fields.
+type logEvent struct{ fields []string }
 
-// codeEvents reads the log calls of the code, and the names of metrics.
-func codeEvents(t *testing.T) (events map[string]event, metrics map[string]bool) {
+// codeEvents parses loggingFolders and returns the log lines by message, and the
+// names of the metrics.
+func codeEvents(t *testing.T) (events map[string]logEvent, metrics map[string]bool) {
 	t.Helper()
-	events, metrics = map[string]event{}, map[string]bool{}
+	events, metrics = map[string]logEvent{}, map[string]bool{}
 	for _, folder := range loggingFolders {
 		pattern := folder
 		if !strings.HasSuffix(folder, ".go") {
@@ -53,7 +54,7 @@
 	return events, metrics
 }
 
-func addCall(call *ast.CallExpr, events map[string]event, metrics map[string]bool) {
+func addCall(call *ast.CallExpr, events map[string]logEvent, metrics map[string]bool) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return
@@ -69,25 +70,26 @@
 	default:
 		return
 	}
-	if len(args) == 0 || text(args[0]) == "" {
+	if len(args) == 0 || stringLiteral(args[0]) == "" {
 		return
 	}
-	name := text(args[0])
+	name := stringLiteral(args[0])
 	if selector.Sel.Name != "Info" && selector.Sel.Name != "Error" {
 		metrics[name] = true
 		return
 	}
 	e := events[name]
 	for at := 1; at < len(args); at += 2 {
-		if field := text(args[at]); field != "" && !slices.Contains(e.fields, field) {
+		if field := stringLiteral(args[at]); field != "" && !slices.Contains(e.fields, field) {
 			e.fields = append(e.fields, field)
 		}
 	}
 	events[name] = e
 }
 
-// text is the value of a string literal, or empty.
-func text(e ast.Expr) string {
+// stringLiteral returns the value of a string literal, or "" for any other
+// expression.
+func stringLiteral(e ast.Expr) string {
 	literal, ok := e.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return ""
@@ -96,38 +98,39 @@
 	return value
 }
 
-var row = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|([^|]*)\\|")
+var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|([^|]*)\\|")
 
-// page reads a table of docs/LOGS.md: names and what stands beside them.
-func page(t *testing.T) map[string]string {
+// readLogsPage returns the table rows of docs/LOGS.md: the second cell by the
+// name in the first.
+func readLogsPage(t *testing.T) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("../docs/LOGS.md")
 	assert.NilError(t, err)
 	out := map[string]string{}
-	for _, match := range row.FindAllStringSubmatch(string(data), -1) {
+	for _, match := range tableRow.FindAllStringSubmatch(string(data), -1) {
 		out[match[1]] = match[2]
 	}
 	return out
 }
 
-// docs/LOGS.md lists every line and metric that the code writes, with its
-// fields, and no others.
+// TestLogsPage guards against a docs/LOGS.md that lacks a log line, a field or a
+// metric of the code, or lists one that the code does not write.
 func TestLogsPage(t *testing.T) {
 	events, metrics := codeEvents(t)
-	listed := page(t)
+	documented := readLogsPage(t)
 	assert.Assert(t, len(events) > 20, "only %d events found in the code", len(events))
 	for name, e := range events {
-		fields, ok := listed[name]
+		fields, ok := documented[name]
 		assert.Check(t, ok, "event %q is not on the page (fields %s)", name, strings.Join(e.fields, ", "))
 		for _, field := range e.fields {
 			assert.Check(t, strings.Contains(fields, field), "field %q of event %q is not on the page", field, name)
 		}
 	}
 	for name := range metrics {
-		_, ok := listed[name]
+		_, ok := documented[name]
 		assert.Check(t, ok, "metric %q is not on the page", name)
 	}
-	for name := range listed {
+	for name := range documented {
 		_, ok := events[name]
 		assert.Check(t, ok || metrics[name], "%q is on the page only", name)
 	}
