--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -182,7 +182,7 @@
 
 // RowsFromJSON returns the rows of the page for the contents of docs/capacity.json
 // and docs/transfer.json.
-func Committed(data, transfer []byte) ([]Row, error) {
+func RowsFromJSON(data, transfer []byte) ([]Row, error) {
 	d, err := Parse(data)
 	if err != nil {
 		return nil, err
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -17,7 +17,7 @@
 // TestPageMatchesData guards against a table in docs/CAPACITY.md that is older
 // than docs/capacity.json or docs/transfer.json.
 func TestPageMatchesData(t *testing.T) {
-	rows, err := Committed(docs.Capacity, docs.Transfer)
+	rows, err := RowsFromJSON(docs.Capacity, docs.Transfer)
 	assert.NilError(t, err)
 	var want strings.Builder
 	Markdown(&want, rows)
--- a/cmd/mintlift/capacity.go
+++ b/cmd/mintlift/capacity.go
@@ -19,7 +19,7 @@
 		Description: "Example: mintlift capacity --json",
 		Flags:       []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print JSON for scripts"}},
 		Action: func(_ context.Context, c *cli.Command) error {
-			rows, err := capacity.Committed(docs.Capacity, docs.Transfer)
+			rows, err := capacity.RowsFromJSON(docs.Capacity, docs.Transfer)
 			if err != nil {
 				return err
 			}
--- a/cmd/mintlift/daemons.go
+++ b/cmd/mintlift/daemons.go
@@ -41,7 +41,7 @@
 				return err
 			}
 			return runDaemon(ctx, "gateway", s.Trace, s.DrainTimeout, func() (daemon, error) {
-				return gateway.Start(s, telemetry.Part(telemetry.NewLogger(os.Stderr, s.Log), "gateway"))
+				return gateway.Start(s, telemetry.NamedLogger(telemetry.NewLogger(os.Stderr, s.Log), "gateway"))
 			})
 		},
 	}
@@ -59,7 +59,7 @@
 				return err
 			}
 			return runDaemon(ctx, "sidecar", s.Trace, s.DrainTimeout, func() (daemon, error) {
-				return sidecar.Start(s, telemetry.Part(telemetry.NewLogger(os.Stderr, s.Log), "sidecar"))
+				return sidecar.Start(s, telemetry.NamedLogger(telemetry.NewLogger(os.Stderr, s.Log), "sidecar"))
 			})
 		},
 	}
--- a/cmd/mintlift/main.go
+++ b/cmd/mintlift/main.go
@@ -68,7 +68,7 @@
 // run executes a command line and returns its exit code. Errors are printed to
 // errOut.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
-	httpserve.Quiet()
+	httpserve.DisableGoZeroLogs()
 	app := &cli.Command{
 		Name:                  "mintlift",
 		Usage:                 "roll out model weights to many boxes while they keep serving",
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -78,7 +78,7 @@
 	sink := telemetry.NewSink(os.Stdout)
 	defer sink.Close(shutdownMargin / 2)
 	level := telemetry.LogSettings{Level: telemetry.LevelInfo}
-	log := telemetry.Part(telemetry.NewLogger(sink.Rare(), level), component)
+	log := telemetry.NamedLogger(telemetry.NewLogger(sink.PriorityWriter(), level), component)
 	settings, err := platform.LoadSettings()
 	if err != nil {
 		log.Error(err, "cannot load settings")
@@ -87,7 +87,7 @@
 	metrics := telemetry.NewMetrics()
 	p := &platformProcess{
 		settings:   settings,
-		requestLog: telemetry.Part(telemetry.NewLogger(sink, level), component),
+		requestLog: telemetry.NamedLogger(telemetry.NewLogger(sink, level), component),
 		log:        log,
 		metrics:    metrics,
 		watcher:    platform.NewWatcher(platform.NewStore(settings.Store.Address), log, metrics),
--- a/gateway/cluster_tasks.go
+++ b/gateway/cluster_tasks.go
@@ -195,7 +195,7 @@
 	if err != nil {
 		panic("gateway: cannot marshal record: " + err.Error()) // plain fields always marshal
 	}
-	if err := eventlog.Commit(ctx, d.Journal, d.Replica, record); err != nil {
+	if err := eventlog.Commit(ctx, d.EventLog, d.Replica, record); err != nil {
 		d.Log.Info("duties: record not committed", "kind", string(kind), "error", err.Error())
 		return
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -69,12 +69,12 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{Process: common, settings: s, startedAt: time.Now(), singleUsePeers: common.PeersOnce(), gate: prio.NewGate(prio.Queue{Slots: s.MaxInFlight, MaxWaiting: s.Queue})}
-	d.Metrics.State(d.Replica.Offset, d.Replica.Contact, d.gate.Load)
+	d := &Daemon{Process: common, settings: s, startedAt: time.Now(), singleUsePeers: common.PeersWithoutReuse(), gate: prio.NewGate(prio.Queue{Slots: s.MaxInFlight, MaxWaiting: s.Queue})}
+	d.Metrics.RegisterState(d.Replica.Offset, d.Replica.Contact, d.gate.Load)
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
-	checkpoints := &state.Checkpointer{Replica: d.Replica, Log: d.Journal, Logger: telemetry.Part(d.Log, "state")}
+	checkpoints := &state.Checkpointer{Replica: d.Replica, Log: d.EventLog, Logger: telemetry.NamedLogger(d.Log, "state")}
 	d.Follow()
 	d.Go(checkpoints.Run)
 	d.Go(d.runProbes)
@@ -92,10 +92,10 @@
 	}
 	api := &admin.Server{
 		Replica:   d.Replica,
-		Journal:   d.Journal,
+		Journal:   d.EventLog,
 		Cluster:   d,
 		Bootstrap: operatorKey.Key,
-		Logger:    telemetry.Part(d.Log, "admin"),
+		Logger:    telemetry.NamedLogger(d.Log, "admin"),
 		Weighing:  d.settings.Weighing,
 		PlanTTL:   d.settings.PlanTTL,
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -24,9 +24,9 @@
 // peerRoutes returns the routes of the peers' port.
 func (d *Daemon) peerRoutes() []httpserve.Route {
 	return append(d.Routes(d.localStatus), []httpserve.Route{
-		{Method: http.MethodGet, Path: "/streams/:stream/records", Handler: d.Guard(d.handleRecords)},
-		{Method: http.MethodGet, Path: peer.PathBoxes, Handler: d.Guard(d.handleBoxes)},
-		{Method: http.MethodGet, Path: "/peer/v1/weights/:model/:version/manifest", Handler: d.Guard(d.handleManifest)},
+		{Method: http.MethodGet, Path: "/streams/:stream/records", Handler: d.RequirePeerKey(d.handleRecords)},
+		{Method: http.MethodGet, Path: peer.PathBoxes, Handler: d.RequirePeerKey(d.handleBoxes)},
+		{Method: http.MethodGet, Path: "/peer/v1/weights/:model/:version/manifest", Handler: d.RequirePeerKey(d.handleManifest)},
 	}...)
 }
 
@@ -78,5 +78,5 @@
 // handleBoxes serves the box list as last read, tagged for conditional requests.
 func (d *Daemon) handleBoxes(w http.ResponseWriter, r *http.Request) {
 	boxes, tag := d.Directory.Tagged()
-	httpserve.WriteTagged(w, r, tag, boxes)
+	httpserve.WriteWithETag(w, r, tag, boxes)
 }
--- a/httpserve/httpserve.go
+++ b/httpserve/httpserve.go
@@ -65,7 +65,7 @@
 
 // DisableGoZeroLogs disables go-zero's own log lines and statistics. Daemons call it once;
 // they log through logr.
-func Quiet() {
+func DisableGoZeroLogs() {
 	logx.Disable()
 	stat.DisableLog()
 }
@@ -146,7 +146,7 @@
 
 // WriteWithETag writes a JSON body with the ETag tag, or status 304 if the request's
 // If-None-Match header is tag.
-func WriteTagged(w http.ResponseWriter, r *http.Request, tag string, body any) {
+func WriteWithETag(w http.ResponseWriter, r *http.Request, tag string, body any) {
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
@@ -157,7 +157,7 @@
 
 // ETag returns an ETag for a body: a hash of its JSON. It is empty if body has no
 // JSON encoding.
-func Tag(body any) string {
+func ETag(body any) string {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return ""
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -94,7 +94,7 @@
 
 // Start starts a lab. The caller must call Close.
 func Start(c Config) (*Lab, error) {
-	httpserve.Quiet()
+	httpserve.DisableGoZeroLogs()
 	if len(c.Zones) == 0 {
 		c.Zones = []membership.AvailabilityZone{{Region: "r1", Zone: "a"}}
 	}
--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -92,7 +92,7 @@
 	mux.HandleFunc("GET /boxes", func(w http.ResponseWriter, r *http.Request) {
 		if l.Faults.beforeCall(w) {
 			boxes := l.visible()
-			httpserve.WriteTagged(w, r, httpserve.Tag(boxes), boxes)
+			httpserve.WriteWithETag(w, r, httpserve.ETag(boxes), boxes)
 		}
 	})
 	mux.HandleFunc("PUT /boxes/{id}", func(_ http.ResponseWriter, r *http.Request) {
--- a/process/process.go
+++ b/process/process.go
@@ -51,7 +51,7 @@
 	Replica     *state.Replica
 	Directory   *relay.Directory
 	// EventLog is the client of the platform's log service.
-	Journal *eventlog.Client
+	EventLog *eventlog.Client
 	// Platform is the client for the platform's services, Peers that for other
 	// mintlift processes.
 	Platform *call.Client
@@ -89,24 +89,24 @@
 	p.peerTLS = call.Options{TLS: peerTLS, Meter: p.Meter}
 	p.Platform = call.New("platform", call.Options{Meter: p.Meter})
 	p.Peers = peer.NewClient(p.peerTLS, p.peerKey)
-	p.Journal = &eventlog.Client{Call: p.Platform, Address: c.Platform.Log}
+	p.EventLog = &eventlog.Client{Call: p.Platform, Address: c.Platform.Log}
 	p.Directory = &relay.Directory{
 		Self:     c.Node.Box,
 		Platform: p.Platform,
 		Peers:    p.Peers,
 		BoxList:  c.Platform.BoxList,
-		Log:      p.Journal,
-		Logger:   telemetry.Part(c.Log, "relay"),
+		Log:      p.EventLog,
+		Logger:   telemetry.NamedLogger(c.Log, "relay"),
 		Direct:   c.Direct,
 	}
-	p.Metrics.Traffic(p.Meter)
+	p.Metrics.RegisterTraffic(p.Meter)
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p, nil
 }
 
 // PeersWithoutReuse returns a client like Peers that opens a new connection for each
 // request, for non-repeatable requests.
-func (p *Process) PeersOnce() *call.Client {
+func (p *Process) PeersWithoutReuse() *call.Client {
 	o := p.peerTLS
 	o.NoReuse = true
 	return peer.NewClient(o, p.peerKey)
@@ -126,10 +126,10 @@
 	follower := &state.Follower{
 		Replica:    p.Replica,
 		Sources:    p.Directory.Sources(),
-		Log:        p.Journal,
+		Log:        p.EventLog,
 		Peers:      p.Directory.Checkpoint,
 		PeersFirst: !p.config.Direct,
-		Logger:     telemetry.Part(p.Log, "state"),
+		Logger:     telemetry.NamedLogger(p.Log, "state"),
 	}
 	p.Go(p.Directory.Run)
 	p.Go(follower.Run)
@@ -174,7 +174,7 @@
 
 // RequirePeerKey wraps a peer route: requests without the shared key get status 401, and
 // responses have the draining header while the process drains.
-func (p *Process) Guard(h http.HandlerFunc) http.HandlerFunc {
+func (p *Process) RequirePeerKey(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !p.peerKey.Authorized(r) {
 			p.Log.Info("peer request refused: wrong or missing shared key", "from", r.RemoteAddr)
@@ -192,8 +192,8 @@
 // body of the status route.
 func (p *Process) Routes(status func() peer.Status) []httpserve.Route {
 	return []httpserve.Route{
-		{Method: http.MethodGet, Path: peer.PathStatus, Handler: p.Guard(func(w http.ResponseWriter, r *http.Request) { writeStatus(w, r, status()) })},
-		{Method: http.MethodGet, Path: peer.PathCheckpoint, Handler: p.Guard(func(w http.ResponseWriter, _ *http.Request) {
+		{Method: http.MethodGet, Path: peer.PathStatus, Handler: p.RequirePeerKey(func(w http.ResponseWriter, r *http.Request) { writeStatus(w, r, status()) })},
+		{Method: http.MethodGet, Path: peer.PathCheckpoint, Handler: p.RequirePeerKey(func(w http.ResponseWriter, _ *http.Request) {
 			httpserve.WriteJSON(w, http.StatusOK, p.Replica.Checkpoint())
 		})},
 		{Method: http.MethodGet, Path: peer.PathMetrics, Handler: p.Metrics.Handler},
@@ -207,7 +207,7 @@
 func writeStatus(w http.ResponseWriter, r *http.Request, s peer.Status) {
 	tagged := s
 	tagged.Offset, tagged.ContactMS, tagged.Load = 0, 0, 0
-	httpserve.WriteTagged(w, r, httpserve.Tag(tagged), s)
+	httpserve.WriteWithETag(w, r, httpserve.ETag(tagged), s)
 }
 
 // Health handles the platform's health checks: 503 while draining, else 200.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -114,7 +114,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.contentTagVersion != d.version || d.contentTag == "" {
-		d.contentTag, d.contentTagVersion = httpserve.Tag(d.boxes), d.version
+		d.contentTag, d.contentTagVersion = httpserve.ETag(d.boxes), d.version
 	}
 	return slices.Clone(d.boxes), d.contentTag
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -73,7 +73,7 @@
 		requestGate:     prio.NewGate(prio.Queue{Slots: s.MaxInFlight, MaxWaiting: s.Queue, ClassSlots: s.MaxInFlight - reservedSlots(s.MaxInFlight)}),
 	}
 	d.engine = &engine.Client{Call: d.endpoint, Address: s.Endpoint}
-	d.Metrics.State(d.Replica.Offset, d.Replica.Contact, d.requestGate.Load)
+	d.Metrics.RegisterState(d.Replica.Offset, d.Replica.Contact, d.requestGate.Load)
 	d.server, err = d.Listen("mintlift-sidecar", s.PeerListen, s.PeerTLS, d.routes())
 	if err != nil {
 		return nil, err
@@ -122,18 +122,18 @@
 // routes returns the routes of the peer port.
 func (d *Daemon) routes() []httpserve.Route {
 	routes := append(d.Routes(d.status), []httpserve.Route{
-		{Method: http.MethodPost, Path: "/peer/v1/weights/:model/:version/pull", Handler: d.Guard(d.handlePull)},
-		{Method: http.MethodGet, Path: "/peer/v1/weights/:model/:version/manifest", Handler: d.Guard(d.handleManifest)},
-		{Method: http.MethodGet, Path: peer.PathResume + ":id", Handler: d.Guard(d.handleResume)},
-		{Method: http.MethodPost, Path: peer.PathCancel + ":id", Handler: d.Guard(d.handleCancel)},
-		{Method: http.MethodPost, Path: peer.PathClaim, Handler: d.Guard(d.handleClaim)},
-		{Method: http.MethodPost, Path: peer.PathFinish, Handler: d.Guard(d.handleFinish)},
-		{Method: http.MethodPost, Path: peer.PathRun + engine.PathChat, Handler: d.Guard(d.handleRun)},
-		{Method: http.MethodPost, Path: peer.PathRun + engine.PathCompletions, Handler: d.Guard(d.handleRun)},
+		{Method: http.MethodPost, Path: "/peer/v1/weights/:model/:version/pull", Handler: d.RequirePeerKey(d.handlePull)},
+		{Method: http.MethodGet, Path: "/peer/v1/weights/:model/:version/manifest", Handler: d.RequirePeerKey(d.handleManifest)},
+		{Method: http.MethodGet, Path: peer.PathResume + ":id", Handler: d.RequirePeerKey(d.handleResume)},
+		{Method: http.MethodPost, Path: peer.PathCancel + ":id", Handler: d.RequirePeerKey(d.handleCancel)},
+		{Method: http.MethodPost, Path: peer.PathClaim, Handler: d.RequirePeerKey(d.handleClaim)},
+		{Method: http.MethodPost, Path: peer.PathFinish, Handler: d.RequirePeerKey(d.handleFinish)},
+		{Method: http.MethodPost, Path: peer.PathRun + engine.PathChat, Handler: d.RequirePeerKey(d.handleRun)},
+		{Method: http.MethodPost, Path: peer.PathRun + engine.PathCompletions, Handler: d.RequirePeerKey(d.handleRun)},
 	}...)
 	for _, method := range httpserve.Methods {
-		routes = append(routes, httpserve.Route{Method: method, Path: peer.PathRun + "/v1/services/:service", Handler: d.Guard(d.handleRun)})
-		routes = append(routes, httpserve.DeepRoutes(method, peer.PathRun+"/v1/services/:service", d.Guard(d.handleRun))...)
+		routes = append(routes, httpserve.Route{Method: method, Path: peer.PathRun + "/v1/services/:service", Handler: d.RequirePeerKey(d.handleRun)})
+		routes = append(routes, httpserve.DeepRoutes(method, peer.PathRun+"/v1/services/:service", d.RequirePeerKey(d.handleRun))...)
 	}
 	return routes
 }
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -44,7 +44,7 @@
 
 // PriorityWriter returns a writer that may use the whole buffer, for lines about the
 // process itself: they are dropped last.
-func (s *Sink) Rare() io.Writer { return priorityWriter{s} }
+func (s *Sink) PriorityWriter() io.Writer { return priorityWriter{s} }
 
 type priorityWriter struct{ sink *Sink }
 
--- a/telemetry/sink_test.go
+++ b/telemetry/sink_test.go
@@ -34,7 +34,7 @@
 	_, dropped := s.Counts()
 	assert.Assert(t, dropped > 1000, "dropped %d", dropped)
 	droppedBefore := dropped
-	_, _ = s.Rare().Write([]byte("rare\n"))
+	_, _ = s.PriorityWriter().Write([]byte("rare\n"))
 	_, dropped = s.Counts()
 	assert.Equal(t, dropped, droppedBefore, "a priority line was dropped before the buffer was full")
 
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -69,7 +69,7 @@
 }
 
 // NamedLogger returns a logger whose messages have the prefix "name: ".
-func Part(l logr.Logger, name string) logr.Logger { return l.WithName(name) }
+func NamedLogger(l logr.Logger, name string) logr.Logger { return l.WithName(name) }
 
 // StartTraces starts the global trace exporter. The returned function flushes
 // and stops it.
@@ -110,7 +110,7 @@
 func (m *Metrics) Gauge(name string, read func() float64) { m.set.GetOrCreateGauge(name, read) }
 
 // RegisterTraffic registers the gauges of received and sent bytes of a meter.
-func (m *Metrics) Traffic(t *meter.Meter) {
+func (m *Metrics) RegisterTraffic(t *meter.Meter) {
 	m.Gauge("mintlift_net_received_bytes", func() float64 { return float64(t.In()) })
 	m.Gauge("mintlift_net_sent_bytes", func() float64 { return float64(t.Out()) })
 }
@@ -118,7 +118,7 @@
 // RegisterState registers the gauges common to all processes: the state's offset in
 // the event log, the time since the last contact with the log, and the numbers
 // of active and waiting requests.
-func (m *Metrics) State(offset func() int64, contact func() time.Time, load func() (active, waiting int)) {
+func (m *Metrics) RegisterState(offset func() int64, contact func() time.Time, load func() (active, waiting int)) {
 	m.Gauge("mintlift_state_offset", func() float64 { return float64(offset()) })
 	m.Gauge("mintlift_log_contact_seconds", func() float64 { return time.Since(contact()).Seconds() })
 	m.Gauge("mintlift_requests_in_flight", func() float64 {
