--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -33,7 +33,7 @@
 func (o gatewayOperator) HandleConfiguration(c *routing.Configuration) { o.Apply(c) }
 
 // HandleNamedVersion implements platform.OperatorHandler.
-func (o gatewayOperator) HandleNamedVersion(n platform.NamedVersion, first bool) {
+func (o gatewayOperator) HandleTargetVersion(n platform.TargetVersion, first bool) {
 	o.NameVersion(n.Model, n.Version, first, clock.Now())
 }
 
@@ -220,7 +220,7 @@
 		}
 		notice := loadreport.Notice{
 			Model: service.Engine.Model, Region: s.Region, Read: progress.position.Offset, Era: progress.position.Era, VersionSum: progress.versionSum,
-			Demand: math.Round(server.Demand(name, now)), NamedVersions: namedVersions(server, service.Engine.Model, now),
+			Demand: math.Round(server.Demand(name, now)), NamedVersions: targetVersions(server, service.Engine.Model, now),
 		}
 		weights, ok := c.Weights(name)
 		current, outdated := server.EngineAddresses(name, weights.Checksum(), now)
@@ -280,7 +280,7 @@
 }
 
 // namedVersions returns a model's named versions for notices to sidecars.
-func namedVersions(server *ingress.Server, model string, now time.Time) []loadreport.NamedVersion {
+func targetVersions(server *ingress.Server, model string, now time.Time) []loadreport.NamedVersion {
 	var out []loadreport.NamedVersion
 	for _, n := range server.NamedVersions(model) {
 		version := loadreport.NamedVersion{Version: n.Version, AgeMS: loadreport.UnknownAge, PastCutoff: n.Overdue(now)}
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -59,7 +59,7 @@
 }
 
 // HandleNamedVersion implements platform.OperatorHandler.
-func (s *sidecarState) HandleNamedVersion(n platform.NamedVersion, first bool) {
+func (s *sidecarState) HandleTargetVersion(n platform.TargetVersion, first bool) {
 	namedAt := time.Time{}
 	if !first {
 		namedAt = clock.Now()
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -31,7 +31,7 @@
 type discardOperator struct{}
 
 func (discardOperator) HandleConfiguration(*routing.Configuration)     {}
-func (discardOperator) HandleNamedVersion(platform.NamedVersion, bool) {}
+func (discardOperator) HandleTargetVersion(platform.TargetVersion, bool) {}
 
 // discardReports discards the sidecars' messages.
 type discardReports struct{}
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -92,7 +92,7 @@
 		b.engine.StageAndLoad(1)
 	}
 	backup := d.store.Copy()
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	for began := time.Now(); d.boxes[0].engine.State().Version != 2 || d.boxes[1].engine.State().Version != 2; time.Sleep(20 * time.Millisecond) {
 		assert.Assert(t, time.Since(began) < 15*time.Second, "version 2 is not loaded")
 	}
@@ -100,7 +100,7 @@
 	time.Sleep(time.Second)
 	d.startGateway(t)
 	d.sendRequestsFor(4 * time.Second)
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	d.sendRequestsFor(2 * time.Second)
 	d.checkVersions(t, 2)
 	for _, b := range d.boxes {
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -26,7 +26,7 @@
 
 // Guards against wrong weights when an engine accepts a start order late: the order has
 // no response, and chunks of other versions are staged before it is carried out.
-func TestStartAcceptedLate(t *testing.T) {
+func TestDelayedStartOrderDoesNotLoadWrongChunks(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 4)
 	ordered := make(chan struct{}, len(d.boxes))
@@ -42,24 +42,24 @@
 			}
 		})
 	}
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	for range d.boxes {
 		<-ordered
 	}
-	d.nameVersion(3)
+	d.setTargetVersion(3)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 3)
 }
 
 // Guards against a staged chunk that was corrupted between its verification and the
 // load.
-func TestChunkCorruptedAfterRead(t *testing.T) {
+func TestChunkCorruptedAfterVerification(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	d.onFirstStart(2, func(b *weightsBox) { b.engine.Corrupt(3, enginetest.CorruptionGrace+time.Second) })
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	d.sendRequestsFor(2 * time.Second)
-	d.nameVersion(3)
+	d.setTargetVersion(3)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 3)
 }
@@ -73,25 +73,25 @@
 		b.engine.StageAndLoad(1)
 	}
 	d.onFirstStart(2, func(b *weightsBox) { b.engine.Corrupt(3, enginetest.CorruptionGrace+time.Second) })
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	d.sendRequestsFor(12 * time.Second)
 	d.checkVersions(t, 2)
 }
 
 // Guards against an engine that restarts between verification and start order and loses
 // the staged chunks, while the order's sequence number fits the new incarnation.
-func TestEngineRestartBeforeStart(t *testing.T) {
+func TestEngineRestartBeforeStartOrder(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	d.onFirstStart(2, func(b *weightsBox) { b.engine.Restart(true) })
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 2)
 }
 
 // Guards against a chunk of an older version that is written while a newer one is
 // verified and loaded, with engines that read all chunks at once or one by one.
-func TestChunkWrittenLate(t *testing.T) {
+func TestDelayedChunkWriteOfOlderVersion(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 8)
 	for n, b := range d.boxes {
@@ -106,9 +106,9 @@
 			}
 		})
 	}
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	time.Sleep(time.Second)
-	d.nameVersion(3)
+	d.setTargetVersion(3)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 3)
 }
@@ -237,7 +237,7 @@
 }
 
 // nameVersion writes the operator's record that names a version.
-func (d *weightsDeployment) nameVersion(version int) {
+func (d *weightsDeployment) setTargetVersion(version int) {
 	d.store.Put(storetest.Operator, "version/m", fmt.Sprintf(`{"model":"m","version":%d}`, version))
 }
 
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -2,9 +2,15 @@
 
 // Package engine defines the control protocol between a sidecar and the model
 // engine on its box, and provides a client for it. The sidecar stages weights in
-// the engine and orders it to load and unload versions. Load and unload orders
-// carry a fence and the epoch of the sidecar's claim on the engine. Requests of
-// callers are not part of this protocol: the sidecar forwards them unchanged.
+// the engine, that is, copies them to it before a load, and orders it to load and
+// unload versions.
+//
+// Two numbers protect against outdated orders. Each claim of the engine by a sidecar
+// starts a new epoch, and each load or unload order carries the epoch and a fence (a
+// fencing token that rises with each new order).
+//
+// Requests of callers are not part of this protocol: the sidecar forwards them
+// unchanged.
 package engine
 
 import (
@@ -36,8 +42,8 @@
 	// HeaderRequest is the id of the request, which the engine returns in its
 	// response.
 	HeaderRequest = "X-Request-Id"
-	// HeaderVersion is the model version that must run the request, and in the
-	// response the one that ran it.
+	// HeaderVersion is, in a request, the model version that must run it, and in a
+	// response, the model version that ran the request.
 	HeaderVersion = "X-Model-Version"
 	// HeaderWorkspace and HeaderPriority are the caller's workspace and its priority.
 	HeaderWorkspace = "X-Workspace"
@@ -46,12 +52,14 @@
 	HeaderKey = "X-Once-Key"
 )
 
-// Headers of an engine's responses that carry backpressure signals: the rate limit
-// in requests per second, whether the engine is draining, and, with a 503, the
-// seconds to wait before the next request.
+// Headers of an engine's responses that carry backpressure signals.
 const (
-	HeaderLimit      = "X-Limit-Rate"
-	HeaderDraining   = "X-Draining"
+	// HeaderLimit is the rate limit in requests per second.
+	HeaderLimit = "X-Limit-Rate"
+	// HeaderDraining reports whether the engine is draining.
+	HeaderDraining = "X-Draining"
+	// headerRetryAfter is, with status 503, the seconds until the next request may be
+	// sent.
 	headerRetryAfter = "Retry-After"
 )
 
@@ -60,8 +68,8 @@
 	return backpressure.Fields{Limit: HeaderLimit, Draining: HeaderDraining, RetryAfter: headerRetryAfter}.Decode(status, h)
 }
 
-// ErrStale reports that the engine rejected an order because it has seen a newer
-// epoch or fence.
+// ErrStale reports that the engine rejected an order because it has already received
+// a newer epoch or fence.
 const ErrStale = errors.ConstError("engine rejected a stale order")
 
 // Order is the body of a load or unload request.
@@ -71,40 +79,37 @@
 	Fence int64 `json:"fence"`
 }
 
-// Claim is the response to a claim: the epoch of the claim, and the highest fence
-// that the engine has seen.
+// Claim is the response to a claim of the engine.
 type Claim struct {
-	Epoch int64 `json:"epoch"`
-	Fence int64 `json:"fence"`
+	Epoch int64 `json:"epoch"` // the epoch that the claim started
+	Fence int64 `json:"fence"` // the highest fence that the engine has received
 }
 
-// Loaded is a version that the engine has loaded; Bytes is the size of its weights,
-// and Fence that of the order that loaded it.
+// Loaded is a version that the engine has loaded.
 type Loaded struct {
 	weights.Ref
-	Bytes          int64          `json:"bytes"`
+	Bytes          int64          `json:"bytes"` // size of the weights
 	ManifestDigest weights.Digest `json:"manifest_digest"`
-	Fence          int64          `json:"fence"`
+	Fence          int64          `json:"fence"` // fence of the order that loaded the version
 }
 
-// Staged lists the chunks, by index, that the engine holds of a version, for a load
-// or for other boxes.
+// Staged lists the staged chunks of a version. The engine loads a version from its
+// staged chunks, and sidecars copy them to other boxes.
 type Staged struct {
 	weights.Ref
 	ManifestDigest weights.Digest `json:"manifest_digest"`
-	Chunks         []int          `json:"chunks"`
+	Chunks         []int          `json:"chunks"` // indexes of the chunks
 }
 
-// State is the state that an engine reports. Epoch and Fence are the newest that it
-// has seen; Running and Waiting count requests.
+// State is the state that an engine reports.
 type State struct {
-	Epoch        int64    `json:"epoch"`
-	Fence        int64    `json:"fence"`
+	Epoch        int64    `json:"epoch"` // the newest that the engine has received
+	Fence        int64    `json:"fence"` // the highest that the engine has received
 	ChecksFences bool     `json:"checks_fences"`
 	MemoryBytes  int64    `json:"memory_bytes"`
-	Running      int      `json:"running"`
-	Waiting      int      `json:"waiting"`
-	Slots        int      `json:"slots"`
+	Running      int      `json:"running"` // requests
+	Waiting      int      `json:"waiting"` // requests
+	Slots        int      `json:"slots"`   // requests that the engine can run at a time
 	Loaded       []Loaded `json:"loaded"`
 	Staged       []Staged `json:"staged"`
 }
@@ -112,7 +117,7 @@
 // Client is a client for the control API of one engine.
 type Client struct {
 	Call    *call.Client
-	Address string
+	Address string // host and port of the engine
 }
 
 // State returns the state of the engine.
@@ -191,6 +196,7 @@
 	return err
 }
 
+// staging returns the URL of a version's staged weights, or of a part of them.
 func (c *Client) staging(ref weights.Ref, subpath string) string {
 	return c.Call.URL(c.Address, "/control/staging/"+ref.Model+"/"+ref.Version+subpath)
 }
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -27,16 +27,16 @@
 	// Raw holds the bytes of the event, including the empty line that ends it. It
 	// is valid until the next call of Next.
 	Raw []byte
-	// ID is the numeric id of the event. HasID is false if the event has no id or
-	// one that is not a number.
-	ID    int64
+	// ID is the numeric id of the event, if HasID is true.
+	ID int64
+	// HasID is false if the event has no id, or an id that is not a number.
 	HasID bool
 }
 
 // Reader reads events from a stream. Use NewReader.
 type Reader struct {
 	input *bufio.Reader
-	raw   []byte
+	raw   []byte // bytes of the current event
 }
 
 // NewReader returns a Reader that reads from r.
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -12,6 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// The raw events must add up to the stream, whatever the line endings, and only numeric
+// ids must be reported.
 func TestNext(t *testing.T) {
 	text := "id: 1\ndata: a\n\n: note\nid:2\r\ndata: b\r\n\r\ndata: none\n\n"
 	r := NewReader(iotest.OneByteReader(strings.NewReader(text)))
@@ -46,7 +48,7 @@
 	assert.Equal(t, err, error(ErrTooLarge))
 }
 
-// The concatenated raw events must be a prefix of the stream.
+// FuzzNext checks that the concatenated raw events are a prefix of the stream.
 func FuzzNext(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n")
 	f.Add("\n\n\r\n:")
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package call is the HTTP client for calls between mintlift's processes: go-zero's
-// httpc over a transport with its own timeouts and connection pool, with JSON
-// helpers and errors that distinguish requests that were not sent.
+// Package call is the HTTP client for calls between mintlift's processes. It uses
+// go-zero's httpc with its own transport, adds JSON helpers, and returns ErrNotSent for
+// requests that were certainly not sent.
 //
-// The circuit breaker of httpc is disabled for each client, since it would reject
-// calls on its own; package route selects the endpoints.
+// The circuit breaker of httpc is disabled, since it would reject calls by its own
+// rules; package route decides which endpoints receive calls.
 package call
 
 import (
@@ -28,7 +28,7 @@
 	"github.com/mintlift/mintlift/internal/meter"
 )
 
-// Limits of the transport and of bodies that are read whole.
+// Limits of the transport and of bodies that are read into memory.
 const (
 	dialTimeout    = 2 * time.Second
 	idleTimeout    = 60 * time.Second
@@ -42,7 +42,7 @@
 	contentTypeJSON   = "application/json"
 )
 
-// ErrNotSent is the type of errors of requests of which no byte was written.
+// ErrNotSent is the type of the error if no byte of a request was written.
 const ErrNotSent = errors.ConstError("request was not sent")
 
 // StatusError is a response with a status of 300 or above.
@@ -50,8 +50,8 @@
 	Code int
 	// Body is the response body, at most maxErrorBodyBytes of it.
 	Body string
-	// RetryAfter is the value of the Retry-After header; 0 if there is none, or none
-	// in seconds.
+	// RetryAfter is the value of the Retry-After header; 0 if the header is missing or
+	// is not a number of seconds.
 	RetryAfter time.Duration
 }
 
@@ -85,9 +85,9 @@
 	// Token, if set, returns the bearer token that authenticates this process. It is
 	// called for each request.
 	Token func() string
-	// NoReuse opens a new connection for each request. net/http's transport retries
-	// a request by itself only on a reused connection, so a client for
-	// non-idempotent requests needs this option.
+	// NoReuse opens a new connection for each request. A client for non-idempotent
+	// requests needs this option, because net/http's transport may retry a request by
+	// itself on a reused connection.
 	NoReuse bool
 	// Meter, if set, counts the bytes of the connections.
 	Meter *meter.Meter
@@ -172,9 +172,10 @@
 // ErrNotModified reports that the resource still has the given entity tag.
 const ErrNotModified = errors.ConstError("not modified")
 
-// JSONIfChanged sends a conditional GET and decodes the response into out. It
-// returns the new entity tag, or tag and ErrNotModified if the resource still has
-// it. An empty tag makes the GET unconditional.
+// JSONIfChanged sends a conditional GET with the entity tag of the last response. If
+// the resource has changed, it decodes the response into out and returns the new
+// entity tag; else it returns tag and ErrNotModified. An empty tag makes the GET
+// unconditional.
 func (c *Client) JSONIfChanged(ctx context.Context, url, tag string, out any) (string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -197,8 +198,9 @@
 	return resp.Header.Get("ETag"), json.NewDecoder(io.LimitReader(resp.Body, maxJSONBodyBytes)).Decode(out)
 }
 
-// Bytes sends b as the body (nil for none) and returns the response body. It reads
-// at most limit+1 bytes, so that a caller can detect a body that exceeds limit.
+// Bytes sends b as the body (nil for none) and returns the response body. It returns
+// at most limit+1 bytes; more than limit bytes show the caller that the body exceeds
+// limit.
 func (c *Client) Bytes(ctx context.Context, method, url string, b []byte, limit int64) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(b))
 	if err != nil {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -4,15 +4,16 @@
 // include the time during which the machine is suspended.
 //
 // Package time measures durations with CLOCK_MONOTONIC, which does not advance
-// while the machine is suspended: after a resume, ages would be too small and
-// deadlines too far away by the length of the suspension. Now includes it, as
-// CLOCK_BOOTTIME does, and is not affected by changes of the wall clock. Times of
-// this package must not be compared with those of package time, nor be used as a
+// while the machine is suspended. After a resume, ages would be too small and
+// deadlines too far away by the length of the suspension. Now includes suspensions,
+// as CLOCK_BOOTTIME does, and is not affected by changes of the wall clock. Times of
+// this package must not be compared with times of package time, nor be used as a
 // time of day.
 //
-// Timers of package time do not advance during a suspension either. Timers of
-// this package that expired meanwhile fire after the resume, if Watch runs.
-// Waits that are short compared with the deadlines at stake may use package time.
+// Timers of package time do not advance during a suspension either. Timers of this
+// package that expired during a suspension fire after the resume, if Watch runs.
+// Short waits, compared with the deadlines that they are part of, may use package
+// time.
 package clock
 
 import (
@@ -25,17 +26,16 @@
 )
 
 const (
-	// checkInterval is the minimum time between two reads of the system clocks,
-	// each of which takes three system calls. For up to this long after a resume,
-	// Now may not yet include the suspension.
+	// checkInterval is the minimum time between two reads of the system clocks. Now
+	// may exclude a suspension for up to this long after the resume.
 	checkInterval = 2 * time.Millisecond
-	// maxReadDuration bounds the time between the first and the last system call
-	// of a read; a read that took longer is discarded.
+	// maxReadDuration bounds the duration of a read of the system clocks, which takes
+	// three system calls. A read that took longer is discarded as inexact.
 	maxReadDuration = time.Millisecond
-	// initialAttempts is the number of reads at process start until one completes
-	// within maxReadDuration.
+	// initialAttempts is the maximum number of reads at process start; the first that
+	// completes within maxReadDuration is used.
 	initialAttempts = 10
-	// minSuspension is the shortest suspension that is detected. It exceeds
+	// minSuspension is the shortest suspension that is detected. It must exceed
 	// maxReadDuration, the error of a read.
 	minSuspension = 10 * time.Millisecond
 )
@@ -43,7 +43,7 @@
 // suspensionTracker measures how long the machine has been suspended since the
 // process started. It is safe for concurrent use.
 type suspensionTracker struct {
-	total atomic.Int64 // ns
+	total atomic.Int64 // total length of all suspensions in ns
 	// checkedNS is the time of the last read of the clocks, in ns since start.
 	checkedNS atomic.Int64
 	start     time.Time
@@ -94,8 +94,8 @@
 	return time.Duration(s.total.Load())
 }
 
-// advance raises the total if it is larger by at least minSuspension. The total
-// never decreases.
+// advance sets s.total to total if that raises it by at least minSuspension; else it
+// has no effect.
 func (s *suspensionTracker) advance(total time.Duration) {
 	for {
 		old := s.total.Load()
@@ -118,7 +118,8 @@
 // Until returns the duration until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// ToMonotonic converts t to a time of package time, for deadlines of connections.
+// ToMonotonic converts t, a time of this package, to a time of package time, for
+// example for the deadline of a connection.
 func ToMonotonic(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
 // SuspendForTest advances the clock of this package by d until the end of a test,
@@ -196,21 +197,21 @@
 	}
 }
 
-// After returns a channel that is closed once Now has reached at, and a function
-// that stops the timer; the channel is then never closed.
+// After returns a channel that is closed once Now has reached at. After a call of stop
+// the channel is not closed any more.
 func After(at time.Time) (due <-chan struct{}, stop func()) {
 	c := make(chan struct{})
 	timer := AfterFunc(at, func() { close(c) })
 	return c, timer.Stop
 }
 
-// watchInterval is the interval at which Watch checks for a suspension, and so
-// bounds the delay of expired timers after a resume.
+// watchInterval is the interval at which Watch checks for a suspension. Timers that
+// expired during a suspension fire at most this long after the resume.
 const watchInterval = 50 * time.Millisecond
 
-// Watch fires timers that expired while the machine was suspended, until ctx is
-// done. It calls onResume, if not nil, with the length of each suspension before
-// it fires the timers.
+// Watch runs until ctx is done. After each suspension of the machine it calls onResume,
+// if not nil, with the length of the suspension, and then fires the timers that have
+// expired.
 func Watch(ctx context.Context, onResume func(time.Duration)) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Differences below minSuspension are ignored, and the total never decreases.
+// Differences below minSuspension must be ignored, and the total must never decrease.
 func TestAdvanceIgnoresSmallDifferences(t *testing.T) {
 	var s suspensionTracker
 	s.advance(minSuspension - 1)
@@ -99,8 +99,8 @@
 // systemTime matches calls that use package time for a point in time.
 var systemTime = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|context\.WithDeadline\(`)
 
-// The packages of the platform's daemons must take points in time from this
-// package, so that ages and deadlines include suspensions.
+// Packages of the platform's daemons must not use package time for points in time:
+// their ages and deadlines would exclude suspensions.
 func TestPackagesUseClock(t *testing.T) {
 	for _, pattern := range []string{"ingress/*.go", "fleet/*.go", "loadreport/*.go", "storerelay/*.go", "installer/*.go", "platform/*.go", "upstream/*.go", "quarantine/*.go", "retrybudget/*.go", "freshness/*.go", "routing/*.go", "cmd/mintlift/platform*.go"} {
 		files, err := filepath.Glob(filepath.Join("..", "..", pattern))
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package hedge sends hedged calls: while a call is unanswered, it starts further
-// ones in parallel and returns the first response. The earlier calls are not
-// cancelled meanwhile, since they may only be slow.
+// calls in parallel and returns the first response. Starting a further call does not
+// cancel the earlier calls, since they may only be slow.
 package hedge
 
 import (
@@ -13,17 +13,17 @@
 
 // Plan configures when Do starts further calls.
 type Plan struct {
-	// Delay is the time from the start of Do to the first further call; 0 starts
-	// none by time.
+	// Delay is the time from the start of Do to the first further call. If it is 0,
+	// only Trigger starts further calls.
 	Delay time.Duration
-	// Interval is the time between two further calls that are started by time.
+	// Interval is the time from one further call to the next, after Delay.
 	Interval time.Duration
-	// MaxInFlight bounds the calls in flight.
+	// MaxInFlight is the maximum number of calls in flight, the first included.
 	MaxInFlight int
 	// Trigger starts a further call at once for each value received; it may be nil.
 	Trigger <-chan struct{}
-	// IsFinal reports whether an error ends Do although other calls are in flight;
-	// nil means that none does.
+	// IsFinal reports whether Do must return this error at once, even while other
+	// calls are in flight. If IsFinal is nil, no error is final.
 	IsFinal func(error) bool
 	// OnHedge, if not nil, is called before each further call with its number,
 	// counted from 1.
@@ -33,9 +33,9 @@
 	OnFailure func(err error)
 }
 
-// Call makes the n-th call, counted from 0. It must call firstByte once the first
-// byte of its response has arrived: Do starts no further call while a response is
-// being received.
+// Call makes the n-th call, counted from 0. It must call firstByte when the first byte
+// of its response arrives, because Do starts no further call while a response is being
+// received.
 type Call[T any] func(ctx context.Context, n int, firstByte func()) (T, error)
 
 type result[T any] struct {
@@ -43,8 +43,9 @@
 	err   error
 }
 
-// Do returns the first response, a final error, or the last error once no call is in
-// flight, or ctx's error. It cancels the context of the remaining calls when it
+// Do makes calls as configured by p. It returns the first response or the first final
+// error. If all calls fail, it returns the error of the last one, and if ctx is done
+// first, the error of ctx. It cancels the context of the remaining calls when it
 // returns.
 func Do[T any](ctx context.Context, p Plan, call Call[T]) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -24,6 +24,8 @@
 	return 0, ctx.Err()
 }
 
+// plan returns a plan with at most three calls in flight, the first further call after
+// 1 s.
 func plan() Plan { return Plan{Delay: time.Second, Interval: 500 * time.Millisecond, MaxInFlight: 3} }
 
 // An unanswered call must be hedged after the delay, and no more than MaxInFlight
@@ -54,8 +56,8 @@
 	})
 }
 
-// The response of the first call must be returned although others were started, and
-// none may be started while it is being received.
+// The response of a slow first call must be returned although further calls were
+// started. No call may be started while the response is being received.
 func TestSlowResponseIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int32
@@ -79,8 +81,8 @@
 	})
 }
 
-// An error must be returned only once no other call is in flight, unless it is
-// final.
+// Do must return a final error at once, and any other error only if no call is in
+// flight any more.
 func TestErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var failed []error
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package invariant provides the invariant checks that tests and the demo share.
-// They apply to answers, to the request journals of the stand-in endpoints and to
-// sequences of fences or offsets, and must hold under any injected fault.
+// Package invariant provides the invariant checks that tests and the demo share. The
+// invariants must hold under any injected fault. Checked are the answers that callers
+// receive, the requests that the stand-in endpoints ran, and sequences of fences
+// (fencing tokens) or offsets.
 package invariant
 
 import (
@@ -12,16 +13,16 @@
 	"github.com/mintlift/mintlift/internal/standin"
 )
 
-// Violation is a violated invariant, by name, with the observation that shows it.
+// Violation is an observation that violates an invariant.
 type Violation struct {
-	Name   string
-	Detail string
+	Name   string // the violated invariant, one of the constants below
+	Detail string // what was observed
 }
 
 // String returns the violation as one line.
 func (v Violation) String() string { return v.Name + ": " + v.Detail }
 
-// Names of the invariants, as printed with a violation.
+// Texts of the invariants, used as names of violations.
 const (
 	WholeAnswer  = "every caller gets the whole answer to its own request, by one version"
 	WholeVersion = "no box serves partial or mixed weights"
@@ -32,8 +33,9 @@
 	NoRevert     = "a configuration in force never reverts"
 )
 
-// Answer checks the text of an answer, streamed or not: it must consist of exactly
-// the given number of tokens of this version and request, in order.
+// CheckAnswer checks the text of an answer, streamed or not. The text must consist of
+// exactly the tokens 0 to tokens-1 that this version generates for this request, in
+// order.
 func Answer(text, version, request string, tokens int) []Violation {
 	var want strings.Builder
 	for i := range tokens {
@@ -45,8 +47,9 @@
 	return []Violation{{WholeAnswer, fmt.Sprintf("request %s, version %s: got %.200q", request, version, text)}}
 }
 
-// Journal checks the requests that the endpoints ran: each must have run on
-// completely loaded weights, and no idempotency key of a workspace more than once.
+// CheckRuns checks the requests that the endpoints ran. Each request must have run on
+// completely loaded weights, and a workspace's requests with the same idempotency key
+// must have run at most once.
 func Journal(runs []standin.Run) []Violation {
 	var out []Violation
 	keys := make(map[string]string)
@@ -66,7 +69,8 @@
 	return out
 }
 
-// NotRun checks that no request that was refused as not run is among runs.
+// CheckNotRun checks requests whose refusal stated that they did not run: none of the
+// request IDs in refused may occur in runs.
 func NotRun(refused []string, runs []standin.Run) []Violation {
 	ran := make(map[string]bool, len(runs))
 	for _, r := range runs {
@@ -81,8 +85,8 @@
 	return out
 }
 
-// Origin checks the bytes that the origin sent against a budget, which is a multiple
-// of size, the size of one copy in bytes.
+// CheckOriginBytes checks that the origin sent at most budget copies of a model. sent
+// and size, the size of one copy, are in bytes.
 func Origin(sent, size int64, budget float64) []Violation {
 	if copies := float64(sent) / float64(size); copies > budget {
 		return []Violation{{OriginBudget, fmt.Sprintf("%.3f copies, budget %.3f", copies, budget)}}
@@ -90,8 +94,8 @@
 	return nil
 }
 
-// NonDecreasing checks that a sequence of offsets or fences never decreases. name is
-// the invariant that a decrease violates.
+// CheckNonDecreasing checks that a sequence of offsets or fences never decreases. name
+// is the invariant that a decrease violates.
 func NonDecreasing(name string, values []int64) []Violation {
 	for i := 1; i < len(values); i++ {
 		if values[i] < values[i-1] {
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pace tracks whether the topics of a store are answered in time. If one
-// topic is unanswered while the others are answered in time, a part of the store
-// is unresponsive; if the others are late, too, the link is saturated or the whole
-// store is unavailable.
+// Package pace tracks which topics of a store respond late. If only one topic is late,
+// a part of the store is unresponsive. If other topics are late, too, the link is
+// saturated or the whole store is unavailable.
 package pace
 
 import (
@@ -12,10 +11,10 @@
 )
 
 const (
-	// lateThreshold is the time after the end of its wait from which an
-	// unanswered call is late.
+	// lateThreshold is how long a call may stay unanswered, beyond the wait given to
+	// Begin, before it is late.
 	lateThreshold = 600 * time.Millisecond
-	// lateTTL is the time for which a topic counts as late after a late response.
+	// lateTTL is how long a topic counts as late after a late response.
 	lateTTL = 3 * time.Second
 )
 
@@ -28,7 +27,7 @@
 
 // topicState holds the calls in flight and the last late response of one topic.
 type topicState struct {
-	lateAt   map[*Call]time.Time // by call in flight: the time from which it is late
+	lateAt   map[*Call]time.Time // calls in flight, with the time from which each is late
 	lastLate time.Time           // time of the last response if it was late, else zero
 }
 
@@ -41,8 +40,8 @@
 // New returns a Tracker without calls.
 func New() *Tracker { return &Tracker{topics: make(map[string]*topicState)} }
 
-// Begin records the start of a call that the store may answer after wait, as a
-// long poll does. End must follow.
+// Begin records the start of a call for a topic. wait is how long the store may hold
+// the call before it responds, for example in a long poll. The caller must call End.
 func (p *Tracker) Begin(topic string, wait time.Duration, now time.Time) *Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Another topic must count as late if its last response was late, or if a call is
-// late or ended late without a response; a prompt response must reset that.
+// OthersLate must report another topic whose last response was late, or that has a
+// call which is late or ended late without a response. A response in time must end the
+// lateness of its topic.
 func TestOthersLate(t *testing.T) {
 	now := time.Now()
 	p := New()
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -16,16 +16,16 @@
 // ErrStalled is the cause of a context that a Guard has cancelled.
 const ErrStalled = errors.ConstError("no byte received within the stall timeout")
 
-// Guard cancels a context when no byte has arrived for a time limit. Use New.
+// Guard cancels a context when no byte has arrived for longer than a limit. Use New.
 type Guard struct {
 	limit  time.Duration
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// New returns a context that is cancelled, with ErrStalled as its cause, if the
-// first byte takes longer than first, or any later one longer than limit after the
-// one before. The caller must call Stop.
+// New returns a guard and a context that the guard cancels, with ErrStalled as the
+// cause. It does so if the first byte takes longer than first, or if the time between
+// two later bytes exceeds limit. The caller must call Stop.
 func New(ctx context.Context, first, limit time.Duration) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(first, func() { cancel(ErrStalled) })
@@ -59,8 +59,8 @@
 	return n, err
 }
 
-// Cause returns ErrStalled if err is not nil and a Guard has cancelled ctx, else
-// err.
+// Cause returns ErrStalled if err was caused by a Guard, that is, if err is not nil
+// and a Guard has cancelled ctx because of a stall. Else it returns err.
 func Cause(ctx context.Context, err error) error {
 	if err != nil && errors.Is(context.Cause(ctx), ErrStalled) {
 		return ErrStalled
--- a/internal/tcpconn/tcpconn.go
+++ b/internal/tcpconn/tcpconn.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package tcpconn detects unusable TCP connections: those that the peer has
-// closed, and those whose peer became unresponsive without a reset, which only
-// timeouts and keep-alive probes reveal.
+// Package tcpconn detects unusable TCP connections. Either the peer has closed the
+// connection, or the peer became unresponsive without a reset, which only timeouts and
+// keep-alive probes reveal.
 package tcpconn
 
 import (
@@ -17,12 +17,11 @@
 // Settings for the detection of unresponsive peers.
 const (
 	// userTimeout bounds how long sent bytes may remain unacknowledged. Without
-	// it, TCP retransmits for minutes with exponential backoff.
+	// this bound, TCP retransmits for minutes.
 	userTimeout = 1500 * time.Millisecond
-	// probeInterval is the interval of keep-alive probes on an idle connection.
-	// Linux counts it in whole seconds, and closes a connection that has a
-	// userTimeout when the probe after an unanswered one is due: an unresponsive
-	// peer is detected probeInterval after the first probe.
+	// probeInterval is the interval of keep-alive probes on an idle connection, in
+	// whole seconds. On Linux, an unresponsive peer is detected probeInterval after
+	// the first probe, because of userTimeout.
 	probeInterval = time.Second
 	// probeCount is the number of unanswered probes that close a connection on
 	// systems without TCP_USER_TIMEOUT.
@@ -31,12 +30,11 @@
 
 // Idle times before the first keep-alive probe.
 const (
-	// ProbeSoon is for connections on which a process waits for updates: an
+	// ProbeSoon is for connections on which a process waits for updates. An
 	// unresponsive peer is detected within 2 s.
 	ProbeSoon = time.Second
-	// ProbeLater is for connections on which a response may take long. On a lossy
-	// link, a lost probe closes the connection of a request in progress; a longer
-	// idle time exposes fewer requests to that.
+	// ProbeLater is for connections on which a response may take long. A lost probe
+	// closes the connection of a request in progress, so probes start later here.
 	ProbeLater = 2 * time.Second
 )
 
@@ -63,6 +61,7 @@
 	return l, errors.Trace(err)
 }
 
+// control sets userTimeout on a new socket.
 func control(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		// Best effort: without the option, the timeouts of calls detect an
@@ -112,9 +111,9 @@
 	return found
 }
 
-// Closed reports whether the peer has closed or reset c and all bytes that it sent
-// before have been read. It makes one system call. It returns false if c is not a
-// TCP connection.
+// Closed reports whether the peer has closed or reset c. It returns false while bytes
+// that the peer sent before are unread, and if c is not a TCP connection. It makes one
+// system call.
 func Closed(c net.Conn) bool { return peek(c) == closed }
 
 // OpenAndIdle reports whether c is open and has no unread bytes. It returns true if
--- a/membership/box.go
+++ b/membership/box.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package membership tracks which boxes exist and which of them may receive work.
-// The platform's box list lags behind, so a View combines it with the reports of
-// the processes on the boxes: a listed box is usable only while its process reports
-// and does not drain.
+// The platform's box list may be out of date, so a View combines it with the reports
+// of the processes on the boxes. A listed box is usable only while its process reports
+// and is not draining.
 //
 // The package does no I/O and takes the current time as a parameter.
 package membership
@@ -28,9 +28,11 @@
 // ListState is the state of a box in the platform's box list.
 type ListState string
 
-// The states of the box list. A Leaving box gets no new work.
+// The states of a listed box.
 const (
-	Live    ListState = "live"
+	// Live boxes may get new work.
+	Live ListState = "live"
+	// Leaving boxes are being removed and get no new work.
 	Leaving ListState = "leaving"
 )
 
@@ -56,10 +58,10 @@
 	Service string `json:"service,omitempty"`
 }
 
-// Report is the state that the process on a box reported at a time.
+// Report is a state report of the process on a box.
 type Report struct {
-	Box         string
-	Incarnation string
+	Box         string // ID of the box
+	Incarnation string // identifies this run of the process
 	Draining    bool
 	At          time.Time
 }
@@ -73,7 +75,8 @@
 // Member is a listed box with the state that its process reported.
 type Member struct {
 	Box
-	// Incarnation identifies the process that last reported; it is empty if none has.
+	// Incarnation identifies the run of the process that reported last; it is empty if
+	// there is no report.
 	Incarnation string
 	// Usable is true if new work may be sent to the box: it is responsive, not
 	// draining and not listed as Leaving.
@@ -85,12 +88,12 @@
 // View combines the box list with the reports of the processes. The zero value is
 // empty and ready for use; it is not safe for concurrent use.
 type View struct {
-	// ReportTimeout is the age of a report from which its process counts as
-	// unresponsive; 0 means DefaultReportTimeout.
+	// ReportTimeout is the time after the last report of a process until the process
+	// counts as unresponsive; 0 means DefaultReportTimeout.
 	ReportTimeout time.Duration
 
-	listed  map[string]Box
-	reports map[string]Report
+	listed  map[string]Box    // by box ID
+	reports map[string]Report // the newest, by box ID
 }
 
 // SetList replaces the box list and discards the reports of boxes that are no longer
@@ -107,8 +110,8 @@
 	}
 }
 
-// ApplyReport stores the report of a process, unless the view has a newer one of the
-// same box.
+// ApplyReport stores the report of a process, unless the view has a newer report of
+// the same box.
 func (v *View) ApplyReport(r Report) {
 	if v.reports == nil {
 		v.reports = make(map[string]Report)
--- a/membership/box_test.go
+++ b/membership/box_test.go
@@ -11,6 +11,8 @@
 
 var epoch = time.Unix(1000, 0)
 
+// A listed box must be usable only while its process reports, is not draining and the
+// list does not state that the box is leaving.
 func TestReportsOverrideList(t *testing.T) {
 	var v View
 	v.SetList([]Box{{ID: "a", Role: Endpoint, State: Live}, {ID: "b", Role: Endpoint, State: Live}, {ID: "g", Role: Gateway, State: Live}})
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -19,8 +19,8 @@
 	Unknown Outcome = "unknown"
 )
 
-// Stage is the stage that an attempt had reached when it ended, which determines its
-// outcome.
+// Stage is the last stage that an attempt reached. It determines the outcome of the
+// attempt.
 type Stage int
 
 // The stages of an attempt, in order.
@@ -31,9 +31,9 @@
 	Sending
 	// Refused: the sidecar rejected the request at admission.
 	Refused
-	// Responding: the head of the response has arrived, but not its end.
+	// Responding: the head of the response has arrived, but the end has not.
 	Responding
-	// ErrorResponse: a complete response has arrived, which reports an error.
+	// ErrorResponse: a complete response that reports an error has arrived.
 	ErrorResponse
 	// Done: the complete response has arrived.
 	Done
@@ -53,9 +53,10 @@
 	}
 }
 
-// Retry reports whether a request whose last attempt had the outcome o may be
-// retried. If the outcome is unknown, only an idempotent request may be retried, and
-// only while no byte of a response has been sent to the caller.
+// Retry reports whether a request may be retried after an attempt with the outcome o.
+// A request that was not run may always be retried. A request with an unknown outcome
+// may be retried if it is idempotent and no byte of a response has been sent to the
+// caller. Other requests may not be retried.
 func Retry(o Outcome, idempotent, responseStarted bool) bool {
 	switch o {
 	case NotRun:
--- a/prio/gate.go
+++ b/prio/gate.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// ErrFull reports that no slot is free and that the work cannot be queued, or was
-// evicted from the queue.
+// ErrFull reports that the work got no slot: either the queue was full, or the work
+// was evicted from the queue.
 const ErrFull = errors.ConstError("no slot is free")
 
 // Gate is a Queue that blocks goroutines until they get a slot. It is safe for
@@ -18,19 +18,19 @@
 type Gate struct {
 	mu      sync.Mutex
 	queue   Queue
-	lastID  uint64
-	waiting map[uint64]chan bool
+	lastID  uint64               // ID of the last waiter
+	waiting map[uint64]chan bool // by waiter ID: receives true for a grant, false for an eviction
 }
 
-// NewGate returns a Gate with the limits of q, which must be unused.
+// NewGate returns a Gate with the limits of q, a queue that has not been used.
 func NewGate(q Queue) *Gate {
 	return &Gate{queue: q, waiting: make(map[uint64]chan bool)}
 }
 
-// Acquire takes a slot of the class, waiting in the queue if necessary. It returns
-// ErrFull at once if the queue is full, or later if work of a higher priority evicts
-// it from the queue, and ctx's error if ctx is done first. A caller that got a slot
-// must call Release.
+// Acquire takes a slot of the class and waits for it in the queue if necessary. It
+// returns ErrFull at once if the queue is full, or later if work of a higher priority
+// evicts the caller from the queue. It returns ctx's error if ctx is done first. A
+// caller that got a slot must call Release.
 func (g *Gate) Acquire(ctx context.Context, priority int, class string) error {
 	g.mu.Lock()
 	g.lastID++
@@ -71,7 +71,7 @@
 	return ctx.Err()
 }
 
-// Release returns a slot of the class, which may go to a waiter.
+// Release frees a slot of the class and grants it to the next waiter, if any.
 func (g *Gate) Release(class string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -85,7 +85,8 @@
 	}
 }
 
-// notify sends the result of its admission to a waiter. The caller holds mu.
+// notify sends a waiter the result of its admission: true if it was granted a slot,
+// false if it was evicted. The caller holds mu.
 func (g *Gate) notify(id uint64, granted bool) {
 	if ready, ok := g.waiting[id]; ok {
 		delete(g.waiting, id)
--- a/prio/prio_test.go
+++ b/prio/prio_test.go
@@ -13,6 +13,8 @@
 	"pgregory.net/rapid"
 )
 
+// A waiter of low priority must get a slot although waiters of higher priority are
+// queued.
 func TestHighestFirstWithoutStarvation(t *testing.T) {
 	q := Queue{Slots: 1, MaxWaiting: 100}
 	granted, _, _ := q.Admit(Waiter{ID: 0, Priority: 1})
--- a/prio/queue.go
+++ b/prio/queue.go
@@ -1,18 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package prio implements admission to a bounded number of slots by priority, with a
-// bounded queue. The highest priority is served first, but every n-th slot goes to
-// the lowest priority in the queue, which prevents starvation. If the queue is full,
-// work of the lowest priority is evicted or rejected at once.
+// Package prio limits how much work runs at a time and admits work by priority. Work
+// that holds one of a fixed number of slots may run; other work waits in a bounded
+// queue. The highest priority is served first, but every n-th slot goes to the lowest
+// priority in the queue, which prevents starvation. If the queue is full, work of the
+// lowest priority is evicted or rejected at once.
 //
 // Queue makes the decisions without blocking; Gate blocks goroutines accordingly.
-// Sidecars use it for upload slots, gateways and sidecars for requests.
+// Gateways and sidecars admit requests with this package, and sidecars also uploads.
 package prio
 
 // Parameters of a Queue.
 const (
-	// lowestPriorityInterval is the n of the rule that every n-th slot goes to the
-	// lowest priority in the queue, which prevents starvation.
+	// lowestPriorityInterval is the n in the rule that every n-th slot goes to the
+	// lowest priority in the queue.
 	lowestPriorityInterval = 8
 )
 
@@ -27,23 +28,24 @@
 // Queue grants slots by priority. The zero value has no slots and rejects all work.
 // It is not safe for concurrent use.
 type Queue struct {
-	// Slots is the maximum number of slots in use, MaxWaiting that of waiters.
-	Slots      int
+	// Slots is the number of slots, which bounds the work that runs at a time.
+	Slots int
+	// MaxWaiting is the maximum number of waiters in the queue.
 	MaxWaiting int
 	// ClassSlots is the maximum number of slots in use by one class, so that a
 	// single class cannot use all slots; 0 means no limit.
 	ClassSlots int
 
-	active      int
+	active      int            // slots in use
 	classActive map[string]int // slots in use by class; unused if ClassSlots is 0
-	grants      int
-	waiting     []Waiter
+	grants      int            // slots granted so far
+	waiting     []Waiter       // the oldest first
 }
 
-// Admit grants w a slot if one is free and ClassSlots allows it, else queues it. If
-// the queue is full, w replaces the newest waiter of the lowest priority, which is
-// returned as evicted, provided that w has a higher priority; otherwise w is rejected:
-// neither granted nor queued.
+// Admit grants w a slot if one is free and ClassSlots permits it; else it queues w. If
+// the queue is full, Admit compares w with the newest waiter of the lowest priority. If
+// w has a higher priority, w replaces that waiter, which is returned as evicted. If
+// not, w is rejected: granted and queued are both false.
 func (q *Queue) Admit(w Waiter) (granted, queued bool, evicted *Waiter) {
 	if q.active < q.Slots && q.eligible(w) {
 		q.grant(w)
@@ -101,8 +103,9 @@
 	return q.ClassSlots == 0 || q.classActive[w.Class] < q.ClassSlots
 }
 
-// nextEligible returns the index of the waiter to serve next, among those that are
-// eligible: the oldest of the highest priority, or of the lowest for every n-th slot.
+// nextEligible returns the index of the waiter to serve next, and false if no waiter is
+// eligible. It is the oldest eligible waiter of the highest priority, or for every n-th
+// slot, of the lowest priority.
 func (q *Queue) nextEligible() (int, bool) {
 	low := (q.grants+1)%lowestPriorityInterval == 0
 	best := -1
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package upstream is an HTTP/1.1 client for endpoints that sends each request at
-// most once and reports whether bytes of a failed request may have been sent.
+// Package upstream is an HTTP/1.1 client for endpoints. It sends each request at most
+// once, and if a request fails, it reports whether bytes of it may have been sent.
 //
-// It has a connection pool of its own, because the Transport of net/http retries
-// requests by itself and does not report whether a request was sent. Headers are
-// written and responses are parsed by net/http.
+// The client has its own connection pool, because the Transport of net/http retries
+// requests by itself and does not report whether a request was sent. net/http still
+// writes the headers and parses the responses.
 package upstream
 
 import (
@@ -31,14 +31,14 @@
 const (
 	// ErrMismatched reports that only responses to other requests were received.
 	ErrMismatched = errors.ConstError("the endpoint answered another request")
-	// ErrWithheld reports that the request was not sent because Request.Proceed
+	// ErrWithheld reports that the request was not sent, because Request.Proceed
 	// returned false.
 	ErrWithheld = errors.ConstError("the endpoint may not get the request any more")
 )
 
 // Error is the error of an attempt that received no response.
 type Error struct {
-	// Sent is true if bytes of the request may have reached the endpoint. If it is
+	// Sent is true if bytes of the request may have reached the endpoint. If Sent is
 	// false, the endpoint certainly did not run the request.
 	Sent bool
 	Err  error
@@ -62,11 +62,11 @@
 	// Accept reports whether a response with the given header belongs to this
 	// request. Nil accepts every response.
 	Accept func(http.Header) bool
-	// Fresh requires a new connection or one that has been idle for at most
-	// maxFreshIdle, because the endpoint might be closing one that was idle longer.
+	// Fresh requires a new connection, or a pooled one that has been idle for at most
+	// maxFreshIdle. The endpoint might be closing a connection that was idle longer.
 	Fresh bool
-	// Proceed is called when a connection has been obtained, right before the request
-	// is written, and reports whether it may still be sent. Nil means that it may.
+	// Proceed is called right before the request is written to a connection. It reports
+	// whether the request may still be sent. Nil permits every request.
 	Proceed func() bool
 }
 
@@ -84,36 +84,35 @@
 
 const (
 	readBufferBytes = 4 << 10
-	// maxInlineBody is the size in bytes up to which a body is written before the
-	// response is read. It must fit into the socket's send buffer.
+	// maxInlineBody is the largest body, in bytes, that is written completely before
+	// the response is read. It must fit into the socket's send buffer.
 	maxInlineBody = 16 << 10
-	// maxMismatched bounds the responses that are read for a request if they do not
-	// belong to it, and maxMismatchedBytes the body of each.
-	maxMismatched      = 3
+	// maxMismatched is the maximum number of responses that are read for one request.
+	// Responses that do not belong to the request are skipped.
+	maxMismatched = 3
+	// maxMismatchedBytes bounds the body of a skipped response.
 	maxMismatchedBytes = 1 << 20
 )
 
-// Pool is a connection pool with connections by address. It is safe for concurrent
+// Pool sends requests and keeps idle connections for reuse. It is safe for concurrent
 // use. Use NewPool.
 type Pool struct {
 	options Options
 	dialer  *net.Dialer
 	mu      sync.Mutex
-	idle    map[string][]*conn
-	opened  uint64
+	idle    map[string][]*conn // idle connections by address, the most recently used last
+	opened  uint64             // number of dials
 }
 
 // conn is a connection of a Pool.
 type conn struct {
 	net.Conn
-	pool    *Pool
-	address string
-	reader  *bufio.Reader
-	// idleSince is the time at which the connection became idle, idleUntil the time
-	// at which its idle timeout expires.
-	idleSince time.Time
-	idleUntil time.Time
-	once      sync.Once
+	pool      *Pool
+	address   string
+	reader    *bufio.Reader
+	idleSince time.Time // when the connection became idle
+	idleUntil time.Time // when its idle timeout expires
+	once      sync.Once // of closeOnce
 }
 
 // NewPool returns an empty pool.
@@ -133,8 +132,9 @@
 	return p.opened
 }
 
-// takeIdle removes a usable idle connection from the pool and returns it, or nil. It
-// closes those that it finds unusable.
+// takeIdle removes a usable idle connection to the address from the pool and returns
+// it, or nil if there is none. It closes unusable connections that it finds. fresh is
+// as in Request.Fresh.
 func (p *Pool) takeIdle(address string, fresh bool, now time.Time) *conn {
 	for {
 		p.mu.Lock()
@@ -173,8 +173,8 @@
 	c.once.Do(func() { _ = c.Close() })
 }
 
-// putIdle returns a connection to the pool, or closes it if the address has MaxIdle
-// idle connections.
+// putIdle returns a connection to the pool, in which it may stay idle for lifetime. It
+// closes the connection if the address already has MaxIdle idle connections.
 func (c *conn) putIdle(now time.Time, lifetime time.Duration) {
 	p := c.pool
 	c.idleSince = now
@@ -189,9 +189,9 @@
 	p.mu.Unlock()
 }
 
-// CloseIdle closes the idle connections to an address. Use it after a connection to
-// the address became unresponsive: the idle ones are likely unresponsive, too, and
-// each would delay a request until its timeout.
+// CloseIdle closes the idle connections to an address. It is for use after a
+// connection to the address became unresponsive: the idle connections likely are
+// unresponsive, too, and each would delay a request until its timeout.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	connections := p.idle[address]
@@ -246,19 +246,19 @@
 
 	conn        *conn
 	head        *http.Response
-	writeResult <-chan error
-	stopWatch   func() bool
-	bodyRead    bool
-	once        sync.Once
+	writeResult <-chan error // receives the result of writing the request
+	stopWatch   func() bool  // stops closing the connection when the context is done; false if it was closed
+	bodyRead    bool         // set by MarkBodyRead
+	once        sync.Once    // of Close
 }
 
 // MarkBodyRead records that the body has been read to its end, so that Close may
 // return the connection to the pool.
 func (r *Response) MarkBodyRead() { r.bodyRead = true }
 
-// Close ends the exchange. It returns the connection to the pool if it is reusable,
-// else closes it; if the body was not read to its end, the close makes the endpoint
-// stop the request.
+// Close ends the exchange. It returns the connection to the pool if the body was read
+// to its end and the connection is reusable; else it closes the connection. Closing it
+// before the end of the body makes the endpoint stop the request.
 func (r *Response) Close() {
 	r.once.Do(func() {
 		notCancelled := r.stopWatch()
@@ -270,9 +270,9 @@
 	})
 }
 
-// reusable reports whether the connection can carry another request: the request was
-// written completely, the response has a delimited body and no bytes follow it, and
-// the endpoint keeps the connection open.
+// reusable reports whether the connection can carry another request. It can if the
+// request was written completely, the length of the response body was delimited, no
+// bytes follow the body, and the endpoint keeps the connection open.
 func (r *Response) reusable() bool {
 	if r.head.Close || r.conn.reader.Buffered() > 0 {
 		return false
@@ -288,10 +288,10 @@
 	}
 }
 
-// idleLifetime returns the idle timeout of the connection: the pool's, or less if the
-// response's Keep-Alive header says so.
+// idleLifetime returns the idle timeout of the connection. It is the pool's timeout, or
+// a lower one that the response's Keep-Alive header requests.
 func (r *Response) idleLifetime() time.Duration {
-	// margin closes the connection before the endpoint does.
+	// margin is how long before the endpoint's timeout this client closes the connection.
 	const margin = 500 * time.Millisecond
 	lifetime := r.conn.pool.options.IdleTimeout
 	for _, part := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
@@ -307,8 +307,8 @@
 }
 
 // Do sends a request, at most once, and reads the head of its response. When ctx is
-// done, the connection is closed, also while the body is being read. An error is an
-// *Error.
+// done, the connection is closed, even while the caller reads the body. Errors are of
+// type *Error.
 func (p *Pool) Do(ctx context.Context, address string, q *Request) (*Response, error) {
 	c := p.takeIdle(address, q.Fresh, clock.Now())
 	if c == nil {
@@ -338,8 +338,8 @@
 	return r, nil
 }
 
-// Refuses reports whether a dial of the address is refused, as it is after the process
-// has ended. It returns false if the dial times out.
+// Refuses reports whether the address refuses connections, which shows that no process
+// listens there. It returns false if the dial times out.
 func (p *Pool) Refuses(ctx context.Context, address string, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -350,8 +350,8 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// timedOut reports whether err is a timeout of the connection, so that its peer is
-// unresponsive.
+// timedOut reports whether err is a timeout of the connection, which shows that the
+// peer is unresponsive.
 func timedOut(err error) bool {
 	var failure net.Error
 	return errors.As(err, &failure) && failure.Timeout()
--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -12,10 +12,11 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a workspace's settings. MaxConcurrent is the bound of MaxInFlight.
+// Bounds of a workspace's settings.
 const (
-	MinPriority   = 1
-	MaxPriority   = 100
+	MinPriority = 1
+	MaxPriority = 100
+	// MaxConcurrent is the largest value of Workspace.MaxInFlight.
 	MaxConcurrent = 100000
 )
 
@@ -25,11 +26,11 @@
 	Name string `json:"name"`
 	// KeyHash is the hash of the API key that its requests carry.
 	KeyHash KeyHash `json:"key_hash"`
-	// Priority is from MinPriority to MaxPriority. Weights and capacity go to higher
-	// priorities first.
+	// Priority is from MinPriority to MaxPriority. Workspaces with a higher priority
+	// receive weights and capacity first.
 	Priority int `json:"priority"`
-	// MaxInFlight bounds the requests in flight at each gateway; 0 means that only
-	// the gateway's own limit applies.
+	// MaxInFlight is the maximum number of the workspace's requests in flight at each
+	// gateway; 0 means that only the gateway's own limit applies.
 	MaxInFlight int `json:"max_in_flight"`
 	// Floor is the minimum number of boxes that must keep serving the workspace
 	// during the rollout of a plan.
