--- a/cmd/mintlift/main_test.go
+++ b/cmd/mintlift/main_test.go
@@ -24,7 +24,7 @@
 	return code, out.String()
 }
 
-func TestExamplesPass(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	entries, err := examples.Files.ReadDir(".")
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 4)
@@ -40,7 +40,7 @@
 }
 
 // Checks that all errors of a settings file are reported, of different kinds.
-func TestSettingsMistakes(t *testing.T) {
+func TestAllSettingsErrorsAreReported(t *testing.T) {
 	b, err := examples.Files.ReadFile("anuario-celeste-gateway.json")
 	assert.NilError(t, err)
 	var fields map[string]any
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -60,11 +60,11 @@
 
 // HandleNamedVersion implements platform.OperatorHandler.
 func (s *sidecarState) HandleTargetVersion(n platform.TargetVersion, first bool) {
-	namedAt := time.Time{}
+	setAt := time.Time{}
 	if !first {
-		namedAt = clock.Now()
+		setAt = clock.Now()
 	}
-	s.installer.AddTarget(n.Model, n.Version, namedAt)
+	s.installer.AddTarget(n.Model, n.Version, setAt)
 }
 
 // handleNotice applies a gateway's notice.
@@ -74,8 +74,8 @@
 	}
 	now := clock.Now()
 	for _, version := range n.NamedVersions {
-		if namedAt := version.NamedAt(now); !namedAt.IsZero() {
-			s.installer.AddTarget(n.Model, version.Version, namedAt)
+		if setAt := version.NamedAt(now); !setAt.IsZero() {
+			s.installer.AddTarget(n.Model, version.Version, setAt)
 			continue
 		}
 		s.installer.AddTargetOfUnknownAge(n.Model, version.Version, version.PastCutoff, now)
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -30,7 +30,7 @@
 // discardOperator discards the operator's records.
 type discardOperator struct{}
 
-func (discardOperator) HandleConfiguration(*routing.Configuration)     {}
+func (discardOperator) HandleConfiguration(*routing.Configuration)       {}
 func (discardOperator) HandleTargetVersion(platform.TargetVersion, bool) {}
 
 // discardReports discards the sidecars' messages.
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -85,7 +85,7 @@
 
 // Guards against a store rollback that restores an older named version: a gateway that
 // starts after it must not cause engines to load that version.
-func TestNamedVersionAfterStoreRollback(t *testing.T) {
+func TestTargetVersionAfterStoreRollback(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	for _, b := range d.boxes {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -127,7 +127,7 @@
 }
 
 // An idle connection with unread bytes must not be reused.
-func TestSurplusOnIdleConnection(t *testing.T) {
+func TestIdleConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	var connections atomic.Int32
 	sent := make(chan struct{}, 2)
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
@@ -152,7 +152,7 @@
 
 // A request must not be retried when the endpoint closes the connection on which it
 // was sent.
-func TestNoReplay(t *testing.T) {
+func TestRequestIsNotRetriedAfterClose(t *testing.T) {
 	var requests atomic.Int32
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		if q := readRequest(r); q != nil {
@@ -203,7 +203,7 @@
 	assert.Equal(t, requests.Load(), int32(0))
 }
 
-func TestResponseWithoutLength(t *testing.T) {
+func TestBodyUntilConnectionClose(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		reset bool
@@ -295,7 +295,7 @@
 	}
 }
 
-func TestSweep(t *testing.T) {
+func TestSweepClosesExpiredConnections(t *testing.T) {
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
 		for q := readRequest(r); q != nil; q = readRequest(r) {
 			write(c, rawResponse("1", "ok"))
