--- a/admin/client.go
+++ b/admin/client.go
@@ -29,8 +29,8 @@
 	return &Client{Call: mcall.New("admin", o), Address: address}
 }
 
-// do calls the API with the JSON of in and decodes the response into out; either
-// may be nil. Errors are of type *Error.
+// do calls the API. It sends in as JSON, unless in is nil, and decodes the response
+// into out, unless out is nil. Errors are of type *Error.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	err := c.Call.JSON(ctx, method, c.Call.URL(c.Address, Prefix+path), in, out)
 	var se *mcall.StatusError
@@ -118,7 +118,7 @@
 	return out, err
 }
 
-// Cancel cancels a confirmed plan; the previous plan takes effect again.
+// Cancel cancels a confirmed plan. The plan that was in force before takes effect again.
 func (c *Client) Cancel(ctx context.Context, id string) (out *intent.Plan, err error) {
 	err = c.do(ctx, http.MethodPost, "/plans/"+url.PathEscape(id)+"/cancel", nil, &out)
 	return out, err
--- a/admin/plans.go
+++ b/admin/plans.go
@@ -51,8 +51,7 @@
 	return plan, nil
 }
 
-// checkWorkspacesExist rejects an intent with an unknown workspace before the
-// weight store and the boxes are called for it.
+// checkWorkspacesExist returns an error if a workspace of the intent does not exist.
 func (s *Server) checkWorkspacesExist(in intent.Intent) error {
 	var err error
 	s.Replica.View(func(st *state.State) {
@@ -66,8 +65,8 @@
 	return err
 }
 
-// snapshot returns the input of the planner. Its offset is taken before the boxes
-// are probed, so that a record appended meanwhile counts as later than the plan.
+// snapshot returns the input of the planner. Its log offset is read before the boxes
+// are probed, so that a record appended during the probes counts as newer than the plan.
 func (s *Server) snapshot(r *http.Request) intent.Snapshot {
 	w := intent.Snapshot{
 		Now:        time.Now(),
@@ -87,8 +86,9 @@
 	return w
 }
 
-// Candidates returns the boxes that responded, are not draining and report the
-// state of their engine, if they have one, as input of the planner.
+// Candidates returns the boxes that a plan may use, as input of the planner. A candidate
+// has responded, is neither draining nor leaving, and has reported the state of its
+// model engine if it runs one.
 func Candidates(st *state.State, boxes []BoxStatus) []intent.Candidate {
 	var out []intent.Candidate
 	for _, b := range boxes {
@@ -142,9 +142,9 @@
 	return p, nil
 }
 
-// confirm confirms a plan. Whether the confirmation takes effect is decided by the
-// order of the event log; a conflict is reported with its reason and a new plan
-// for the same intent.
+// confirm confirms a proposed plan. The order of records in the event log decides
+// whether the confirmation takes effect. In a conflict the error contains the reason
+// and a new plan for the same intent.
 func (s *Server) confirm(r *http.Request, operator string) (any, error) {
 	p, err := s.findPlan(pathID(r))
 	if err != nil {
@@ -200,8 +200,8 @@
 	return s.endPlan(r, operator, intent.Confirmed, intent.Cancelled)
 }
 
-// endPlan changes a plan's status from one to the other, which is Rejected or
-// Cancelled.
+// endPlan changes a plan's status from from to to, which must be Rejected or Cancelled.
+// It returns an error if the plan does not have the status from.
 func (s *Server) endPlan(r *http.Request, operator string, from, to intent.Status) (any, error) {
 	p, err := s.findPlan(pathID(r))
 	if err != nil {
@@ -224,8 +224,9 @@
 type Progress struct {
 	Plan  *intent.Plan  `json:"plan"`
 	Boxes []BoxProgress `json:"boxes"`
-	// OriginBytes, PeerBytes, CrossBytes and BadChunks are sums over the boxes
-	// that respond.
+	// The following four are sums over the boxes that responded: bytes received from
+	// the origin, from peers, and from peers in another region, and the number of
+	// chunks that failed verification.
 	OriginBytes int64 `json:"origin_bytes"`
 	PeerBytes   int64 `json:"peer_bytes"`
 	CrossBytes  int64 `json:"cross_bytes"`
@@ -242,8 +243,8 @@
 	Copy    peer.CopyStatus `json:"copy"`
 }
 
-// Done reports whether every box that responds serves the plan's version, and at
-// least one does.
+// Done reports whether at least one box serves the plan's version and every box that
+// responded does so.
 func (p *Progress) Done() bool { return p.Serving > 0 && p.Serving == p.reachedBoxes() }
 
 // reachedBoxes returns the number of boxes that responded.
--- a/admin/plans_test.go
+++ b/admin/plans_test.go
@@ -12,8 +12,9 @@
 	"github.com/mintlift/mintlift/state"
 )
 
-// Boxes whose engine state is unknown must not be candidates: their memory would
-// count as unbounded. Neither may be unresponsive or draining boxes.
+// Boxes whose engine state is unknown must not be candidates of a plan, since their
+// memory would count as unbounded. Unresponsive, draining and leaving boxes must not be
+// candidates either.
 func TestCandidatesRequireKnownEngine(t *testing.T) {
 	box := func(id string, s membership.ListState) membership.Box {
 		return membership.Box{ID: id, Role: membership.Endpoint, State: s}
--- a/admin/problem.go
+++ b/admin/problem.go
@@ -38,7 +38,7 @@
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Plan is a new plan for the same intent, which may come with a conflict.
+	// Plan, with CodeConflict, is a new plan for the same intent; nil if there is none.
 	Plan *intent.Plan `json:"plan,omitempty"`
 }
 
@@ -55,7 +55,7 @@
 	Error *Error `json:"error"`
 }
 
-// httpStatusOf is the HTTP status of a response with a code.
+// httpStatusOf maps the code of an error to the HTTP status of the response.
 var httpStatusOf = map[Code]int{
 	CodeInvalid:        http.StatusBadRequest,
 	CodeUnauthorized:   http.StatusUnauthorized,
--- a/admin/server.go
+++ b/admin/server.go
@@ -3,10 +3,10 @@
 // Package admin is the administration API of a gateway, under /admin/v1,
 // and its client. docs/API.md describes each call.
 //
-// Every change is a record in the event log. A call returns once the gateway's
-// replica has read its record back from the log, so that the response shows the
-// state as decided by the log's order. While the log is unavailable, changes are
-// rejected with an error.
+// Every change is a record in the event log. A call appends its record and returns
+// once the gateway's replica of the state has applied it. Since all replicas apply
+// records in the order of the log, the response shows whether the change took effect.
+// While the log is unavailable, changes are rejected with an error.
 package admin
 
 import (
@@ -31,10 +31,12 @@
 // Prefix is the path prefix of all calls.
 const Prefix = "/admin/v1"
 
-// commitTimeout is the timeout for a change to be appended and read back.
+// commitTimeout bounds the time to append a record to the event log and apply it to the
+// replica.
 const commitTimeout = 10 * time.Second
 
-// bootstrapOperator is the name of the operator whose key is in the settings.
+// bootstrapOperator is the name of the operator whose key is in the settings. It is
+// needed to create the first operator.
 const bootstrapOperator = "bootstrap"
 
 // Cluster provides what the API reads from outside the event log.
@@ -65,8 +67,9 @@
 	// Bootstrap returns the key of the bootstrap operator, or "" if there is none.
 	Bootstrap func() string
 	Logger    logr.Logger
-	Weighing  intent.Weighing
-	// PlanTTL is how long a proposed plan can be confirmed.
+	// Weighing is the default for plans whose intent has none.
+	Weighing intent.Weighing
+	// PlanTTL is how long after its proposal a plan can be confirmed.
 	PlanTTL time.Duration
 }
 
@@ -159,17 +162,20 @@
 	Gateway peer.Status `json:"gateway"`
 	// Digest is the digest of the replicated state.
 	Digest string `json:"digest"`
-	// Workspaces, Plans and Homes are numbers of entries in the state.
+	// Workspaces and Plans are numbers of entries in the state.
 	Workspaces int `json:"workspaces"`
 	Plans      int `json:"plans"`
-	Homes      int `json:"homes"`
-	// LogUnresponsive reports that the event log has not responded for a while:
-	// changes are rejected, requests are served with the last state.
+	// Homes is the number of homes: sidecar processes that store what is known of
+	// idempotency keys.
+	Homes int `json:"homes"`
+	// LogUnresponsive is true if the event log has not responded for
+	// logUnresponsiveAfter. Meanwhile changes are rejected, and requests are served
+	// with the last known state.
 	LogUnresponsive bool `json:"log_silent"`
 }
 
-// logUnresponsiveAfter is the time without contact to the event log after which
-// it is reported as unresponsive.
+// logUnresponsiveAfter is the time without a response of the event log after which the
+// log is reported as unresponsive.
 const logUnresponsiveAfter = 10 * time.Second
 
 func (s *Server) status(*http.Request, string) (any, error) {
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -20,7 +20,7 @@
 	Key         *string `json:"key,omitempty"`
 	Priority    *int    `json:"priority,omitempty"`
 	MaxInFlight *int    `json:"max_in_flight,omitempty"`
-	// Floor is the least number of boxes that must keep serving the workspace
+	// Floor is the minimum number of boxes that must keep serving the workspace
 	// during a rollout.
 	Floor *int `json:"floor,omitempty"`
 }
--- a/cmd/mintlift/backoff_test.go
+++ b/cmd/mintlift/backoff_test.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// backoffGrace is the time after a response with a backoff signal within which
-	// requests may still be in transit.
+	// backoffGrace is how long after a response with a backoff signal requests may
+	// still arrive unrestricted, since they may have been in transit.
 	backoffGrace = 500 * time.Millisecond
 	// maxRequestsInBackoff is the maximum number of requests of one gateway that may
-	// reach the endpoint after that until the backoff ends.
+	// reach the endpoint between the end of backoffGrace and the end of the backoff.
 	maxRequestsInBackoff = 2
 )
 
-// Guards against gateways that go on sending requests to an engine that refused one
-// with a backoff signal: it has nothing in flight and would look least loaded.
+// Guards against gateways that send requests to an engine during the backoff that it
+// requested. The engine looks least loaded, since it has nothing in flight.
 func TestEndpointBackoffIsHonored(t *testing.T) {
 	t.Parallel()
 	d, engines := startSignalingEngines(t, 3, 3)
 	checkBackoff(t, d, engines[0], enginePath, 3)
 }
 
-// Checks other backoff durations, at an endpoint without a sidecar.
+// Checks that gateways honor the backoff of an endpoint without a sidecar, with other
+// durations.
 func TestPlainEndpointBackoffIsHonored(t *testing.T) {
 	for _, seconds := range []float64{0.7, 1.5} {
 		t.Run(strconv.FormatFloat(seconds, 'f', -1, 64), func(t *testing.T) {
--- a/cmd/mintlift/crash_test.go
+++ b/cmd/mintlift/crash_test.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	// propagationTimeout is the time after which all gateways must apply what one of
-	// them has learned, a crash or a signal of an endpoint.
+	// propagationTimeout is the time within which all gateways must apply a crash or a
+	// signal of an endpoint that one of them has observed.
 	propagationTimeout = 3 * time.Second
-	// maxCrashesAfterPropagation is the maximum number of crashes later than
-	// propagationTimeout after that of number crashThreshold.
+	// maxCrashesAfterPropagation is the maximum number of crashes that may occur once
+	// propagationTimeout has passed since the crash with the number crashThreshold.
 	maxCrashesAfterPropagation = 3
 	// crashThreshold is the number of crashes after which a request must be quarantined.
 	crashThreshold = 3
 )
 
-// Guards against a request that crashes each engine that runs it: its caller retries
-// with a new request ID at any gateway, so gateways must share the crashes and
-// quarantine the request by its content.
+// Guards against a request that crashes one engine after the other because its caller
+// retries it, with a new request ID and at any gateway. Gateways must share the crashes
+// and quarantine the request, which they recognize by its content.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	checkQuarantine(t, 3, 6)
@@ -51,8 +51,8 @@
 	}
 }
 
-// checkQuarantine sends a request that crashes its endpoints to the gateways in turn,
-// and checks that few endpoints crash.
+// checkQuarantine starts a deployment and sends a request that crashes engines to its
+// gateways in turn. It checks that few engines crash.
 func checkQuarantine(t *testing.T, gateways, count int) {
 	t.Helper()
 	d := startEngines(t, gateways, count)
@@ -74,8 +74,8 @@
 }
 
 // Checks that gateways share crashes through sidecars while the store is unresponsive,
-// that no response claims that the request did not run where it may have, and that
-// other requests are served.
+// and that they serve other requests. The response to a request that may have run must
+// not state that it did not run.
 func TestCrashesAreSharedWithoutStore(t *testing.T) {
 	t.Parallel()
 	d := startEngines(t, 2, 6)
@@ -125,8 +125,8 @@
 	gateways []string // IP:PORT of the gateways' listeners for callers
 
 	mu           sync.Mutex
-	crashes      []time.Time // of engines
-	incarnations int         // of engines so far
+	crashes      []time.Time // times of the engines' crashes
+	incarnations int         // number of starts of engines so far
 }
 
 // loopbackNetworks counts the loopback networks in use.
@@ -139,8 +139,8 @@
 	return startEnginesWith(t, gateways, count, (*engineDeployment).startEngine)
 }
 
-// startEnginesWith is like startEngines, but starts each engine with start, at an IP
-// address, with the address of the store.
+// startEnginesWith is like startEngines, but calls start to start each engine with its
+// sidecar, at the given IP address and for the store at the given address.
 func startEnginesWith(t *testing.T, gateways, count int, start func(d *engineDeployment, t *testing.T, ip, store string)) *engineDeployment {
 	t.Helper()
 	network := fmt.Sprintf("127.78.%d", loopbackNetworks.Add(1))
@@ -195,14 +195,14 @@
 	return group
 }
 
-// send sends a request to gateway n, modulo their number, and returns the status of
-// the response, or 0 if it was not received whole.
+// send sends a request to the gateway with the index n modulo the number of gateways.
+// It returns the status of the response, or 0 if the response was incomplete or missing.
 func (d *engineDeployment) send(n int, body string) int {
 	status, _ := d.sendForHeader(n, body)
 	return status
 }
 
-// sendForHeader is like send, and returns the header of the response, too.
+// sendForHeader is like send, and also returns the header of the response.
 func (d *engineDeployment) sendForHeader(n int, body string) (int, http.Header) {
 	return d.sendToPath("/s/x", n, body)
 }
@@ -249,7 +249,7 @@
 	address    string
 
 	mu      sync.Mutex
-	id      string // of this incarnation; empty after a crash until the restart
+	id      string // endpoint ID since the last start; empty between a crash and the restart
 	server  *http.Server
 	stopped bool
 }
@@ -279,7 +279,7 @@
 	return nil
 }
 
-// stop closes the engine for good.
+// stop closes the engine and prevents restarts.
 func (e *crashingEngine) stop() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -328,8 +328,8 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: token\n\n")
 }
 
-// Checks that a request that an operator clears at one gateway is released from
-// quarantine at all.
+// Checks that a request which an operator releases from quarantine at one gateway is
+// released at all gateways.
 func TestClearSuspectReachesAllGateways(t *testing.T) {
 	t.Parallel()
 	d := startEngines(t, 2, 6)
--- a/cmd/mintlift/daemons.go
+++ b/cmd/mintlift/daemons.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// runDaemon starts a daemon and stops it on SIGTERM, SIGINT or the end of ctx.
-// go-zero forces an exit some seconds after a signal, even while requests are in
-// progress; that delay is raised above drainTimeout.
+// runDaemon starts a daemon and stops it on SIGTERM, SIGINT or the end of ctx. It sets
+// the time after which go-zero forces an exit after a signal to more than drainTimeout,
+// so that requests in progress can end.
 func runDaemon(ctx context.Context, name string, t telemetry.TraceSettings, drainTimeout time.Duration, start func() (daemon, error)) error {
 	const forceQuitMargin = 10 * time.Second
 	proc.SetTimeToForceQuit(drainTimeout + forceQuitMargin)
--- a/cmd/mintlift/draining_test.go
+++ b/cmd/mintlift/draining_test.go
@@ -13,12 +13,12 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// drainTimeout is the time after the first response with a drain signal within which a
-// gateway may still send requests to the endpoint.
+// drainTimeout is how long a gateway may send requests to an endpoint after the first
+// response with a drain signal.
 const drainTimeout = 2 * time.Second
 
-// Guards against gateways that ignore the drain signal in an engine's responses and go
-// on sending it requests while the store is unresponsive and the endpoint list outdated.
+// Guards against gateways that ignore the drain signal in an engine's responses. The
+// store is unresponsive, so the endpoint list does not show that the engine is draining.
 func TestDrainSignalInResponses(t *testing.T) {
 	t.Parallel()
 	d, engines := startSignalingEngines(t, 3, 3)
@@ -26,8 +26,8 @@
 	checkNoRequestsAfterDrain(t, d, engines[0], enginePath)
 }
 
-// Checks an endpoint without a sidecar, while the endpoint list keeps stating that it
-// is ready.
+// Checks that gateways honor the drain signal of an endpoint without a sidecar, although
+// the endpoint list keeps stating that the endpoint is ready.
 func TestDrainSignalOfPlainEndpoint(t *testing.T) {
 	t.Parallel()
 	d, _ := startSignalingEngines(t, 3, 2)
--- a/cmd/mintlift/explain.go
+++ b/cmd/mintlift/explain.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// explainCauses prints the outcomes of the requests in the log files, with their
-// causes, for each window of time.
+// explainCauses counts the outcomes and causes of the requests in the log files and
+// prints the counts for each window of time.
 func explainCauses(c *cli.Command, window time.Duration) error {
 	files := c.Args().Slice()
 	if len(files) == 0 {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// explainArguments returns the filter and the log files that the command line names.
+// explainArguments returns the filter and the log files from the command line.
 func explainArguments(c *cli.Command) (explain.Filter, []string, error) {
 	files := c.Args().Slice()
 	var filter explain.Filter
--- a/cmd/mintlift/idle_test.go
+++ b/cmd/mintlift/idle_test.go
@@ -16,12 +16,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// measureIdleEnv is the environment variable with the numbers of sidecars to measure,
-// as in "10,50,200". The measurement takes minutes and depends on the machine, so CI
-// does not run it; docs/capacity.json holds the result.
+// measureIdleEnv is the environment variable that enables TestMeasureIdle. Its value is
+// the numbers of sidecars to measure, such as "10,50,200". CI does not set it;
+// docs/capacity.json holds the result.
 const measureIdleEnv = "MINTLIFT_MEASURE_IDLE"
 
-// idleRow is the cost of an idle process of a role at one number of sidecars.
+// idleRow is the cost of an idle gateway or sidecar in a system with the given number
+// of sidecars.
 type idleRow struct {
 	Sidecars int     `json:"sidecars"`
 	Role     string  `json:"role"`
@@ -31,14 +32,14 @@
 	OutRate  float64 `json:"sent_bytes_a_second"`
 }
 
-// usage holds a process's counters at one time: processor time, and bytes received and
-// sent.
+// usage holds the counters of a process at one time.
 type usage struct {
-	cpu     time.Duration
-	in, out float64
+	cpu     time.Duration // processor time
+	in, out float64       // bytes received and sent
 }
 
-// TestMeasureIdle measures the cost of gateways and sidecars without requests.
+// TestMeasureIdle measures the processor time, memory and network traffic of gateways
+// and sidecars that serve no requests.
 func TestMeasureIdle(t *testing.T) {
 	sizes := os.Getenv(measureIdleEnv)
 	if sizes == "" {
--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -20,9 +20,9 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// Tolerance for an endpoint's rate limit: from propagationTimeout after its first
-// response with the limit, all gateways together send it at most limitFactor times the
-// allowed requests, plus limitSlack, in any limitWindow.
+// Tolerance for an endpoint's rate limit. Once propagationTimeout has passed since the
+// limit was set, all gateways together may send the endpoint at most
+// limitFactor * rate * limitWindow + limitSlack requests within any limitWindow.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -30,7 +30,7 @@
 )
 
 // Guards against gateways that ignore the rate limit in an engine's responses, or that
-// each use the whole of it.
+// each send requests up to the whole limit instead of sharing it.
 func TestLimitIsSharedByAllGateways(t *testing.T) {
 	t.Parallel()
 	d, engines := startSignalingEngines(t, 3, 3)
@@ -48,8 +48,8 @@
 	}
 }
 
-// Checks an endpoint without a sidecar: the sidecar of an engine allocates the permits
-// for it.
+// Checks that gateways share the rate limit of an endpoint without a sidecar: the
+// sidecar of an engine allocates its permits, which divide the limit among gateways.
 func TestLimitOfPlainEndpointIsShared(t *testing.T) {
 	t.Parallel()
 	d, _ := startSignalingEngines(t, 3, 2)
@@ -76,8 +76,8 @@
 	demand := maxInWindow(sent.requests, limitSet.Add(propagationTimeout), limitWindow)
 	t.Logf("at most %d of %d in %s, allowed %d; %d served", most, demand, limitWindow, allowed, sent.served)
 	assert.Assert(t, most <= allowed, "%d in %s, allowed %d", most, limitWindow, allowed)
-	// The limit must be used, too, as far as there was demand: a stalled test process
-	// sends few requests.
+	// Gateways must also use the limit. The bound depends on the demand, because a
+	// slow test process sends few requests.
 	least := min(0.5*rate*limitWindow.Seconds(), 0.1*float64(demand))
 	assert.Assert(t, float64(most) >= least, "%d of %d in %s", most, demand, limitWindow)
 }
@@ -133,9 +133,9 @@
 // arrival is a request that reached an endpoint.
 type arrival struct {
 	at time.Time
-	// gateway is the number of the gateway that sent it.
+	// gateway is the number of the gateway that sent the request.
 	gateway string
-	// status is that of the response.
+	// status is the status of the response.
 	status int
 }
 
@@ -153,7 +153,8 @@
 	seen []arrival
 }
 
-// startSignalingEngines starts gateways and engines without signals.
+// startSignalingEngines starts gateways and engines. The engines send no signals until
+// the test sets them.
 func startSignalingEngines(t *testing.T, gateways, count int) (*engineDeployment, []*signalingEndpoint) {
 	t.Helper()
 	var started []*signalingEndpoint
@@ -163,7 +164,7 @@
 	return d, started
 }
 
-// startSignalingEngine starts an engine without signals, and its sidecar.
+// startSignalingEngine starts an engine, which sends no signals yet, and its sidecar.
 func startSignalingEngine(t *testing.T, d *engineDeployment, ip, store string) *signalingEndpoint {
 	t.Helper()
 	e := serveEndpoint(t, &signalingEndpoint{deployment: d, service: "e", address: net.JoinHostPort(ip, "8320")})
@@ -177,8 +178,8 @@
 	return serveEndpoint(t, &signalingEndpoint{deployment: d, service: "p", address: "127.0.0.1:0"})
 }
 
-// serveEndpoint starts an endpoint at its address, without signals, and adds it to the
-// endpoint list.
+// serveEndpoint starts an endpoint at its address and adds it to the endpoint list. The
+// endpoint sends no signals yet.
 func serveEndpoint(t *testing.T, e *signalingEndpoint) *signalingEndpoint {
 	t.Helper()
 	e.id = e.deployment.newIncarnationID()
@@ -209,8 +210,8 @@
 	return append([]arrival(nil), e.seen...)
 }
 
-// ServeHTTP implements http.Handler. The signals are in responses to callers' requests
-// only, not in the engine's report.
+// ServeHTTP implements http.Handler. Only responses to callers' requests carry the
+// signals; the engine's report does not.
 func (e *signalingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/report" {
 		_, _ = io.WriteString(w, `{"stage":"unified","models":[{"name":"m","version":1,"adapters":[]}],"busy":false,"sequence":1,"queued":0,"running":0}`)
@@ -238,8 +239,8 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: token\n\n")
 }
 
-// gatewayFromID returns the number of the gateway from a request ID that
-// engineDeployment.sendToPath made.
+// gatewayFromID returns the number of the gateway that a request ID contains. The ID
+// must come from engineDeployment.sendToPath.
 func gatewayFromID(id string) string {
 	parts := strings.SplitN(id, "-", 3)
 	return parts[1]
--- a/cmd/mintlift/main.go
+++ b/cmd/mintlift/main.go
@@ -55,10 +55,10 @@
 	admin.CodeOutcomeUnknown: exitOutcomeUnknown,
 }
 
-// errInvariant is the type of errors for a failed check.
+// errInvariant is the type of errors for a violated invariant.
 const errInvariant = errors.ConstError("invariant does not hold")
 
-// errUsage is the type of errors in the command line or in a file that it names.
+// errUsage is the type of errors in the command line or in a file given there.
 const errUsage = errors.ConstError("usage")
 
 func main() {
@@ -91,6 +91,7 @@
 	return exitCode(err)
 }
 
+// exitCode returns the exit code for an error of a command.
 func exitCode(err error) int {
 	var api *admin.Error
 	var problems settings.Problems
--- a/cmd/mintlift/main_test.go
+++ b/cmd/mintlift/main_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Checks that all errors of a settings file are reported, of different kinds.
+// Checks that all errors in a settings file are reported at once.
 func TestAllSettingsErrorsAreReported(t *testing.T) {
 	b, err := examples.Files.ReadFile("anuario-celeste-gateway.json")
 	assert.NilError(t, err)
--- a/cmd/mintlift/malformed_test.go
+++ b/cmd/mintlift/malformed_test.go
@@ -34,12 +34,13 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":4194304,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"w","api_keys":["k1"],"priority":2}]}`
 
-// invalidValues returns values that are invalid or extreme in most fields.
+// invalidValues returns JSON values that are invalid or extreme for most fields.
 func invalidValues() []any {
 	return []any{0.0, -1.0, 1e18, -1e18, 1e308, 0.5, "", "text", nil, true, []any{}, map[string]any{}, []any{nil}, []any{[]any{}}}
 }
 
-// mutate replaces one value within v, at any depth, and returns the result.
+// mutate replaces one randomly chosen value within the JSON value v, at any depth, and
+// returns the result.
 func mutate(t *rapid.T, v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -61,9 +62,8 @@
 	return values[rapid.IntRange(0, len(values)-1).Draw(t, "value")]
 }
 
-// Guards against a configuration that crashes the processes that read it, again after
-// each restart since it stays in the store: gateways and sidecars must apply or reject
-// any content without a panic.
+// Guards against a malformed configuration that crashes gateways and sidecars. They
+// would crash again after each restart, since the configuration stays in the store.
 func TestMalformedConfigurationDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -101,7 +101,8 @@
 	})
 }
 
-// Guards against notices, datagrams from any sender, that crash a sidecar or a gateway.
+// Guards against malformed notices that crash a sidecar or a gateway. Notices are
+// datagrams and may come from any sender.
 func TestMalformedNoticeDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
 	valid := `{"model":"m","region":"r","named":[{"version":2,"age_ms":5,"overdue":true}],"read":4,"demand":3.5,
--- a/cmd/mintlift/operator.go
+++ b/cmd/mintlift/operator.go
@@ -31,7 +31,7 @@
 	}, more...)
 }
 
-// newClient returns a client as the command's flags describe it.
+// newClient returns a client configured by the flags of clientFlags.
 func newClient(c *cli.Command) (*admin.Client, error) {
 	key := ""
 	if file := c.String("key-file"); file != "" {
@@ -56,7 +56,8 @@
 	return admin.NewClient(c.String("gateway"), key, o), nil
 }
 
-// clientAction returns the action of a command that calls f with a client.
+// clientAction returns an action that makes a client from the command's flags and calls
+// f with it.
 func clientAction(f func(ctx context.Context, c *cli.Command, api *admin.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		api, err := newClient(c)
@@ -67,7 +68,8 @@
 	}
 }
 
-// singleArg returns the command's only argument; what names it in the error.
+// singleArg returns the command's only argument, or an error if the number of arguments
+// is not 1. what is the argument's name in the error.
 func singleArg(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", errors.WithType(errors.Errorf("%s wants one argument, the %s", c.FullName(), what), errUsage)
@@ -75,8 +77,8 @@
 	return c.Args().First(), nil
 }
 
-// printResult prints v as JSON if --json is set, else the output of table, with
-// its columns aligned.
+// printResult prints v as JSON if --json is set. Otherwise it prints the output of
+// table, with the columns aligned.
 func printResult(c *cli.Command, v any, table func(w io.Writer)) error {
 	out := c.Root().Writer
 	if c.Bool("json") {
@@ -148,8 +150,8 @@
 	}
 }
 
-// formatCopies returns the states of the copies on a box, with the number of chunks
-// held of those that are incomplete.
+// formatCopies returns the states of a box's copies of versions. For an incomplete copy
+// it includes the number of chunks held.
 func formatCopies(b admin.BoxStatus) string {
 	var out []string
 	for _, c := range b.Status.Copies {
--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -26,9 +26,8 @@
 // which a gateway that reaches the store must apply it.
 const configApplyTimeout = 2 * time.Second
 
-// Guards against reads of the configuration's topic whose timeouts are longer than the
-// time within which a change must be applied: during an outage of this topic alone they
-// delayed the read that gets the change.
+// Guards against a configuration that is applied late after an outage of its topic: a
+// read that started in the outage must not delay the read that gets the change.
 func TestConfigurationAppliedAfterTopicOutage(t *testing.T) {
 	t.Parallel()
 	d := startRouteDeployment(t, "127.77.1")
@@ -40,8 +39,8 @@
 	d.checkRouteChange(t)
 }
 
-// Checks a single unanswered call: the read that starts after a record was received
-// gets no response, as after an outage of the store of a few milliseconds.
+// Checks that a configuration is applied in time although a single read gets no
+// response, as in an outage of the store of a few milliseconds.
 func TestConfigurationAppliedDespiteUnansweredRead(t *testing.T) {
 	t.Parallel()
 	d := startRouteDeployment(t, "127.77.2")
@@ -59,8 +58,8 @@
 	front string // IP:PORT of the gateway's listener for callers
 }
 
-// setUnresponsive makes the store respond to no calls for these topics, or for any with the
-// topic "", and all others normally.
+// setUnresponsive makes the store leave calls for these topics unanswered and respond
+// to all others. The topic "" stands for all topics.
 func (d *routeDeployment) setUnresponsive(topics ...string) {
 	unresponsive := make(map[string]bool)
 	for _, topic := range topics {
@@ -125,8 +124,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// startRouteDeployment starts a gateway at the first address of a loopback network,
-// the first three numbers of which are given, and waits until it serves.
+// startRouteDeployment starts a gateway at the address network.1 and waits until it
+// serves. network is the first three numbers of a loopback network's addresses.
 func startRouteDeployment(t *testing.T, network string) *routeDeployment {
 	t.Helper()
 	d := &routeDeployment{store: storetest.New(), front: net.JoinHostPort(network+".1", "8005")}
@@ -147,8 +146,8 @@
 	return d
 }
 
-// newPlatformProcess returns the process state of a daemon at a loopback address.
-// Further settings are in extra: JSON fields, each after a comma.
+// newPlatformProcess returns the process state of a daemon at a loopback address. extra
+// holds further settings as JSON fields, each preceded by a comma.
 func newPlatformProcess(t *testing.T, ip, store, extra string) *platformProcess {
 	t.Helper()
 	settings, err := platform.ParseSettings(fmt.Appendf(nil, `{"node_name":"%[1]s","ip":"%[1]s","zone":"z","region":"r","zones":{"z":"r"},
@@ -181,8 +180,9 @@
 	group.closeAll(ctx)
 }
 
-// Guards against trust in a configuration confirmed before a suspension: a request for
-// a route that it does not contain gets 503, not 404, until the store confirms it.
+// Guards against use of an outdated configuration after the machine was suspended. Until
+// the store confirms the configuration again, a request for an unknown route must get
+// 503 instead of 404, since a newer configuration may contain the route.
 func TestConfigurationExpiresWhileSuspended(t *testing.T) {
 	d := startRouteDeployment(t, "127.77.3")
 	requestStatus := func(path string) int {
--- a/cmd/mintlift/overhead_test.go
+++ b/cmd/mintlift/overhead_test.go
@@ -18,15 +18,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// measureOverheadEnv is the environment variable that enables the comparison with
-// direct calls. CI does not set it.
+// measureOverheadEnv is the environment variable that enables TestMeasureOverhead. CI
+// does not set it.
 const measureOverheadEnv = "MINTLIFT_MEASURE_OVERHEAD"
 
-// latencies holds the times to the first token and between tokens of one side of the
-// comparison. It is safe for concurrent use.
+// latencies holds the latencies of a number of streams. It is safe for concurrent use.
 type latencies struct {
 	mu          sync.Mutex
-	first, gaps []time.Duration
+	first, gaps []time.Duration // times to the first token, and between tokens
 }
 
 func (t *latencies) add(first time.Duration, gaps []time.Duration) {
@@ -43,7 +42,7 @@
 }
 
 // TestMeasureOverhead compares the latencies of requests sent to the engines directly
-// and through a gateway and a sidecar. It alternates between the two.
+// with those of requests sent through a gateway and a sidecar.
 func TestMeasureOverhead(t *testing.T) {
 	if os.Getenv(measureOverheadEnv) == "" {
 		t.Skip("set " + measureOverheadEnv + "=1 to measure")
--- a/cmd/mintlift/plans.go
+++ b/cmd/mintlift/plans.go
@@ -165,8 +165,8 @@
 	})
 }
 
-// zoneProgress is the progress of a plan in one availability zone, summed over its
-// boxes.
+// zoneProgress is the progress of a plan in one availability zone, as sums over the
+// zone's boxes.
 type zoneProgress struct {
 	zone                        string
 	boxes, serving, unreachable int
@@ -201,7 +201,7 @@
 	return out
 }
 
-// format returns a progress bar of the chunks held, with the counts of boxes.
+// format returns a line with a progress bar of the chunks held and the numbers of boxes.
 func (z zoneProgress) format() string {
 	const width = 30
 	share := 0.0
@@ -217,8 +217,8 @@
 	return text
 }
 
-// watchPlan prints a plan's progress until the plan is done: on a terminal, a bar
-// for each zone that is updated in place; otherwise one line for each poll.
+// watchPlan prints a plan's progress until the plan is done. On a terminal it shows a
+// progress bar for each zone, updated in place; otherwise it prints one line per poll.
 func watchPlan(ctx context.Context, c *cli.Command, api *admin.Client) error {
 	id, err := singleArg(c, "plan")
 	if err != nil {
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -26,7 +26,7 @@
 	portRelay     = 0 // TCP: store records and lists, from a gateway to other processes
 	portPublish   = 1 // UDP: subscriptions and permit requests, at a sidecar
 	portSubscribe = 2 // UDP: reports, at a gateway
-	portMetrics   = 3 // TCP: metrics, and clear-suspect at a gateway
+	portMetrics   = 3 // TCP: metrics; at a gateway also calls of clear-suspect
 )
 
 func platformCommand() *cli.Command {
@@ -53,8 +53,8 @@
 	}
 }
 
-// platformProcess holds the settings, logs and store watcher with which both
-// daemons of the platform start.
+// platformProcess holds what both daemons of the platform need to start: settings,
+// loggers, metrics and a watcher of the platform's store.
 type platformProcess struct {
 	settings   *platform.Settings
 	requestLog logr.Logger // one line per request
@@ -66,13 +66,13 @@
 // shutdownMargin is the part of the grace period reserved for closing logs.
 const shutdownMargin = 400 * time.Millisecond
 
-// gcPercent is the GOGC value of the daemons: below Go's default of 100, to use
-// less memory at the cost of processor time.
+// gcPercent is the GOGC value of the daemons. It is below Go's default to use less
+// memory.
 const gcPercent = 50
 
-// runPlatformDaemon runs a daemon until SIGTERM or SIGINT, then drains and closes
-// it within the grace period. SIGHUP is only logged. The component names the daemon
-// in log lines.
+// runPlatformDaemon runs a daemon until SIGTERM or SIGINT, then drains and closes it
+// within the grace period. SIGHUP is logged and otherwise ignored. component is the name
+// of the daemon in log lines.
 func runPlatformDaemon(ctx context.Context, component string, start func(context.Context, *platformProcess) (*taskGroup, error)) error {
 	debug.SetGCPercent(gcPercent)
 	sink := telemetry.NewSink(os.Stdout)
@@ -122,9 +122,9 @@
 	return nil
 }
 
-// serveMetrics serves the metrics, and the handlers that register adds unless it is
-// nil, until group is closed. If the address is not available, it logs an error and
-// the process runs without them.
+// serveMetrics serves the metrics until group is closed. register, if not nil, adds
+// further handlers to the server. If the address is not available, serveMetrics logs an
+// error and the process runs without this server.
 func (p *platformProcess) serveMetrics(group *taskGroup, register func(*http.ServeMux)) {
 	listener, err := group.listen(p.settings.InternalAddress(p.settings.IP, portMetrics))
 	if err != nil {
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -32,13 +32,14 @@
 // HandleConfiguration implements platform.OperatorHandler.
 func (o gatewayOperator) HandleConfiguration(c *routing.Configuration) { o.Apply(c) }
 
-// HandleNamedVersion implements platform.OperatorHandler.
+// HandleTargetVersion implements platform.OperatorHandler.
 func (o gatewayOperator) HandleTargetVersion(n platform.TargetVersion, first bool) {
 	o.NameVersion(n.Model, n.Version, first, clock.Now())
 }
 
-// reportHandler passes the sidecars' messages to a gateway's server, and what they
-// relay from other gateways to the watcher, readers and recovery.
+// reportHandler handles the messages that sidecars send to a gateway. It passes reports
+// to the gateway's server. A report may carry an echo, which relays the progress of
+// other gateways; the handler passes it to the watcher, the readers and the recovery.
 type reportHandler struct {
 	ctx      context.Context // canceled when the daemon is closed
 	server   *ingress.Server
@@ -73,8 +74,8 @@
 	h.server.MergeEndpointSignals(records)
 }
 
-// configCurrent reports whether the configuration in force is known to be the
-// newest: confirmed within the budget, with no evidence of newer records.
+// configCurrent reports whether the configuration in force can be taken as the newest:
+// the store has confirmed it within the budget, and no newer records are known.
 func configCurrent(p storewatch.Progress, budget freshness.Budget, now time.Time) bool {
 	return !p.Behind && !p.Incomplete && !p.Confirmed.IsZero() && budget.Current(p.Age(now))
 }
@@ -83,7 +84,7 @@
 const noRoundTrip = time.Duration(-1)
 
 // assumedGateways is the number of gateways among which the retry budget is divided
-// at the start; the settings do not contain their number.
+// after the start, while their actual number is unknown.
 const assumedGateways = 8
 
 // Timeouts and limits of the server for callers.
@@ -91,14 +92,15 @@
 	headerTimeout     = 10 * time.Second
 	callerIdleTimeout = 2 * time.Minute
 	maxHeaderBytes    = 64 << 10
-	// preDrainDelay is how long a stopping gateway still accepts new requests, so that
-	// the platform's readiness probes can fail first.
-	preDrainDelay    = 2500 * time.Millisecond
+	// preDrainDelay is how long a stopping gateway still accepts new requests. The
+	// platform's readiness probes must fail within this time.
+	preDrainDelay = 2500 * time.Millisecond
+	// maintainInterval is the interval of the server's periodic maintenance.
 	maintainInterval = time.Second
 )
 
-// startPlatformGateway starts a gateway. The caller must stop or close the group. After
-// an error, what was started is closed already.
+// startPlatformGateway starts a gateway. The caller must stop or close the group. If it
+// returns an error, it has closed the group itself.
 func startPlatformGateway(ctx context.Context, p *platformProcess) (group *taskGroup, err error) {
 	group = newTaskGroup(ctx)
 	ctx = group.ctx
@@ -192,10 +194,11 @@
 	}
 }
 
-// operatorProgress is how far a gateway has read the operator's records: the position
-// of the next record and the sum of the versions held.
+// operatorProgress is how far a gateway has read the operator's records.
 type operatorProgress struct {
-	position   history.Position
+	position history.Position // of the next record to read
+	// versionSum is the sum of the versions of all operator records that the gateway
+	// has. Versions only rise, so the gateway with the higher sum has newer records.
 	versionSum int64
 }
 
@@ -205,9 +208,9 @@
 }
 
 // subscriptionGroups returns the sidecars to subscribe to, grouped by the notice that
-// they get. Sidecars that do not have the current weights configuration get it in
-// their notice; those that relay suspects get the suspects. It returns nil without a
-// configuration.
+// they get. Sidecars without the current weights configuration get it in their notice.
+// Sidecars that relay suspects between gateways get the gateway's suspects: requests
+// suspected of crashing endpoints. It returns nil while there is no configuration.
 func subscriptionGroups(s *platform.Settings, server *ingress.Server, progress operatorProgress, now time.Time) []loadreport.SubscriptionGroup {
 	c := server.Configuration()
 	if c == nil {
@@ -249,8 +252,8 @@
 	return out
 }
 
-// addSuspects splits each group into the relays, which get the suspects in their
-// notice, and the other sidecars.
+// addSuspects splits each group in two: the sidecars that relay suspects, which get the
+// suspects in their notice, and the others. The keys of relays are addresses.
 func addSuspects(groups []loadreport.SubscriptionGroup, suspects []quarantine.Record, relays map[string]bool) []loadreport.SubscriptionGroup {
 	var out []loadreport.SubscriptionGroup
 	for _, a := range groups {
@@ -279,7 +282,8 @@
 	return out
 }
 
-// namedVersions returns a model's named versions for notices to sidecars.
+// targetVersions returns the target versions of a model, those that the operator has
+// set to be served, as sent to sidecars in notices.
 func targetVersions(server *ingress.Server, model string, now time.Time) []loadreport.NamedVersion {
 	var out []loadreport.NamedVersion
 	for _, n := range server.NamedVersions(model) {
@@ -292,8 +296,8 @@
 	return out
 }
 
-// watchEndpoints follows the endpoint list until ctx ends. It starts once there is a
-// configuration, which contains the models' numbers of layers.
+// watchEndpoints passes the endpoint list to server until ctx ends. It waits for the
+// first configuration, since that contains the models' numbers of layers.
 func (p *platformProcess) watchEndpoints(ctx context.Context, server *ingress.Server, follower *storerelay.Follower) {
 	const pollInterval = 20 * time.Millisecond
 	for server.Configuration() == nil {
@@ -311,10 +315,10 @@
 	})
 }
 
-// drainGateway makes the gateway unready, stops accepting requests after
-// preDrainDelay and waits until those in progress have ended or ctx is done. Idle
-// connections stay open until the process exits: http.Server.Shutdown may close one
-// while a request on it is being read, which loses the request.
+// drainGateway makes the gateway unready, stops accepting requests after preDrainDelay,
+// and waits until the requests in progress have ended or ctx is done. It does not close
+// idle connections, as http.Server.Shutdown does, because a request may be arriving on
+// them.
 func drainGateway(ctx context.Context, p *platformProcess, server *ingress.Server, front net.Listener) {
 	server.StartStopping()
 	select {
--- a/cmd/mintlift/platform_relay.go
+++ b/cmd/mintlift/platform_relay.go
@@ -16,8 +16,8 @@
 	"github.com/mintlift/mintlift/storewatch"
 )
 
-// operatorRecords serves the operator's records that a watcher has read to other
-// gateways.
+// operatorRecords supplies the operator's records that a gateway's watcher has read to
+// other gateways.
 type operatorRecords struct{ watcher *platform.Watcher }
 
 // Since implements storerelay.RecordSource.
@@ -30,8 +30,8 @@
 	return out, ok
 }
 
-// recordRelay returns a function by which a watcher gets the operator's records from
-// another gateway. That function returns nil if the records are not available there.
+// recordRelay returns a relay through which a watcher reads the operator's records from
+// another gateway. The relay returns nil if no gateway can supply the records.
 func recordRelay(f *storerelay.RecordFollower) storewatch.Relay {
 	return func(ctx context.Context, from history.Position, age time.Duration) *storewatch.RelayedRecords {
 		fetched, ok := f.Since(ctx, from, age)
@@ -46,13 +46,13 @@
 	}
 }
 
-// recoveryInterval is how long the records must have been incomplete before they are
-// fetched from another gateway, so that a change in transit can arrive first, and the
-// minimum time between two fetches.
+// recoveryInterval is how long this gateway's records must have been incomplete before
+// they are fetched from another gateway; a change in transit can arrive meanwhile. It
+// is also the minimum time between two fetches.
 const recoveryInterval = time.Second
 
-// recordRecovery fetches operator's records that the store has lost in a rollback
-// from other gateways.
+// recordRecovery fetches operator records from other gateways that the store has lost
+// in a rollback, a restore from an older copy.
 type recordRecovery struct {
 	watcher  *platform.Watcher
 	operator platform.OperatorHandler
@@ -61,13 +61,15 @@
 
 	mu sync.Mutex
 	// incompleteSince is the time since which another gateway has had newer records, or
-	// zero; lastFetch is the time of the last fetch.
+	// zero if none has. lastFetch is the time of the last fetch.
 	incompleteSince, lastFetch time.Time
 }
 
-// handleEcho starts a fetch from the gateway with the largest version sum, which the
-// sidecar's echo names, if this gateway's records have been incomplete for
-// recoveryInterval.
+// handleEcho handles the echo in a sidecar's report. The echo contains the highest
+// version sum of the gateways that subscribe to the sidecar: the sum of the versions of
+// all operator records that a gateway has. A higher sum than this gateway's shows that
+// its records are incomplete. If they have been incomplete for recoveryInterval,
+// handleEcho starts a fetch from the gateway with the highest sum.
 func (r *recordRecovery) handleEcho(ctx context.Context, e *loadreport.Echo, now time.Time) {
 	incomplete := r.watcher.ObserveVersionSum(e.VersionSum)
 	if !r.fetchDue(incomplete, now) {
@@ -87,7 +89,7 @@
 	}()
 }
 
-// fetchDue reports whether to fetch records now, and notes the time if so.
+// fetchDue reports whether to fetch records now, and if so, sets lastFetch.
 func (r *recordRecovery) fetchDue(incomplete bool, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -21,14 +21,15 @@
 	"github.com/mintlift/mintlift/storerelay"
 )
 
-// sidecarState applies the configuration and the named versions that a sidecar gets
-// from the store or from gateways to its installer.
+// sidecarState applies configurations and target versions, which the sidecar gets from
+// gateways or from the store, to the sidecar's installer. The target versions of a model
+// are those that the operator has set to be served.
 type sidecarState struct {
 	settings  *platform.Settings
 	installer *installer.Installer
 
 	mu sync.Mutex
-	// weights is the newest weights configuration; zero Chunks while there is none.
+	// weights is the newest weights configuration; Chunks is 0 while there is none.
 	weights routing.WeightsConfig
 }
 
@@ -58,7 +59,7 @@
 	})
 }
 
-// HandleNamedVersion implements platform.OperatorHandler.
+// HandleTargetVersion implements platform.OperatorHandler.
 func (s *sidecarState) HandleTargetVersion(n platform.TargetVersion, first bool) {
 	setAt := time.Time{}
 	if !first {
@@ -100,8 +101,8 @@
 	return w.Checksum()
 }
 
-// layers returns the number of layers of the service's model, or 0 if it is not known
-// or the service is not this sidecar's.
+// layers returns the number of layers of the service's model. It returns 0 while the
+// number is unknown, and for services other than this sidecar's.
 func (s *sidecarState) layers(service string) int {
 	if service != s.settings.Service {
 		return 0
@@ -109,13 +110,13 @@
 	return s.weightsConfig().Layers
 }
 
-// maxGatewaysQueried is the maximum number of gateways from which the endpoint list is
-// requested before it is read from the store.
+// maxGatewaysQueried is the maximum number of gateways that are queried for the endpoint
+// list before the list is read from the store.
 const maxGatewaysQueried = 2
 
-// listPeers returns the sidecars of the service, from a gateway's endpoint list or, if
-// no gateway responds, from the store's. Endpoints with an invalid address are logged
-// and left out.
+// listPeers returns the sidecars of the service. It reads the endpoint list from a
+// gateway or, if no gateway responds, from the store. Endpoints with an invalid address
+// are logged and left out.
 func (s *sidecarState) listPeers(ctx context.Context, p *platformProcess, lists *storerelay.Client, publisher *loadreport.Publisher) ([]installer.Peer, error) {
 	gateways := publisher.Gateways(s.settings.Region, maxGatewaysQueried, clock.Now())
 	for n, ip := range gateways {
@@ -153,18 +154,19 @@
 
 const (
 	// gatewayTimeout is the time without a gateway's message after which a sidecar reads
-	// the operator's records from the store. It is extended by a random part of
-	// gatewayTimeoutJitter, so that not all sidecars read at once.
-	gatewayTimeout       = 2 * time.Second
+	// the operator's records from the store.
+	gatewayTimeout = 2 * time.Second
+	// gatewayTimeoutJitter is the maximum of a random time that is added to
+	// gatewayTimeout, so that not all sidecars read at once.
 	gatewayTimeoutJitter = 2 * time.Second
-	// storeReadInterval is the minimum time between two such reads.
+	// storeReadInterval is the minimum time between two reads from the store.
 	storeReadInterval = 1500 * time.Millisecond
 )
 
 // watchOperatorFallback reads the operator's records from the store while no gateway
-// sends notices, until ctx ends. Otherwise sidecars do not read them: a configuration
-// is large, a sidecar needs little of it, and hundreds of reads at once would saturate
-// the links between regions.
+// sends notices, until ctx ends. Sidecars normally get what they need of the records in
+// notices, because reads by hundreds of sidecars would saturate the links between
+// regions.
 func (p *platformProcess) watchOperatorFallback(ctx context.Context, o platform.OperatorHandler, publisher *loadreport.Publisher) {
 	const pollInterval = 250 * time.Millisecond
 	reader := p.watcher.OperatorReader(o)
@@ -199,8 +201,8 @@
 // reportInterval is the interval at which the engine's state is read and published.
 const reportInterval = 40 * time.Millisecond
 
-// startPlatformSidecar starts a sidecar. The caller must stop or close the group. After
-// an error, what was started is closed already.
+// startPlatformSidecar starts a sidecar. The caller must stop or close the group. If it
+// returns an error, it has closed the group itself.
 func startPlatformSidecar(ctx context.Context, p *platformProcess) (group *taskGroup, err error) {
 	group = newTaskGroup(ctx)
 	ctx = group.ctx
--- a/cmd/mintlift/platform_suspects.go
+++ b/cmd/mintlift/platform_suspects.go
@@ -16,15 +16,16 @@
 	"github.com/mintlift/mintlift/quarantine"
 )
 
-// clearPath is the path at a gateway's metrics address by which an operator
-// releases a request from quarantine. The gateway propagates it to the others.
+// clearPath is the path at a gateway's metrics address for the call that releases a
+// request from quarantine, in which it is because it crashed endpoints. The gateway
+// propagates the release to the other gateways.
 const clearPath = "/suspects/{identity}/clear"
 
 // clearTimeout is the timeout of the call of clearPath.
 const clearTimeout = 5 * time.Second
 
-// handleClearSuspect registers the handler of clearPath. It responds with 400 to an
-// invalid identity and 404 to one for which no crash is recorded.
+// handleClearSuspect registers the handler of clearPath. The response is 400 if the
+// identity is invalid, and 404 if no crash is recorded for it.
 func handleClearSuspect(mux *http.ServeMux, server *ingress.Server) {
 	mux.HandleFunc("POST "+clearPath, func(w http.ResponseWriter, r *http.Request) {
 		var id quarantine.ID
@@ -52,8 +53,8 @@
 	}
 }
 
-// clearSuspect releases the request with an identity from quarantine, through the
-// gateway at a metrics address.
+// clearSuspect releases the request with the given identity from quarantine. gateway is
+// the metrics address of any gateway.
 func clearSuspect(ctx context.Context, gateway, identity string) error {
 	ctx, cancel := context.WithTimeout(ctx, clearTimeout)
 	defer cancel()
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -41,8 +41,8 @@
 func (discardReports) HandleEndpoints([]backpressure.Record)       {}
 func (discardReports) HandleSuspects([]quarantine.Record)          {}
 
-// Checks that a sidecar reads nothing from the store while a gateway sends notices, and
-// otherwise the newest records once and then only new ones.
+// Checks that a sidecar reads nothing from the store while a gateway sends notices.
+// Without notices it must read all newest records once, and then only new records.
 func TestSidecarReadsStoreOnlyWithoutGateways(t *testing.T) {
 	var newest, reads atomic.Int32
 	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -83,8 +83,9 @@
 	assert.Equal(t, newest.Load(), int32(1))
 }
 
-// Checks that a sidecar gets the weights configuration and the named versions from a
-// gateway, and that the gateway leaves out a configuration that its reports confirm.
+// Checks that a sidecar gets the weights configuration and the target versions from a
+// gateway's notices, and that the gateway omits the configuration once the sidecar has
+// reported its checksum.
 func TestSidecarConfiguredByGateway(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "s", InternalPorts: [2]int{17710, 17720}}
 	c := routing.New(5, nil, []*routing.Service{
@@ -101,7 +102,7 @@
 	select {
 	case <-server.NoticeDue():
 	default:
-		t.Fatal("no notice is due after a version was named")
+		t.Fatal("no notice is due after a target version was set")
 	}
 
 	notice := func() loadreport.Notice {
--- a/cmd/mintlift/process_test.go
+++ b/cmd/mintlift/process_test.go
@@ -49,8 +49,9 @@
 	ended  chan struct{} // closed once the process has ended
 }
 
-// launch starts mintlift with the given arguments, and stores the first line of its
-// output in firstLine unless that is nil. The process is killed when the test ends.
+// launch starts mintlift with the given arguments. If firstLine is not nil, launch waits
+// for the first line of output and stores it there. The process is killed when the test
+// ends.
 func launch(t *testing.T, firstLine *string, args ...string) *process {
 	t.Helper()
 	exe, err := os.Executable()
@@ -195,8 +196,8 @@
 	s.listBox(membership.Box{ID: c.Node.Box, Zone: c.Node.AvailabilityZone(), Role: membership.Endpoint, Address: c.PeerListen, State: membership.Live})
 }
 
-// runOperatorCommand runs an operator's command at the first gateway, and returns the exit code and
-// the output.
+// runOperatorCommand runs an operator's command at the first gateway, and returns its
+// exit code and output.
 func (s *system) runOperatorCommand(args ...string) (int, string) {
 	s.t.Helper()
 	args = append(append([]string{"mintlift"}, args...), "--gateway", s.gateways[0].AdminListen, "--key-file", s.path("operator.key"))
@@ -205,8 +206,8 @@
 	return code, out.String()
 }
 
-// mustRunOperatorCommand runs a command until it succeeds, and returns its output. Exit codes other
-// than exitUnavailable and exitInvalid fail the test.
+// mustRunOperatorCommand runs an operator's command and returns its output. It repeats
+// the command after the exit codes exitUnavailable and exitInvalid; others fail the test.
 func (s *system) mustRunOperatorCommand(args ...string) string {
 	s.t.Helper()
 	for {
@@ -312,9 +313,9 @@
 	return 0
 }
 
-// TestProcesses runs 2 gateways, 6 sidecars and the stand-ins as separate processes, and
-// checks the request path with its trace, exit codes, memory, a planned stop under
-// load, crashes and a paused sidecar.
+// TestProcesses runs gateways, sidecars and the stand-ins as separate processes. Its
+// parts check exit codes, traces, memory, a planned stop under load, crashes and a
+// paused sidecar.
 func TestProcesses(t *testing.T) {
 	s := newSystem(t, 2, 6, 1)
 	s.prepare()
@@ -451,8 +452,8 @@
 	}
 }
 
-// readStream reads a stream to its end and checks that it is complete. It sends to
-// started when the header of the response was received, or the request failed.
+// readStream requests a stream, reads it to its end and checks that it is complete. It
+// sends to started when the response's header has arrived or the request has failed.
 func (s *system) readStream(gateway, tokens int, started chan<- struct{}) error {
 	resp, err := s.chat(gateway, tokens, nil)
 	started <- struct{}{}
@@ -471,8 +472,8 @@
 	return nil
 }
 
-// testCrash kills a gateway and a sidecar, restarts them on other ports, and checks
-// that a rollout succeeds.
+// testCrash kills a gateway and a sidecar and restarts them on other ports. It also
+// restarts the processes that testPlannedStop stopped. Then a rollout must succeed.
 func (s *system) testCrash(t *testing.T) {
 	assert.NilError(t, s.procs["engine-3"].cmd.Process.Kill())
 	assert.NilError(t, s.procs["entry-0"].cmd.Process.Kill())
@@ -490,8 +491,8 @@
 	s.awaitChat(0)
 }
 
-// testPause stops a sidecar with SIGSTOP, starts another for the same box and engine,
-// and resumes the first: the engine must reject its orders.
+// testPause pauses a sidecar with SIGSTOP, starts another sidecar for the same box and
+// engine, and resumes the first. The engine must then reject orders of the first.
 func (s *system) testPause(t *testing.T) {
 	paused := s.procs["engine-4"]
 	assert.NilError(t, paused.cmd.Process.Signal(syscall.SIGSTOP))
--- a/cmd/mintlift/requests_test.go
+++ b/cmd/mintlift/requests_test.go
@@ -15,11 +15,11 @@
 	"github.com/mintlift/mintlift/outcome"
 )
 
-// measureRequestsEnv is the environment variable that enables the measurement of the
-// cost of requests. CI does not set it.
+// measureRequestsEnv is the environment variable that enables TestMeasureRequests. CI
+// does not set it.
 const measureRequestsEnv = "MINTLIFT_MEASURE_REQUESTS"
 
-// requestRow is the cost of requests at one rate and number of tokens.
+// requestRow is the cost of requests at one rate and one number of tokens per request.
 type requestRow struct {
 	Rate   float64 `json:"requests_a_second"`
 	Tokens float64 `json:"tokens_a_request"`
--- a/cmd/mintlift/settings.go
+++ b/cmd/mintlift/settings.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkSettings prints every error in a settings file; errors in the settings are
-// usage errors.
+// checkSettings prints every error in a settings file. It returns an error of type
+// errUsage if there is any.
 func checkSettings(_ context.Context, c *cli.Command) error {
 	file, err := singleArg(c, "settings file")
 	if err != nil {
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Guards against a store rollback that restores a revoked key: gateways that applied the
-// revocation must keep rejecting the key, and one that starts after the rollback must
-// get the revocation from them.
+// Guards against a revoked key that becomes valid again because the store is restored
+// from an older copy (a rollback). Gateways that applied the revocation must keep
+// rejecting the key, and a gateway that starts later must get the revocation from them.
 func TestRevokedKeyAfterStoreRollback(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -83,8 +83,8 @@
 	d.awaitStatus(t, "after", http.StatusOK, 5*time.Second)
 }
 
-// Guards against a store rollback that restores an older named version: a gateway that
-// starts after it must not cause engines to load that version.
+// Guards against engines that load an older version because a store rollback has
+// restored the record of an older target version and a new gateway reads it.
 func TestTargetVersionAfterStoreRollback(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -113,7 +113,7 @@
 const gatewaysEnv = "RETURN_GATEWAYS"
 
 // Guards against a burst of store calls after a store rollback, and against gateways
-// that repeat reads forever because others have read a higher offset before it.
+// that repeat reads forever because other gateways report offsets from before it.
 func TestStoreCallsAfterRollback(t *testing.T) {
 	t.Parallel()
 	gateways := 5
@@ -150,7 +150,7 @@
 	assert.Assert(t, operatorAfter <= operatorBefore+gateways && listAfter <= listBefore+gateways, "calls later")
 }
 
-// startGateway starts another gateway.
+// startGateway starts one more gateway of the deployment.
 func (d *weightsDeployment) startGateway(t *testing.T) {
 	t.Helper()
 	ip := fmt.Sprintf("%s.%d", d.network, 1+len(d.gateways))
--- a/cmd/mintlift/taskgroup.go
+++ b/cmd/mintlift/taskgroup.go
@@ -10,8 +10,7 @@
 )
 
 // taskGroup holds the goroutines, listeners and servers of a daemon and closes them
-// together. A test that starts a daemon again in the same process needs its
-// addresses free.
+// together. Once closed, the addresses are free again.
 type taskGroup struct {
 	// ctx is canceled when the group is closed.
 	ctx        context.Context
--- a/cmd/mintlift/taskgroup_test.go
+++ b/cmd/mintlift/taskgroup_test.go
@@ -16,7 +16,7 @@
 )
 
 // moduleGoroutines returns the stacks of the goroutines that run code of this module,
-// without the caller's and those of test helpers.
+// except the goroutines of tests and test helpers.
 func moduleGoroutines(t *testing.T) []string {
 	t.Helper()
 	var text strings.Builder
@@ -32,7 +32,8 @@
 }
 
 // Checks that a closed daemon has no goroutines left, and that its addresses can be
-// bound again. Must not run in parallel with other tests of the package.
+// bound again. The test must not run in parallel with others, since it counts the
+// goroutines of the whole process.
 func TestClosedDaemonReleasesResources(t *testing.T) {
 	before := len(moduleGoroutines(t))
 	for range 2 {
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -24,8 +24,8 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// Guards against wrong weights when an engine accepts a start order late: the order has
-// no response, and chunks of other versions are staged before it is carried out.
+// Guards against an engine that loads wrong weights because it accepts a start order
+// late, after chunks of a newer version have been staged.
 func TestDelayedStartOrderDoesNotLoadWrongChunks(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 4)
@@ -51,8 +51,8 @@
 	d.checkVersions(t, 3)
 }
 
-// Guards against a staged chunk that was corrupted between its verification and the
-// load.
+// Guards against requests being served with a chunk that was corrupted after its
+// verification and before the load.
 func TestChunkCorruptedAfterVerification(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -64,8 +64,8 @@
 	d.checkVersions(t, 3)
 }
 
-// Checks a corrupted chunk when no newer version is named: the engine reports the
-// version as loaded, and loads it again only after another version.
+// Guards against corrupted weights of the newest target version: the engine reports the
+// version as loaded, and can only load it again after it has loaded another version.
 func TestCorruptNewestVersionIsReloaded(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -78,8 +78,8 @@
 	d.checkVersions(t, 2)
 }
 
-// Guards against an engine that restarts between verification and start order and loses
-// the staged chunks, while the order's sequence number fits the new incarnation.
+// Guards against an engine that restarts after the verification of its staged chunks
+// and loses them: the restarted engine would accept the start order.
 func TestEngineRestartBeforeStartOrder(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -89,8 +89,9 @@
 	d.checkVersions(t, 2)
 }
 
-// Guards against a chunk of an older version that is written while a newer one is
-// verified and loaded, with engines that read all chunks at once or one by one.
+// Guards against wrong weights when the write of a chunk of version 2 is delayed until
+// version 3 is being verified or loaded. The delay differs among the engines, and every
+// second engine loads its chunks one by one, the others all at once.
 func TestDelayedChunkWriteOfOlderVersion(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 8)
@@ -113,8 +114,8 @@
 	d.checkVersions(t, 3)
 }
 
-// onFirstStart makes each engine call do before it accepts its first start order for a
-// version.
+// onFirstStart makes each engine call do once, before it accepts its first start order
+// for a version.
 func (d *weightsDeployment) onFirstStart(version int, do func(*weightsBox)) {
 	for _, b := range d.boxes {
 		var once sync.Once
@@ -131,12 +132,12 @@
 // weightsModel is small, so that transfers add little to the time of a rollout.
 var weightsModel = enginetest.Weights{Model: "m", Chunks: 16, ChunkBytes: 4096, Layers: 4}
 
-// weightsDeployment is a set of gateways, and engines with sidecars, on loopback
-// addresses.
+// weightsDeployment is a set of gateways and of engines with sidecars, on loopback
+// addresses, for tests of the rollout of weights.
 type weightsDeployment struct {
 	network string // the first three numbers of all addresses
 	store   *storetest.Store
-	// storeAddress is the IP:PORT of the store, and config its first configuration.
+	// storeAddress is the IP:PORT of the store. config is the first configuration in it.
 	storeAddress, config string
 	boxes                []*weightsBox
 	daemons              []*taskGroup
@@ -236,7 +237,8 @@
 	_, _ = fmt.Fprintf(w, "id: 1\ndata: %d\n\n", version)
 }
 
-// nameVersion writes the operator's record that names a version.
+// setTargetVersion sets the target version of the model: it writes the record with
+// which an operator orders a version to be served.
 func (d *weightsDeployment) setTargetVersion(version int) {
 	d.store.Put(storetest.Operator, "version/m", fmt.Sprintf(`{"model":"m","version":%d}`, version))
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -5,9 +5,10 @@
 // the engine, that is, copies them to it before a load, and orders it to load and
 // unload versions.
 //
-// Two numbers protect against outdated orders. Each claim of the engine by a sidecar
-// starts a new epoch, and each load or unload order carries the epoch and a fence (a
-// fencing token that rises with each new order).
+// Two numbers in each load or unload order protect against stale orders: the epoch,
+// which each claim of the engine by a sidecar renews, and the fence, a fencing token.
+// An engine that checks fences rejects an order if it has received a newer one of
+// either number.
 //
 // Requests of callers are not part of this protocol: the sidecar forwards them
 // unchanged.
@@ -103,13 +104,13 @@
 
 // State is the state that an engine reports.
 type State struct {
-	Epoch        int64    `json:"epoch"` // the newest that the engine has received
-	Fence        int64    `json:"fence"` // the highest that the engine has received
-	ChecksFences bool     `json:"checks_fences"`
+	Epoch        int64    `json:"epoch"`         // the newest that the engine has received
+	Fence        int64    `json:"fence"`         // the highest that the engine has received
+	ChecksFences bool     `json:"checks_fences"` // whether the engine rejects stale orders
 	MemoryBytes  int64    `json:"memory_bytes"`
 	Running      int      `json:"running"` // requests
 	Waiting      int      `json:"waiting"` // requests
-	Slots        int      `json:"slots"`   // requests that the engine can run at a time
+	Slots        int      `json:"slots"`
 	Loaded       []Loaded `json:"loaded"`
 	Staged       []Staged `json:"staged"`
 }
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -44,9 +44,9 @@
 }
 
 // Do makes calls as configured by p. It returns the first response or the first final
-// error. If all calls fail, it returns the error of the last one, and if ctx is done
-// first, the error of ctx. It cancels the context of the remaining calls when it
-// returns.
+// error. If a call fails while no other is in flight, it returns that call's error, and
+// if ctx is done first, the error of ctx. It cancels the context of the remaining calls
+// when it returns.
 func Do[T any](ctx context.Context, p Plan, call Call[T]) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/membership/box.go
+++ b/membership/box.go
@@ -32,7 +32,7 @@
 const (
 	// Live boxes may get new work.
 	Live ListState = "live"
-	// Leaving boxes are being removed and get no new work.
+	// Leaving boxes get no new work.
 	Leaving ListState = "leaving"
 )
 
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -247,7 +247,7 @@
 	conn        *conn
 	head        *http.Response
 	writeResult <-chan error // receives the result of writing the request
-	stopWatch   func() bool  // stops closing the connection when the context is done; false if it was closed
+	stopWatch   func() bool  // stops watching the context; returns false if its end has closed the connection
 	bodyRead    bool         // set by MarkBodyRead
 	once        sync.Once    // of Close
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -39,6 +39,7 @@
 	return l.Addr().String()
 }
 
+// readRequest reads a request and its body, and returns nil at the end of the stream.
 func readRequest(r *bufio.Reader) *http.Request {
 	q, err := http.ReadRequest(r)
 	if err != nil {
@@ -54,6 +55,7 @@
 	return NewPool(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4})
 }
 
+// request returns a request that accepts only responses with the header "Id: id".
 func request(id string) *Request {
 	return &Request{
 		Method: http.MethodPost, URI: "/a//b/%2F?q=1", Host: "h.example", Header: http.Header{"Id": {id}}, Body: []byte("body"),
@@ -61,6 +63,7 @@
 	}
 }
 
+// rawResponse returns the text of a response with the header "Id: id".
 func rawResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
@@ -150,8 +153,8 @@
 	assert.Equal(t, connections.Load(), int32(2))
 }
 
-// A request must not be retried when the endpoint closes the connection on which it
-// was sent.
+// A request must not be sent again when the endpoint closes the connection without a
+// response.
 func TestRequestIsNotRetriedAfterClose(t *testing.T) {
 	var requests atomic.Int32
 	address := endpoint(t, func(_ int, r *bufio.Reader, c *net.TCPConn) {
@@ -203,6 +206,8 @@
 	assert.Equal(t, requests.Load(), int32(0))
 }
 
+// A body without a length must end with the close of the connection, and a reset of the
+// connection must be an error.
 func TestBodyUntilConnectionClose(t *testing.T) {
 	for _, test := range []struct {
 		name  string
