--- a/admin/plans.go
+++ b/admin/plans.go
@@ -166,8 +166,8 @@
 	return nil, s.confirmError(r, operator, p)
 }
 
-// reasonSuffix returns the reason for a plan's status as the end of an error
-// message.
+// reasonSuffix returns ": " and the reason for a plan's status, or "" if there is no
+// reason. It is appended to error messages.
 func reasonSuffix(p *intent.Plan) string {
 	if p.Reason == "" {
 		return ""
@@ -258,6 +258,7 @@
 	return n
 }
 
+// progress returns the progress of a plan, with the current state of each of its boxes.
 func (s *Server) progress(r *http.Request, _ string) (any, error) {
 	p, err := s.findPlan(pathID(r))
 	if err != nil {
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -34,6 +34,7 @@
 // minKeyLength is the least length of a key, in bytes.
 const minKeyLength = 16
 
+// workspaces returns the workspaces by name, without their keys.
 func (s *Server) workspaces(*http.Request, string) (any, error) {
 	var out []workspace.Workspace
 	s.Replica.View(func(st *state.State) { out = slices.Collect(maps.Values(st.Workspaces)) })
@@ -44,6 +45,7 @@
 	return out, nil
 }
 
+// setWorkspace adds a workspace or changes the given fields of an existing one.
 func (s *Server) setWorkspace(r *http.Request, operator string) (any, error) {
 	var c WorkspaceChange
 	if err := httpserve.ReadJSON(r, &c); err != nil {
--- a/cmd/mintlift/crash_test.go
+++ b/cmd/mintlift/crash_test.go
@@ -174,8 +174,8 @@
 	return d
 }
 
-// startEngine starts an engine, which restarts restartDelay after each crash, and its
-// sidecar.
+// startEngine starts an engine that crashes on crashingBody and restarts restartDelay
+// later, and its sidecar.
 func (d *engineDeployment) startEngine(t *testing.T, ip, store string) {
 	t.Helper()
 	address := net.JoinHostPort(ip, "8320")
--- a/cmd/mintlift/idle_test.go
+++ b/cmd/mintlift/idle_test.go
@@ -17,8 +17,8 @@
 )
 
 // measureIdleEnv is the environment variable that enables TestMeasureIdle. Its value is
-// the numbers of sidecars to measure, such as "10,50,200". CI does not set it;
-// docs/capacity.json holds the result.
+// the numbers of sidecars to measure, such as "10,50,200". CI does not set it, since the
+// measurement takes minutes; docs/capacity.json holds the result.
 const measureIdleEnv = "MINTLIFT_MEASURE_IDLE"
 
 // idleRow is the cost of an idle gateway or sidecar in a system with the given number
--- a/cmd/mintlift/outage_test.go
+++ b/cmd/mintlift/outage_test.go
@@ -51,8 +51,8 @@
 	d.checkRouteChange(t)
 }
 
-// routeDeployment is a gateway with a stand-in for the store, and two services of one
-// endpoint each.
+// routeDeployment is a gateway with a stand-in for the store, and two services,
+// "before" and "after", with one endpoint each.
 type routeDeployment struct {
 	store *storetest.Store
 	front string // IP:PORT of the gateway's listener for callers
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -145,7 +145,7 @@
 
 // endpointsFromStore reads the service's endpoints from the store.
 func (s *sidecarState) endpointsFromStore(ctx context.Context, w *platform.Watcher) ([]storerelay.Endpoint, error) {
-	list, err := w.List(ctx, s.layers)
+	list, err := w.ReadEndpoints(ctx, s.layers)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/mintlift/process_test.go
+++ b/cmd/mintlift/process_test.go
@@ -100,12 +100,12 @@
 	return ln.Addr().String()
 }
 
-// system is a set of real processes: gateways, sidecars and stand-ins.
+// system is a set of gateways, sidecars and stand-ins, each a process of its own.
 type system struct {
 	t        *testing.T
 	dir      string
-	platform settings.Platform
-	sample   float64 // fraction of requests traced
+	platform settings.Platform // addresses of the stand-ins
+	sample   float64           // fraction of requests traced
 	gateways []settings.Gateway
 	sidecars []settings.Sidecar
 	engines  []string            // addresses
@@ -162,6 +162,7 @@
 	assert.NilError(s.t, resp.Body.Close())
 }
 
+// addGateway adds a gateway on a new box and starts it.
 func (s *system) addGateway(box string) {
 	g := settings.DefaultGateway()
 	g.Node, g.Platform = settings.Node{Box: box, Region: "r1", Zone: "a"}, s.platform
@@ -173,12 +174,15 @@
 	s.startGateway(len(s.gateways) - 1)
 }
 
+// startGateway starts the gateway with index i, and lists its box.
 func (s *system) startGateway(i int) {
 	g := s.gateways[i]
 	s.procs[g.Node.Box] = launch(s.t, nil, "gateway", "--settings", s.write(g.Node.Box+".json", g))
 	s.listBox(membership.Box{ID: g.Node.Box, Zone: g.Node.AvailabilityZone(), Role: membership.Gateway, Address: g.PeerListen, State: membership.Live})
 }
 
+// addSidecar adds a sidecar on a new box and starts it. engine is the address of its
+// engine.
 func (s *system) addSidecar(box, engine string) {
 	c := settings.DefaultSidecar()
 	c.Node, c.Platform, c.Endpoint = settings.Node{Box: box, Region: "r1", Zone: "a"}, s.platform, engine
@@ -190,6 +194,7 @@
 	s.startSidecar(len(s.sidecars) - 1)
 }
 
+// startSidecar starts the sidecar with index i, and lists its box.
 func (s *system) startSidecar(i int) {
 	c := s.sidecars[i]
 	s.procs[c.Node.Box] = launch(s.t, nil, "sidecar", "--settings", s.write(c.Node.Box+".json", c))
@@ -225,7 +230,8 @@
 	}
 }
 
-// expired reports whether less than 10 s remain until the test's deadline.
+// expired reports whether the test is about to time out: less than 10 s remain until
+// its deadline.
 func (s *system) expired() bool {
 	deadline, ok := s.t.Deadline()
 	return ok && time.Until(deadline) < 10*time.Second
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -23,9 +23,9 @@
 	cancel context.CancelCauseFunc
 }
 
-// New returns a guard and a context that the guard cancels, with ErrStalled as the
-// cause. It does so if the first byte takes longer than first, or if the time between
-// two later bytes exceeds limit. The caller must call Stop.
+// New returns a context and its guard. The guard cancels the context, with ErrStalled as
+// the cause, if the first byte takes longer than first, or if the time between two later
+// bytes exceeds limit. The caller must call Stop.
 func New(ctx context.Context, first, limit time.Duration) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(first, func() { cancel(ErrStalled) })
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -157,6 +157,7 @@
 // openAndIdle reports whether the connection is open and has no unread bytes.
 func (c *conn) openAndIdle() bool { return c.reader.Buffered() == 0 && tcpconn.OpenAndIdle(c.Conn) }
 
+// dial opens a connection to the address. It does not add it to the idle ones.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	p.mu.Lock()
 	p.opened++
@@ -169,6 +170,7 @@
 	return c, nil
 }
 
+// closeOnce closes the connection on the first call and has no effect on later ones.
 func (c *conn) closeOnce() {
 	c.once.Do(func() { _ = c.Close() })
 }
@@ -380,6 +382,7 @@
 	}, nil
 }
 
+// write writes the head and the body of a request to the connection.
 func (c *conn) write(q *Request) error {
 	w := bufio.NewWriterSize(c.Conn, 2<<10)
 	_, _ = fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\n", q.Method, q.URI, q.Host)
