--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -56,8 +56,8 @@
 	InForceSeconds   float64 `json:"in_force_seconds"`
 }
 
-// IdleMeasurement is the resource usage of one process of Role without
-// requests.
+// IdleMeasurement is the resource usage of one process of the given role, in a
+// deployment of that many sidecars, while no requests are sent.
 type IdleMeasurement struct {
 	Sidecars               int     `json:"sidecars"`
 	Role                   string  `json:"role"`
@@ -75,8 +75,9 @@
 	SidecarCPUMS      float64 `json:"sidecar_cpu_ms_a_request"`
 }
 
-// StateMeasurement is the size of the checkpoint of a state with the given
-// numbers of workspaces, boxes of one plan, and homes.
+// StateMeasurement is the size in bytes of the checkpoint of a state with the
+// given numbers of workspaces, boxes of one plan, and homes. A home is a
+// sidecar process that stores what is known of idempotency keys.
 type StateMeasurement struct {
 	Workspaces int `json:"workspaces"`
 	PlanBoxes  int `json:"plan_boxes"`
@@ -84,9 +85,9 @@
 	Bytes      int `json:"bytes"`
 }
 
-// Simulation holds the results of the tests in virtual time: the log's reads per
-// second, with peaks for all processes starting at once, and the seconds until a
-// configuration change is in force at all processes.
+// Simulation holds the results of the tests in virtual time. These are reads of
+// the event log per second, with the peaks while all processes start at once,
+// and the seconds until a configuration change is in force at all processes.
 type Simulation struct {
 	Processes            int     `json:"processes"`
 	PeakLogReads         int     `json:"log_reads_a_second_peak"`
@@ -119,7 +120,8 @@
 	// MaxRelativeError is the largest error of the line at a measurement,
 	// relative to that measurement.
 	MaxRelativeError float64
-	MaxMeasured      float64
+	// MaxMeasured is the largest y of the measurements.
+	MaxMeasured float64
 }
 
 // Fit returns the least-squares line through the points (x[i], y[i]).
@@ -170,7 +172,8 @@
 	return Fit(x, y)
 }
 
-// fitRequests fits CPU time per request over the tokens of its response.
+// fitRequests fits a CPU time per request over the number of tokens of the
+// response.
 func (d *Data) fitRequests(value func(RequestMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Requests {
@@ -180,8 +183,8 @@
 	return Fit(x, y)
 }
 
-// RowsFromJSON returns the rows of the page for the contents of docs/capacity.json
-// and docs/transfer.json.
+// RowsFromJSON returns the rows of docs/CAPACITY.md, given the contents of
+// docs/capacity.json (data) and docs/transfer.json (transfer).
 func RowsFromJSON(data, transfer []byte) ([]Row, error) {
 	d, err := Parse(data)
 	if err != nil {
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -41,6 +41,8 @@
 	}
 }
 
+// TestParseSweep checks the parsed fields of a benchmark report, a report
+// without a target size, and the error for a report that lacks a day.
 func TestParseSweep(t *testing.T) {
 	const report = `
 day                  own/srv  score  worth served refused failed  weakest part
@@ -70,14 +72,16 @@
 	assert.ErrorContains(t, err, "1 days")
 }
 
-// TestStateSlopes guards against committed checkpoint sizes that differ from
-// those of the current code. The sizes are deterministic.
+// TestStateSlopes guards against checkpoint sizes in docs/capacity.json that
+// differ from those of the current code. The sizes are deterministic.
 func TestStateSlopes(t *testing.T) {
 	d, err := Parse(docs.Capacity)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, StateCases(), d.State)
 }
 
+// TestFit checks the fit of points on a line, that points off a line are
+// described as such, and the verdicts on a row.
 func TestFit(t *testing.T) {
 	l := Fit([]float64{1, 2, 4}, []float64{12, 14, 18})
 	assert.Assert(t, abs(l.Intercept-10) < 1e-9 && abs(l.Slope-2) < 1e-9 && l.MaxRelativeError < 1e-9)
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -8,21 +8,23 @@
 	"math"
 )
 
-// Row is one figure of one role at full size. Its field names are part of the
-// output of "mintlift capacity --json".
+// Row is one figure of one role, extrapolated to the deployment size Sizes. Its
+// field names are part of the output of "mintlift capacity --json".
 type Row struct {
 	Role, What string
-	// Value and Bound are in Unit; Bound is 0 if the figure has no limit.
+	// Value is the figure and Bound its upper limit, both in Unit. Bound is 0
+	// if the figure has no limit.
 	Value, Bound float64
 	Unit         string
-	// Source describes the fit and names the test or file with the measurements.
+	// Source describes how Value was extrapolated and names the test or file
+	// with the measurements.
 	Source string
-	// Mechanism names the code that determines the figure.
+	// Mechanism names the code that keeps the figure small.
 	Mechanism string
 }
 
-// Verdict returns the page's text for whether Value is within Bound; it is
-// empty without a bound.
+// Verdict returns the text of docs/CAPACITY.md for whether Value is within
+// Bound. It is empty if there is no bound.
 func (r Row) Verdict() string {
 	switch {
 	case r.Bound == 0:
@@ -37,12 +39,13 @@
 const (
 	secondsPerDay = 86400
 	megabyte      = 1e6
-	// subsetCover and subsetMin are the constants of package route: how many
-	// gateways select each endpoint, and how many endpoints each gateway
-	// selects in addition.
+	// subsetCover and subsetMin repeat constants of package route. subsetCover
+	// gateways select each endpoint for probes, and each gateway selects
+	// subsetMin endpoints in addition.
 	subsetCover = 3
 	subsetMin   = 8
-	// transferRowName selects the rows of docs/transfer.json for the page.
+	// transferRowName is the name of the rows of docs/transfer.json from which
+	// docs/CAPACITY.md takes its transfer figures.
 	transferRowName = "swarm"
 )
 
@@ -56,12 +59,13 @@
 	ControlBytesPerBox float64 `json:"control_bytes_a_box"`
 }
 
-// probedEndpoints returns how many endpoints a gateway probes at full size.
+// probedEndpoints returns how many endpoints a gateway probes at the deployment
+// size s.
 func (s Sizes) probedEndpoints() float64 {
 	return float64(subsetCover*s.Sidecars)/float64(s.Gateways) + subsetMin
 }
 
-// Rows returns the rows of the page.
+// Rows returns the rows of docs/CAPACITY.md.
 func Rows(d Data, transfers []Transfer) []Row {
 	rows := append(d.controlRows("gateway", d.Sizes.probedEndpoints()), d.controlRows("sidecar", float64(d.Sizes.Sidecars))...)
 	rows = append(rows, d.stateRow())
@@ -70,6 +74,8 @@
 	return append(rows, d.transferRows(transfers)...)
 }
 
+// controlRows returns the rows on a role's idle CPU, memory and control traffic,
+// extrapolated to n endpoints.
 func (d *Data) controlRows(role string, n float64) []Row {
 	cpu := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.CPUPercent })
 	mb := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.ResidentMB })
@@ -95,21 +101,22 @@
 	}
 }
 
-// measuredGateways is the number of gateways that shared the sidecars in
-// TestMeasureIdle.
+// measuredGateways is the number of gateways in TestMeasureIdle. Each sidecar
+// reads the event log from one of them.
 const measuredGateways = 2
 
 // probesPerSecond returns how many probes a gateway sends per second to n
-// endpoints, by the constants of package gateway.
+// endpoints. Its constants repeat those of package gateway.
 func probesPerSecond(n float64) float64 {
 	const square, minCycle, maxCycle = 0.0016, 0.5, 30.0 // seconds
 	return n / min(max(n*n*square, minCycle), maxCycle)
 }
 
-// gatewayTraffic estimates a gateway's control traffic in bytes per second and
-// describes the fit. It fits two coefficients, bytes per probe and bytes per
-// second for each sidecar that reads the log from the gateway, because the
-// probe rate is not linear in the number of endpoints.
+// gatewayTraffic estimates the control traffic in bytes per second of a gateway
+// that probes the given number of endpoints, and describes the fit. The probe
+// rate is not linear in the number of endpoints, so it fits two coefficients:
+// bytes per probe, and bytes per second for each sidecar that reads the event
+// log from the gateway.
 func (d *Data) gatewayTraffic(probed float64) (float64, string) {
 	// Sums of the normal equations: p is the probe rate, r the number of
 	// sidecars that read from the gateway, y the traffic.
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -16,7 +16,8 @@
 )
 
 // MeasureState returns the checkpoint size of a state with the given numbers of
-// workspaces and homes, and one confirmed plan over planBoxes boxes.
+// workspaces and homes (see StateMeasurement), and with one confirmed plan over
+// planBoxes boxes.
 func MeasureState(workspaces, planBoxes, homes int) StateMeasurement {
 	r := state.NewReplica()
 	var entries []eventlog.Entry
@@ -64,8 +65,8 @@
 	return c
 }
 
-// StateCases measures the states of docs/capacity.json: three sizes each for
-// workspaces, plan boxes and homes.
+// StateCases returns the state measurements of docs/capacity.json: three sizes
+// each for workspaces, boxes of a plan, and homes.
 func StateCases() []StateMeasurement {
 	var out []StateMeasurement
 	for _, n := range []int{100, 200, 400} {
@@ -74,8 +75,8 @@
 	return out
 }
 
-// fitState fits the checkpoint size over one kind of content, using the
-// measurements that have any of it.
+// fitState fits the checkpoint size over the number of workspaces, plan boxes
+// or homes that count returns. Measurements with a count of 0 are left out.
 func (d *Data) fitState(count func(StateMeasurement) int) Line {
 	var x, y []float64
 	for _, s := range d.State {
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -14,9 +14,9 @@
 	"github.com/juju/errors"
 )
 
-// Sweep is a report of the users' bench on the same test day at several sizes
-// of a deployment. Its field names, and those of SweepDay and SweepRow, are part
-// of the output of "mintlift capacity --json".
+// Sweep is a report of the users' benchmark, which replays the same test day at
+// several sizes of a deployment. The field names of Sweep, SweepDay and SweepRow
+// are part of the output of "mintlift capacity --json".
 type Sweep struct {
 	// Site is the deployment's name.
 	Site string
@@ -28,25 +28,25 @@
 	Rows   []SweepRow
 }
 
-// SweepDay is the result at one size.
+// SweepDay is the benchmark's result at one size of the deployment.
 type SweepDay struct {
 	Name string
 	// Worth is the share of the day's credit that was earned, Served the share
 	// of requests served.
 	Worth, Served float64
-	// Broken lists the bench rules that were violated; empty means none.
+	// Broken lists the benchmark's rules that were violated; empty means none.
 	Broken string
 }
 
-// SweepRow is one figure at each size.
+// SweepRow is one measured quantity at each size of the deployment.
 type SweepRow struct {
 	Name string
-	// Busiest is the figure of the most loaded machine, or the longest time,
+	// Busiest is the value of the most loaded machine, or the longest time,
 	// at each of Sweep.Sizes, as printed in the report.
 	Busiest []string
-	// Power is the exponent with which the figure grows with the number of
-	// machines, AtTarget its extrapolation to Sweep.Target, as printed in the
-	// report.
+	// Power is the exponent with which the value grows with the number of
+	// machines. AtTarget is the value extrapolated to Sweep.Target. Both are
+	// as printed in the report.
 	Power, AtTarget string
 }
 
@@ -112,8 +112,8 @@
 	return errors.Trace(err)
 }
 
-// addRow parses a row of the table. Lines with another number of cells are
-// ignored.
+// addRow parses a row of the table. Lines whose number of cells does not fit
+// the table are ignored.
 func (s *Sweep) addRow(line string) {
 	parts := cellSeparator.Split(strings.TrimSpace(line), -1)
 	if len(parts) != len(s.Sizes)+3 {
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -28,7 +28,7 @@
 	outcome    outcome.Outcome
 	status     int
 	text       string
-	firstToken time.Duration // since the request; 0 if there was none
+	firstToken time.Duration // from the request to the first token; 0 without a token
 }
 
 // streamEvent holds the fields of a stream's event that the demo reads.
@@ -41,8 +41,8 @@
 	Error *peer.RefusalError `json:"error"`
 }
 
-// chat sends a request for a streamed chat completion. It is not repeatable if
-// idempotencyKey is set.
+// chat sends a request for a streamed chat completion and reads the stream to
+// its end. The request is non-idempotent if idempotencyKey is set.
 func chat(ctx context.Context, address, key, model, idempotencyKey string) (response, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokenCount)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
@@ -103,7 +103,8 @@
 	return io.ErrUnexpectedEOF
 }
 
-// traffic is a load of callers that each send one request after another.
+// traffic runs callers, each of which sends one request after another, and
+// collects their results.
 type traffic struct {
 	mu         sync.Mutex
 	sent       int
--- a/internal/lab/copy_test.go
+++ b/internal/lab/copy_test.go
@@ -19,7 +19,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// measureCopyEnv enables TestMeasureCopy, which CI does not run.
+// measureCopyEnv is the environment variable that enables TestMeasureCopy. CI
+// does not set it.
 const measureCopyEnv = "MINTLIFT_MEASURE_COPY"
 
 // cpuTime returns the process's CPU time so far.
@@ -30,7 +31,8 @@
 }
 
 // TestMeasureCopy measures the CPU time per GB of a rollout to 48 sidecars over
-// loopback, and of a plain TCP copy with the same digest.
+// loopback. For comparison, it measures a TCP copy that only computes the same
+// digest.
 func TestMeasureCopy(t *testing.T) {
 	if os.Getenv(measureCopyEnv) == "" {
 		t.Skip("set " + measureCopyEnv + "=1 to measure")
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -32,7 +32,8 @@
 // OperatorKey is the bootstrap operator's key in a lab.
 const OperatorKey = "lab-operator-key-0123456789"
 
-// anyLoopbackPort is a listen address with a free port.
+// anyLoopbackPort is a listen address of 127.0.0.1 with a free port, which the
+// system chooses.
 const anyLoopbackPort = "127.0.0.1:0"
 
 // Config describes a lab.
@@ -40,34 +41,35 @@
 	Gateways int
 	Engines  int
 	Services int
-	// Zones are assigned to the boxes round-robin; by default there is one.
+	// Zones are assigned to the boxes round-robin. By default there is one
+	// zone.
 	Zones []membership.AvailabilityZone
 	// EngineMemory limits the bytes of each engine's loaded versions; 0 means
 	// no limit.
 	EngineMemory int64
-	// ChecksFences makes the engines reject orders with an older epoch or
-	// fence.
+	// ChecksFences makes the engines reject an order whose epoch or fence (the
+	// fencing token of its plan) is older than that of an accepted order.
 	ChecksFences bool
-	// TokenTime is the engines' time for each token.
+	// TokenTime is the time that the engines take to generate each token.
 	TokenTime time.Duration
-	// Links are set in the settings of all daemons; Links.Origin also limits
-	// the origin's bandwidth.
+	// Links are the link rates in the settings of all daemons. Links.Origin
+	// also limits the origin's bandwidth.
 	Links settings.Links
 	// LogOutput receives the daemons' logs; nil discards them.
 	LogOutput io.Writer
-	// LogLevel is a level of package telemetry, by default info.
+	// LogLevel is a level of package telemetry. The default is info.
 	LogLevel string
-	// GatewaySettings and SidecarSettings, unless nil, may change the settings
-	// of each daemon before its start.
+	// GatewaySettings and SidecarSettings, if not nil, are called before the
+	// start of each daemon and may change its settings.
 	GatewaySettings func(*settings.Gateway)
 	SidecarSettings func(*settings.Sidecar)
 }
 
 // Box is an endpoint box of the lab.
 type Box struct {
-	Entry    membership.Box   // as listed
-	Engine   *standin.Engine  // nil for a plain service
-	Service  *standin.Service // nil for a model engine
+	Entry    membership.Box   // its entry in the box list
+	Engine   *standin.Engine  // nil if the endpoint is a plain service
+	Service  *standin.Service // nil if the endpoint is a model engine
 	Sidecar  *sidecar.Daemon  // nil after KillBox
 	endpoint *standin.Server
 }
@@ -85,8 +87,8 @@
 	servers  []*standin.Server
 	platform settings.Platform // addresses of the stand-ins
 	dir      string
-	initial  []membership.Box // listed when all of them have started
-	started  bool
+	initial  []membership.Box // boxes to publish when all of them have started
+	started  bool             // the initial boxes are published
 }
 
 // ServiceName is the name of a lab's plain service.
@@ -216,7 +218,8 @@
 	return l.StartSidecar(b)
 }
 
-// StartSidecar starts a box's sidecar; the previous one must have ended.
+// StartSidecar starts a box's sidecar. A previous sidecar of the box must have
+// ended.
 func (l *Lab) StartSidecar(b *Box) error {
 	s := settings.DefaultSidecar()
 	s.Node, s.Platform, s.Links = nodeSettings(b.Entry.ID, b.Entry.Zone), l.platform, l.Links
@@ -235,7 +238,7 @@
 }
 
 // KillBox simulates a power failure of a box: it kills the endpoint and the
-// sidecar. If delist is set, it removes the box from the box list afterwards.
+// sidecar. If delist is set, it then also removes the box from the box list.
 func (l *Lab) KillBox(b *Box, delist bool) {
 	b.endpoint.Close()
 	b.Sidecar.Kill()
@@ -270,8 +273,8 @@
 	return client.Confirm(ctx, p.ID)
 }
 
-// AwaitDone polls a plan until it is done: all its boxes that respond serve its
-// version.
+// AwaitDone polls a plan until it is done, that is, until all its boxes that
+// respond serve its version. It returns the last progress.
 func (l *Lab) AwaitDone(ctx context.Context, plan string) (*admin.Progress, error) {
 	const interval = 50 * time.Millisecond
 	for {
@@ -300,6 +303,8 @@
 	return nil
 }
 
+// awaitBoxes waits until one gateway reports at least n boxes as reached. A box
+// with an engine counts once the engine's state is known.
 func (l *Lab) awaitBoxes(ctx context.Context, gateway, n int) error {
 	const interval = 50 * time.Millisecond
 	for {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -21,7 +21,7 @@
 var v1 = weights.Ref{Model: "celeste-draft", Version: "v1"}
 
 // startLab starts a lab for a test and waits until its gateways reach its
-// boxes. The context ends after a minute.
+// boxes. The returned context, for the test's calls, ends after a minute.
 func startLab(t *testing.T, c Config) (*Lab, context.Context) {
 	t.Helper()
 	l, err := Start(c)
@@ -49,8 +49,9 @@
 	return resp, string(b)
 }
 
-// TestWholePath checks a rollout from the operator's intent to a caller's
-// streamed response.
+// TestWholePath checks that a version that an operator's intent rolls out to
+// six engines is loaded once by each, and that callers get streamed responses
+// from it through both gateways.
 func TestWholePath(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 6, ChecksFences: true, Zones: []membership.AvailabilityZone{{Region: "r1", Zone: "a"}, {Region: "r2", Zone: "b"}}})
 	l.Store.Publish(standin.NewManifest(v1, 4<<20, 64<<10))
--- a/internal/lab/load_test.go
+++ b/internal/lab/load_test.go
@@ -19,17 +19,19 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// measureEnv enables TestMeasureLoad, which CI does not run.
+// measureEnv is the environment variable that enables TestMeasureLoad. CI does
+// not set it.
 const measureEnv = "MINTLIFT_MEASURE_LOAD"
 
-// Parameters of the load tests. A response of 20 tokens takes 100 ms.
+// Parameters of the load tests.
 const (
 	loadEngines  = 2
-	loadSlots    = 8
-	loadTokens   = 20
+	loadSlots    = 8                            // concurrent requests per engine
+	loadTokens   = 20                           // per response, which takes 100 ms
 	loadCapacity = loadEngines * loadSlots * 10 // requests per second
 )
 
+// priorities holds the load tests' workspaces and their priorities.
 var priorities = map[string]int{"high": 90, "middle": 50, "low": 10}
 
 // startForLoad starts a lab that serves v1 to liceo and to three workspaces of
@@ -86,11 +88,12 @@
 	return out
 }
 
+// mixedShares holds the workspaces' shares of the load, relative to each other.
 var mixedShares = map[string]float64{"high": 2, "middle": 3, "low": 5}
 
-// TestOverloadShedsLowestPriority checks at twice the engines' capacity that
-// the lowest priority is shed, that the highest is served, and that no request
-// refused as not run was run.
+// TestOverloadShedsLowestPriority checks that at twice the engines' capacity
+// requests of the lowest priority are refused and those of the highest are
+// served. No request reported as not run may have run.
 func TestOverloadShedsLowestPriority(t *testing.T) {
 	l, ctx := startForLoad(t)
 	r, err := load.Run(ctx, l.loadMix(2*loadCapacity, 4, mixedShares))
@@ -106,7 +109,8 @@
 	assert.Equal(t, len(invariant.NotRun(r.NotRun, l.engineRuns())), 0)
 }
 
-// loadRow is a row of the measured table.
+// loadRow is a row of the table that TestMeasureLoad logs: its results at one
+// load.
 type loadRow struct {
 	Load    float64            `json:"load"`    // relative to capacity
 	Goodput float64            `json:"goodput"` // relative to capacity
@@ -115,9 +119,9 @@
 	Classes []load.ClassReport `json:"-"`
 }
 
-// TestMeasureLoad measures first-token times by priority and goodput at
-// increasing load, and the first-token time of a workspace with little load
-// while another one sends twice the capacity.
+// TestMeasureLoad measures goodput, and first-token times by priority, at
+// increasing load. It also measures the first-token time of a workspace with
+// little load while another workspace sends twice the capacity.
 func TestMeasureLoad(t *testing.T) {
 	if os.Getenv(measureEnv) == "" {
 		t.Skip("set " + measureEnv + "=1 to measure")
--- a/internal/lab/log_test.go
+++ b/internal/lab/log_test.go
@@ -29,9 +29,10 @@
 	return ""
 }
 
-// TestConcurrentConfirm confirms two plans for the same boxes concurrently
-// through two gateways, while responses of the log are lost. One must succeed;
-// the other must get a conflict and a new proposed plan.
+// TestConcurrentConfirm checks that, of two plans for the same boxes confirmed
+// concurrently through two gateways, only one is confirmed, and the other
+// caller gets a conflict with a new proposed plan. Log responses are lost
+// meanwhile.
 func TestConcurrentConfirm(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 2})
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 0))
@@ -109,9 +110,9 @@
 	assert.Equal(t, len(plans), 1, "a refused intent created a plan")
 }
 
-// TestLogOutage checks that without the log, requests are served, changes are
-// refused as unavailable, and a restarted sidecar gets the state from its
-// peers; and that changes succeed when the log is available again.
+// TestLogOutage checks an outage of the event log: requests are served, changes
+// are refused as unavailable, and a restarted sidecar gets the state from its
+// peers. Changes succeed once the log is available again.
 func TestLogOutage(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 2, Engines: 3})
 	l.Log.Faults.Set(standin.FaultSettings{Down: true})
@@ -148,8 +149,8 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK, text)
 }
 
-// TestStaleLogReads checks that the gateways keep their state when the log
-// returns an older state of its streams.
+// TestStaleLogReads checks that the gateways keep serving the newer state that
+// they have read when the event log's reads become stale.
 func TestStaleLogReads(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 2, Engines: 2})
 	l.Log.Faults.Set(standin.FaultSettings{EndOffset: 1})
@@ -168,8 +169,8 @@
 	}
 }
 
-// TestStartAfterLogTruncation checks that a gateway that starts after the log
-// has deleted its first records gets the complete state, from a checkpoint.
+// TestStartAfterLogTruncation checks that a gateway started after the event log
+// has deleted its first records reads the complete state from a checkpoint.
 func TestStartAfterLogTruncation(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: 1})
 	for i := range state.CheckpointEvery + 50 {
@@ -201,7 +202,7 @@
 }
 
 // TestKeysAreRequired checks that callers and operators without a valid key are
-// refused, and that an unknown model is not found.
+// refused, and that a request for an unknown model gets status 404.
 func TestKeysAreRequired(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
 	for key, want := range map[string]int{"": http.StatusUnauthorized, "Bearer wrong-key-of-nobody": http.StatusForbidden} {
--- a/internal/lab/once_test.go
+++ b/internal/lab/once_test.go
@@ -53,8 +53,9 @@
 	return n
 }
 
-// homeOf returns the box that the log names as the home of a key, or nil if
-// there is no such box.
+// homeOf returns the box of an idempotency key's home, or nil if there is none.
+// The home is the sidecar process that stores what is known of the key; the
+// records in the event log determine it.
 func (l *Lab) homeOf(key string) *Box {
 	replica := state.NewReplica()
 	if err := replica.Apply(l.Log.Entries("mintlift-config")); err != nil {
@@ -72,8 +73,8 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// TestSameKeyThroughAllGateways checks that a request sent concurrently through
-// several gateways with one idempotency key runs once.
+// TestSameKeyThroughAllGateways checks that a request runs once if it is sent
+// concurrently through several gateways with one idempotency key.
 func TestSameKeyThroughAllGateways(t *testing.T) {
 	l, _ := startServices(t, Config{Gateways: 3, Services: 3})
 	for range 20 {
@@ -95,8 +96,9 @@
 	assert.Equal(t, len(invariant.Journal(l.serviceRuns())), 0)
 }
 
-// TestLostResponseIsNotRetried checks that a request whose response was lost
-// after it ran does not run again when its key is sent again.
+// TestLostResponseIsNotRetried checks that a request does not run again if its
+// response was lost after the run and the caller sends it again with the same
+// idempotency key.
 func TestLostResponseIsNotRetried(t *testing.T) {
 	l, _ := startServices(t, Config{Gateways: 2, Services: 2})
 	for _, b := range l.Boxes {
@@ -110,9 +112,9 @@
 	assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
 }
 
-// TestHomeDies checks that a request whose key's home was killed after it ran
-// has outcome unknown and does not run again.
-func TestHomeDies(t *testing.T) {
+// TestHomeCrashes checks that a request is not run again, and has outcome
+// unknown, after the sidecar that stored its idempotency key was killed.
+func TestHomeCrashes(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 3})
 	key := newKey()
 	_, o, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
@@ -125,7 +127,7 @@
 
 	l.BoxList.Remove(home.Entry.ID)
 	for l.homeOf(key) == home {
-		assert.NilError(t, ctx.Err(), "the log still names the killed box as home")
+		assert.NilError(t, ctx.Err(), "by the log, the killed box is still the key's home")
 		time.Sleep(50 * time.Millisecond)
 	}
 	for g := range 2 {
@@ -136,8 +138,8 @@
 	home.Sidecar = nil
 }
 
-// TestHomeRestarts checks that a request does not run again after its key's
-// home has restarted without its keys.
+// TestHomeRestarts checks that a request is not run again after the sidecar
+// that stored its idempotency key has restarted and lost it.
 func TestHomeRestarts(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 2})
 	key := newKey()
@@ -147,7 +149,7 @@
 	home.Sidecar.Kill()
 	assert.NilError(t, l.StartSidecar(home))
 	l.awaitIncarnation(t, ctx, home)
-	for range 30 { // before and after the log names the new incarnation
+	for range 30 { // both before and after the log has the sidecar's new incarnation
 		_, o, text = l.callService(t, 1, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
 		assert.Equal(t, o, outcome.Unknown, text)
 		time.Sleep(100 * time.Millisecond)
@@ -155,9 +157,9 @@
 	assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
 }
 
-// TestReplayGuard checks that a non-repeatable request is not sent again when a
-// reused connection is closed after the endpoint has read the request, which
-// net/http does by default.
+// TestReplayGuard checks that a non-idempotent request is not sent again when
+// the endpoint reads it and then closes a reused connection. By default,
+// net/http retries some of these requests.
 func TestReplayGuard(t *testing.T) {
 	f := newFaultyService(t)
 	f.setCut(cutsNever)
@@ -180,8 +182,8 @@
 	}
 }
 
-// TestRefusedRequestsDidNotRun overloads a slow service and checks that requests
-// refused as not run are not in its journal, and that they get a Retry-After.
+// TestRefusedRequestsDidNotRun checks that an overloaded service ran none of
+// the requests reported as not run, and that these get a Retry-After header.
 func TestRefusedRequestsDidNotRun(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 1, SidecarSettings: func(s *settings.Sidecar) { s.MaxInFlight, s.Queue = 2, 2 }})
 	l.Boxes[0].Service.Latency = 200 * time.Millisecond
--- a/internal/lab/outcome_test.go
+++ b/internal/lab/outcome_test.go
@@ -20,8 +20,8 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// cutPoint is the point of an exchange at which a faultyService closes the
-// connection.
+// cutPoint is the point of a request or response at which a faultyService
+// closes the connection.
 type cutPoint string
 
 const (
@@ -31,8 +31,8 @@
 	cutsAfterRequest        cutPoint = "after the request, before the response"
 	cutsAfterResponseHeader cutPoint = "after the response header"
 	cutsInResponseBody      cutPoint = "in the middle of the response"
-	cutsNever               cutPoint = "never"
-	responds500             cutPoint = "never, status 500"
+	cutsNever               cutPoint = "never"             // complete response of status 200
+	responds500             cutPoint = "never, status 500" // complete response of status 500
 )
 
 // faultyService is a plain service over TCP that closes connections at a given
@@ -42,7 +42,7 @@
 
 	mu       sync.Mutex
 	cut      cutPoint
-	requests int // read in full since setCut
+	requests int // requests read in full since setCut
 }
 
 func newFaultyService(t *testing.T) *faultyService {
@@ -125,7 +125,8 @@
 	}
 }
 
-// callService sends a request of workspace liceo to the lab's plain service.
+// callService sends a request of workspace liceo to the lab's plain service
+// through a gateway, and returns the response's status, outcome and body.
 func (l *Lab) callService(t *testing.T, gateway int, method, body string, header map[string]string) (status int, o outcome.Outcome, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+l.Gateways[gateway].CallerAddress()+"/v1/services/"+ServiceName+"/pages/12", strings.NewReader(body))
@@ -142,8 +143,9 @@
 	return resp.StatusCode, outcome.Outcome(resp.Header.Get("Mintlift-Outcome")), string(b)
 }
 
-// awaitRouting waits until each gateway has at least the given number of homes
-// and completes requests with and without idempotency keys.
+// awaitRouting waits until each gateway completes requests with and without
+// idempotency keys and has at least the given number of homes. A home is a
+// sidecar process that stores what is known of an idempotency key.
 func (l *Lab) awaitRouting(t *testing.T, ctx context.Context, homes int) {
 	t.Helper()
 	for i := range l.Gateways {
@@ -158,7 +160,7 @@
 		for {
 			_, withoutKey, _ := l.callService(t, i, http.MethodGet, "", nil)
 			completed := 0
-			for range 4 * homes { // keys are likely to cover all homes
+			for range 4 * homes { // enough random keys that each home probably stores one
 				_, o, _ := l.callService(t, i, http.MethodPost, "", map[string]string{"Idempotency-Key": newKey()})
 				if o == outcome.Completed {
 					completed++
@@ -173,8 +175,9 @@
 	}
 }
 
-// TestOutcomeTable checks the outcome reported to the caller, and the number of
-// runs, when the endpoint closes the connection at each point of an exchange.
+// TestOutcomeTable checks the outcome reported to the caller and how often the
+// endpoint ran the request, for each point at which the endpoint may close the
+// connection.
 func TestOutcomeTable(t *testing.T) {
 	f := newFaultyService(t)
 	f.setCut(cutsNever)
@@ -190,7 +193,7 @@
 	cells := []struct {
 		cut  cutPoint
 		want outcome.Outcome
-		runs int // of a non-repeatable request
+		runs int // how often the endpoint runs a non-idempotent request
 	}{
 		{cutsBeforeRequest, outcome.Unknown, 0},
 		{cutsInRequestBody, outcome.Unknown, 0},
@@ -218,7 +221,7 @@
 				f.setCut(cell.cut)
 				want := cell.want
 				if cell.cut == refusesConnections && name == "with a key" {
-					want = outcome.Unknown // the home has restarted and lost its keys
+					want = outcome.Unknown // the sidecar that stored the key has restarted without it
 				}
 				_, got, text := l.callService(t, 0, http.MethodPost, "some body", header)
 				assert.Equal(t, got, want, text)
@@ -233,8 +236,8 @@
 	}
 }
 
-// awaitIncarnation waits until the first gateway has reached a box's restarted
-// sidecar and updated its routing table.
+// awaitIncarnation waits until the first gateway has reached the restarted
+// sidecar of a box and routes requests to it.
 func (l *Lab) awaitIncarnation(t *testing.T, ctx context.Context, b *Box) {
 	t.Helper()
 	for {
@@ -250,9 +253,9 @@
 	}
 }
 
-// TestUnknownOutlastsLaterRefusals checks that a request that one endpoint has
-// read before it closed the connection has outcome unknown, also if a second
-// endpoint has refused the retry.
+// TestUnknownOutlastsLaterRefusals checks that a request has outcome unknown
+// after one endpoint read it and closed the connection, even if a second
+// endpoint refuses the retry.
 func TestUnknownOutlastsLaterRefusals(t *testing.T) {
 	f := newFaultyService(t)
 	f.setCut(cutsNever)
--- a/internal/lab/pairs_test.go
+++ b/internal/lab/pairs_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestPairsOfFailures checks the invariants after each pair of failures during
-// a version change under traffic.
+// TestPairsOfFailures checks the invariants after each pair of failures that
+// overlap during a version change under traffic.
 func TestPairsOfFailures(t *testing.T) {
 	all := failures()
 	for i, a := range all {
@@ -74,6 +74,8 @@
 	}
 }
 
+// testFailurePair injects two failures during a version change under traffic,
+// recovers from them and checks the invariants.
 func testFailurePair(t *testing.T, a, b failure) {
 	const size = 1 << 20
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 4, Services: 2, ChecksFences: true, TokenTime: time.Millisecond, Links: settings.Links{Origin: 2 * size, Box: size}})
--- a/internal/lab/proxy_test.go
+++ b/internal/lab/proxy_test.go
@@ -20,9 +20,9 @@
 	mu          sync.Mutex
 	target      string
 	cutBytes    int64 // response bytes until the next cut, 0 for no cut
-	partitioned bool
+	partitioned bool  // see setPartitioned
 	conns       []net.Conn
-	cuts        int
+	cuts        int // connections closed by cutAfter
 }
 
 func newFaultyProxy(t *testing.T, target string) *faultyProxy {
@@ -63,8 +63,8 @@
 	}
 }
 
-// setPartitioned closes all connections and, if partitioned is set, rejects new
-// ones from now on.
+// setPartitioned closes all connections. While partitioned is set, the proxy
+// also closes each new connection at once.
 func (c *faultyProxy) setPartitioned(partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,8 +101,8 @@
 	}
 }
 
-// copyResponses copies from upstream to conn until one of them ends or the
-// connection is cut.
+// copyResponses copies from upstream to conn until either connection fails or
+// is closed, or until the cut point. It then closes both.
 func (c *faultyProxy) copyResponses(conn, upstream net.Conn) {
 	defer conn.Close()
 	defer upstream.Close()
--- a/internal/lab/rollover_test.go
+++ b/internal/lab/rollover_test.go
@@ -20,10 +20,9 @@
 
 var v2 = weights.Ref{Model: v1.Model, Version: "v2"}
 
-// TestRolloverKeepsFloor checks a version change under traffic on engines with
-// memory for one version: the boxes change in waves, at least as many as the
-// floor serve at any time, and no request fails. Then it cancels the plan and
-// checks that the former version is restored.
+// TestRolloverKeepsFloor checks a version change under traffic on engines whose
+// memory holds one version: no request fails, and the number of serving boxes
+// never falls below the floor. Cancelling the plan restores the former version.
 func TestRolloverKeepsFloor(t *testing.T) {
 	const size, floor = 1 << 20, 2
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 4, EngineMemory: size * 3 / 2, TokenTime: 2 * time.Millisecond})
@@ -106,8 +105,8 @@
 	}
 }
 
-// TestFloorRefusesPlan checks that an intent is refused if its rollout would
-// fall below the floor.
+// TestFloorRefusesPlan checks that an intent is refused if fewer boxes than the
+// workspace's floor would serve during its rollout.
 func TestFloorRefusesPlan(t *testing.T) {
 	const size = 1 << 20
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: 2, EngineMemory: size * 3 / 2})
@@ -123,9 +122,9 @@
 	assert.Equal(t, errorCode(err), admin.CodeFloor, "%v", err)
 }
 
-// TestSupersededInFlight checks that a plan confirmed during the transfer of an
-// older version supersedes it: only the newer version is loaded, and no copy of
-// the older one is kept.
+// TestSupersededInFlight checks that a plan confirmed during the transfer of
+// another version supersedes that transfer: the engines load only the newer
+// version, and no box keeps a copy of the other.
 func TestSupersededInFlight(t *testing.T) {
 	const size = 4 << 20
 	l, ctx := startLab(t, Config{Gateways: 1, Engines: 3})
--- a/internal/lab/signals_test.go
+++ b/internal/lab/signals_test.go
@@ -34,8 +34,7 @@
 }
 
 // sendRequests sends requests through both gateways alternately for a duration.
-// It returns how many of them the engine ran, and how many got a response with
-// status 200.
+// It returns how many of them engine e ran, and how many got status 200.
 func sendRequests(t *testing.T, l *Lab, e *standin.Engine, duration time.Duration) (ran, succeeded int) {
 	t.Helper()
 	before := len(e.Journal())
@@ -49,13 +48,14 @@
 }
 
 // TestEngineBackpressure checks that an engine that reports a rate limit, a
-// drain or a backoff gets no more requests than that, while another one serves.
+// drain or a backoff gets no more requests than it allows, and that the other
+// engine serves the rest.
 func TestEngineBackpressure(t *testing.T) {
 	const duration = 4 * time.Second
 	for _, test := range []struct {
 		name    string
 		signals standin.FaultSettings
-		maxRuns int
+		maxRuns int // bound on the requests run within duration
 	}{
 		{"limit", standin.FaultSettings{Limited: true, LimitRate: 2}, 17},
 		{"draining", standin.FaultSettings{Draining: true}, 1},
@@ -67,7 +67,7 @@
 			e := l.Boxes[0].Engine
 			sendRequests(t, l, e, time.Second)
 			e.Faults.Set(test.signals)
-			sendRequests(t, l, e, time.Second/2) // the sidecar reads the signals
+			sendRequests(t, l, e, time.Second/2) // until the sidecar has read the signals
 			ran, succeeded := sendRequests(t, l, e, duration)
 			t.Logf("%d ran, %d succeeded", ran, succeeded)
 			assert.Assert(t, ran <= test.maxRuns, "%d ran", ran)
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestEngineReturnsAfterDraining checks that an engine that has reported a
-// drain gets requests again after it has stopped reporting it.
+// TestEngineReturnsAfterDraining checks that an engine gets requests again once
+// it no longer reports that it is draining.
 func TestEngineReturnsAfterDraining(t *testing.T) {
 	t.Parallel()
 	l := startTwoEngines(t)
--- a/internal/lab/stream_test.go
+++ b/internal/lab/stream_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestMismatchedResponseIsRejected checks that a response of the engine with
-// another request's ID is not forwarded, and that the outcome is unknown.
+// TestMismatchedResponseIsRejected checks that an engine's response with the ID
+// of another request is not forwarded, and that the caller gets outcome unknown.
 func TestMismatchedResponseIsRejected(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
 	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{MismatchedResponses: true})
@@ -163,8 +163,9 @@
 	assert.Assert(t, !bytes.Contains(b, []byte("celeste-draft@v1/")), string(b))
 }
 
-// TestMismatchedEventIsRejected checks that an event of another request in a
-// stream is not forwarded, and that the stream ends with outcome unknown.
+// TestMismatchedEventIsRejected checks that a stream's event with the ID of
+// another request is not forwarded, and that the stream ends with outcome
+// unknown.
 func TestMismatchedEventIsRejected(t *testing.T) {
 	l, ctx := startServing(t, Config{Gateways: 1, Engines: 1})
 	l.Boxes[0].Engine.Faults.Set(standin.FaultSettings{MismatchedEvents: true})
@@ -177,10 +178,10 @@
 	assert.Assert(t, bytes.Contains(b, []byte(`"outcome":"unknown"`)), string(b))
 }
 
-// TestPlannedStopCutsNothing checks that streams in flight are completed when a
-// sidecar and a gateway are stopped, and that the stopping endpoint gets no new
-// requests.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestStopCompletesStreams checks that streams in flight are completed when a
+// sidecar and a gateway are stopped, and that the stopping sidecar's endpoint
+// gets no new requests.
+func TestStopCompletesStreams(t *testing.T) {
 	const tokens, streams = 200, 8
 	l, ctx := startServing(t, Config{Gateways: 2, Engines: 2, TokenTime: 5 * time.Millisecond})
 	type result struct {
--- a/internal/lab/tls_test.go
+++ b/internal/lab/tls_test.go
@@ -67,8 +67,8 @@
 }
 
 // TestTLSAndPeerKey checks that processes with mutual TLS and a shared key serve
-// requests, that a client without a certificate or without the key is rejected,
-// and that a replaced certificate is loaded without a restart.
+// requests and reject a client that lacks the certificate or the key. A replaced
+// certificate is loaded without a restart.
 func TestTLSAndPeerKey(t *testing.T) {
 	a := newTestCA(t)
 	pair := a.issue(t)
--- a/internal/linksim/faults.go
+++ b/internal/linksim/faults.go
@@ -9,8 +9,8 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
-// scheduleFaults schedules crashes of random boxes, evenly spread over T*, and
-// stalls of other boxes' links at random times.
+// scheduleFaults schedules crashes of random boxes, evenly spread over T* (see
+// the package comment), and stalls of other boxes' links at random times.
 func (s *sim) scheduleFaults() {
 	order := s.rng.Perm(s.Boxes)
 	crashes := int(s.CrashShare * float64(s.Boxes))
@@ -70,8 +70,9 @@
 	return times[at].Seconds() / unit.Seconds()
 }
 
-// startPlanned starts the baseline strategies: each box receives its chunks in
-// order from a fixed parent, or from the origin if it has none.
+// startPlanned starts a baseline strategy. Each box receives its chunks in
+// order from a fixed parent; a box without a parent receives them from the
+// origin.
 func (s *sim) startPlanned() {
 	for i, b := range s.boxes {
 		b.nextChunk = make(map[int]int)
@@ -101,8 +102,9 @@
 	}
 }
 
-// handlePlannedEnd records a chunk that arrived under a baseline strategy and
-// starts the transfers that it makes possible.
+// handlePlannedEnd records a chunk that arrived under a baseline strategy. It
+// starts the sender's next transfer to the receiver, and the transfers of this
+// chunk to the receiver's children.
 func (s *sim) handlePlannedEnd(t *chunkTransfer) {
 	b := t.to
 	b.held.Set(uint(t.chunk))
@@ -121,8 +123,8 @@
 	}
 }
 
-// sendNextToChild starts the transfer of a child's next chunk, if b holds it
-// and is not sending to the child already.
+// sendNextToChild starts the transfer of a child's next chunk, if b holds that
+// chunk and is not already sending to the child.
 func (s *sim) sendNextToChild(b *box, child int) {
 	c := b.nextChunk[child]
 	if c >= s.Chunks || !b.held.Test(uint(c)) {
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -28,9 +28,9 @@
 	Boxes   int
 	Chunks  int
 	Regions int
-	Zones   int // of all regions together
-	// Window is the time in which the origin's link carries four copies of
-	// the version, and a box's link two.
+	Zones   int // total over all regions
+	// Window sets the link rates: in this time the origin's link carries four
+	// copies of the version and a box's link carries two.
 	Window time.Duration
 	// OriginRegions is the number of regions that read from the origin.
 	OriginRegions int
@@ -49,8 +49,8 @@
 	Seed         uint64
 	// Strategy is Swarm or one of the baselines.
 	Strategy Strategy
-	// Limits of package transfer: concurrent downloads, upload slots and the
-	// length of the upload queue; 0 means the default.
+	// Limits of package transfer per box: concurrent downloads, concurrent
+	// uploads (slots) and the length of the upload queue. 0 means the default.
 	Downloads, Slots, QueueLength int
 }
 
@@ -76,12 +76,12 @@
 	// chunks, as multiples of T*.
 	P50, P95, Max      float64
 	OriginCopies       float64
-	CrossCopies        float64 // between regions
-	ControlBytesPerBox float64
+	CrossCopies        float64 // transferred between regions
+	ControlBytesPerBox float64 // see controlBytesPerPull
 	Crashes            int
 	CorruptChunks      int
 	UnverifiedPassed   int // not set
-	Unfinished         int // boxes that did not crash and lack chunks
+	Unfinished         int // boxes that neither crashed nor received all chunks
 	MaxOriginTransfers int // concurrent transfers from the origin
 }
 
@@ -103,11 +103,12 @@
 	crashed       bool
 	stalled       bool
 	doneAt        time.Duration
-	done          bool
-	pollScheduled bool
+	done          bool                    // holds all chunks, since doneAt
+	pollScheduled bool                    // a call of startPulls is scheduled
 	queued        map[uint64]*pullRequest // waiting for an upload slot, by ID
-	held          *bitset.BitSet
-	// Only for the baselines: the boxes to send to, and each one's next chunk.
+	held          *bitset.BitSet          // chunks
+	// Only for the baselines: the boxes that this box sends to, and the next
+	// chunk to send to each of them.
 	children  []int
 	nextChunk map[int]int
 }
@@ -193,8 +194,8 @@
 	return time.Duration(max(1/boxRate, 1/originRate, n/(originRate+n*boxRate)) * float64(time.Second))
 }
 
-// Run simulates one transfer until all boxes that have not crashed are done,
-// at most for stopAfter.
+// Run simulates one transfer until all boxes that have not crashed hold all
+// chunks, at most for stopAfter.
 func Run(c Config) Result {
 	s := &sim{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 7)), byName: make(map[string]*box), originTransfers: make(map[*chunkTransfer]bool)}
 	s.epoch = time.Unix(0, 0)
@@ -270,8 +271,8 @@
 
 func (s *sim) time() time.Time { return s.epoch.Add(s.now) }
 
-// startPulls starts pulls of a box until it has none to start, and schedules
-// the next attempt.
+// startPulls starts pulls of a box until package transfer has no further pull
+// for it, and then schedules the next attempt.
 func (s *sim) startPulls(b *box) {
 	for !b.crashed && !b.done {
 		p := b.swarm.Next(s.time())
@@ -351,8 +352,8 @@
 	s.schedule(s.latency(r.from, r.to), func() { s.receiveOffer(r, chunk) })
 }
 
-// receiveOffer handles a response with a chunk: the requesting box accepts it,
-// or drops it if it has got the chunk meanwhile.
+// receiveOffer handles a response with a chunk. The requesting box accepts the
+// chunk, or drops it if it holds or is receiving the chunk from elsewhere.
 func (s *sim) receiveOffer(r *pullRequest, chunk int) {
 	if r.from.crashed || r.to.crashed {
 		s.pullFailed(r.from, r.pull)
@@ -368,7 +369,7 @@
 	s.startTransfer(&chunkTransfer{from: r.to, to: r.from, pull: p, chunk: chunk})
 }
 
-// pullFailed handles a pull of box b whose peer has crashed.
+// pullFailed handles a failed pull of box b from a peer that has crashed.
 func (s *sim) pullFailed(b *box, p transfer.Pull) {
 	if b.crashed {
 		return
@@ -392,8 +393,8 @@
 	s.serve(r)
 }
 
-// startTransfer starts a transfer and updates the rates of those that share a
-// link with it.
+// startTransfer starts a transfer and updates the rates of the transfers that
+// share a link with it.
 func (s *sim) startTransfer(t *chunkTransfer) {
 	t.remaining, t.updated, t.started = 1, s.now, s.now
 	t.corrupt = s.rng.Float64() < s.CorruptShare
@@ -444,9 +445,9 @@
 	return a.chunk < b.chunk
 }
 
-// updateRate accounts for the progress of a transfer at its old rate, computes
-// the new rate and schedules the transfer's end or, if its rate is 0, its stall
-// timeout.
+// updateRate accounts for the progress of a transfer at its old rate and
+// computes the new rate. It schedules the transfer's end, or its stall timeout
+// if the new rate is 0.
 func (s *sim) updateRate(t *chunkTransfer) {
 	t.remaining -= t.rate * (s.now - t.updated).Seconds()
 	t.updated = s.now
@@ -487,8 +488,8 @@
 	return t.to.swarm.StallTimeout()
 }
 
-// endTransfer ends a transfer, complete or not, and updates the rates of those
-// that shared a link with it.
+// endTransfer ends a transfer, complete or not, and updates the rates of the
+// transfers that shared a link with it.
 func (s *sim) endTransfer(t *chunkTransfer, complete bool) {
 	if t.ended {
 		return
--- a/internal/linksim/linksim_test.go
+++ b/internal/linksim/linksim_test.go
@@ -34,8 +34,8 @@
 	return Row{}
 }
 
-// TestTransferBounds checks that the committed table stays within the bounds on
-// time and origin copies.
+// TestTransferBounds checks that the rows of docs/transfer.json stay within the
+// bounds on transfer time and on copies read from the origin.
 func TestTransferBounds(t *testing.T) {
 	all := committedRows(t)
 	assert.Equal(t, len(all), len(Sizes)*len(Cases(1)))
@@ -52,8 +52,8 @@
 	assert.Assert(t, growth < 1.25, "from 64 to 1,024 boxes the time grows %.3f times", growth)
 }
 
-// TestPageAgrees checks that docs/TRANSFER.md contains the table of the
-// committed data.
+// TestPageAgrees checks that docs/TRANSFER.md contains the table generated from
+// docs/transfer.json.
 func TestPageAgrees(t *testing.T) {
 	var want strings.Builder
 	Markdown(&want, committedRows(t))
@@ -62,8 +62,8 @@
 	assert.Assert(t, strings.Contains(string(b), want.String()))
 }
 
-// TestTransferRows checks that the simulation reproduces the committed rows:
-// all those of up to 64 boxes, and two of 410 boxes.
+// TestTransferRows checks that the simulation reproduces the rows of
+// docs/transfer.json: all rows of up to 64 boxes, and two rows of 410 boxes.
 func TestTransferRows(t *testing.T) {
 	all := committedRows(t)
 	cases := append(append(Cases(12), Cases(16)...), Cases(64)...)
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestTransferBoundsOtherSeeds checks the bounds with all faults for seeds
-// other than the table's.
+// TestTransferBoundsOtherSeeds checks the bounds of TestTransferBounds with all
+// faults and with other seeds than docs/transfer.json uses.
 func TestTransferBoundsOtherSeeds(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run("", func(t *testing.T) {
--- a/internal/linksim/table.go
+++ b/internal/linksim/table.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Row is one row of the transfer benchmark.
+// Row is one row of the transfer benchmark: the table of simulated transfers
+// that docs/transfer.json and docs/TRANSFER.md hold.
 type Row struct {
 	Name   string `json:"name"`
 	Boxes  int    `json:"boxes"`
@@ -28,17 +29,17 @@
 	Unfinished   int     `json:"unfinished"` // boxes
 }
 
-// Case is the name and the configuration of a row.
+// Case is a row's name and the configuration that it is simulated with.
 type Case struct {
 	Name   string
 	Config Config
 }
 
-// Parameters of the benchmark; docs/TRANSFER.md states them.
+// Configuration common to all rows of the transfer table (see Row).
 const (
-	tableChunks = 1024
-	tableWindow = 4 * time.Minute
-	tableSeed   = 1
+	tableChunks = 1024            // chunks of the version
+	tableWindow = 4 * time.Minute // Config.Window, which sets the link rates
+	tableSeed   = 1               // of the random numbers
 )
 
 // baseConfig returns the configuration of a swarm of n boxes without faults.
@@ -57,7 +58,7 @@
 	}
 }
 
-// Cases returns the benchmark's cases for n boxes.
+// Cases returns the cases of the transfer table for n boxes.
 func Cases(n int) []Case {
 	with := func(name string, change func(*Config)) Case {
 		c := baseConfig(n)
@@ -80,7 +81,8 @@
 	}
 }
 
-// Sizes are the numbers of boxes of the committed table.
+// Sizes are the numbers of boxes for which the committed transfer table has
+// rows.
 var Sizes = []int{12, 16, 64, 256, 410, 1024}
 
 // RunCase simulates one case.
