--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package demo runs a demonstration in one process, on stand-ins for the
-// platform: an intent and its plan, the transfer of the chunks, the first
-// response, a version change under traffic, the crash of a box during a
-// transfer, and a non-repeatable request that is sent several times. It prints
+// platform. It shows an intent and its plan, the transfer of the chunks, the
+// first response, a version change under traffic, the crash of a box during a
+// transfer, and a non-idempotent request that is sent several times. It prints
 // each step and checks the invariants of package invariant at the end.
 package demo
 
@@ -42,8 +42,8 @@
 	chunkBytes   = 128 << 10
 	originRate   = 12 << 20 // bytes per second
 	boxRate      = 6 << 20  // bytes per second
-	corruptEvery = 60       // chunks
-	callerCount  = 4
+	corruptEvery = 60       // one in this many chunks is corrupted
+	callerCount  = 4        // concurrent callers during the version change
 	stepTimeout  = 40 * time.Second
 )
 
@@ -58,8 +58,8 @@
 }
 
 // Run runs the demo and prints its steps to out. The processes' logs are
-// written to logOutput, unless it is nil. The error matches ErrViolated if an
-// invariant was violated.
+// written to logOutput, or discarded if it is nil. The error matches
+// ErrViolated if an invariant was violated.
 func Run(ctx context.Context, out, logOutput io.Writer) error {
 	d := &demo{out: out, started: time.Now(), fences: make(map[string][]int64)}
 	if err := d.start(logOutput); err != nil {
@@ -151,15 +151,15 @@
 	return p, nil
 }
 
-// awaitPlan polls a plan's progress until it is done; see poll.
+// awaitPlan polls a plan's progress until the plan is done; see poll.
 func (d *demo) awaitPlan(ctx context.Context, p *intent.Plan, onProgress func(*admin.Progress)) (*admin.Progress, error) {
 	fetch := func(ctx context.Context) (*admin.Progress, error) { return d.lab.Admin(0).Progress(ctx, p.ID) }
 	return d.poll(ctx, fetch, onProgress)
 }
 
-// poll fetches and prints progress until it is done. Failed requests are
-// retried, since they may time out on a busy machine. onProgress, unless nil,
-// is called with each result.
+// poll fetches and prints a plan's progress until the plan is done. Failed
+// requests are retried, since they may time out on a busy machine. onProgress,
+// if not nil, is called with each result.
 func (d *demo) poll(ctx context.Context, fetch func(context.Context) (*admin.Progress, error), onProgress func(*admin.Progress)) (*admin.Progress, error) {
 	const interval = 250 * time.Millisecond
 	last := ""
@@ -184,7 +184,8 @@
 	}
 }
 
-// progressLine formats a progress, or the error of a request for it.
+// progressLine formats a progress. If the request for it failed, it formats the
+// error.
 func progressLine(p *admin.Progress, err error) string {
 	if err != nil {
 		return "progress not available: " + err.Error()
@@ -223,7 +224,8 @@
 	return out
 }
 
-// firstResponse sends requests until one is completed.
+// firstResponse sends requests until one has outcome completed, and prints its
+// response.
 func (d *demo) firstResponse(ctx context.Context) error {
 	for {
 		r, err := chat(ctx, d.callerAddresses()[0], lab.WorkspaceKey(workspace), model, "")
@@ -264,8 +266,8 @@
 	return nil
 }
 
-// checkTraffic adds the violations that the callers observed. No request may
-// fail.
+// checkTraffic adds the violations that the callers observed. Each failed
+// request is a violation, too.
 func (d *demo) checkTraffic(t *traffic) {
 	d.violations = append(d.violations, t.violations...)
 	for _, f := range t.failed {
@@ -302,8 +304,8 @@
 	return nil
 }
 
-// sameKey sends a non-repeatable request several times concurrently, through
-// all gateways and with one idempotency key. It must run once.
+// sameKey sends a non-idempotent request several times concurrently, through
+// all gateways and with one idempotency key, and checks that it ran once.
 func (d *demo) sameKey(ctx context.Context) error {
 	key := uuid.Must(uuid.NewV7()).String()
 	var wg sync.WaitGroup
@@ -348,7 +350,7 @@
 	return nil
 }
 
-// plainService calls a plain service.
+// plainService calls a plain service and checks that the outcome is completed.
 func (d *demo) plainService(ctx context.Context) error {
 	r, err := callService(ctx, d.callerAddresses()[0], lab.WorkspaceKey(workspace), lab.ServiceName, `{"page":12}`)
 	if err != nil {
--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -14,7 +14,7 @@
 )
 
 // BoxList is the platform's list of live and leaving boxes. Readers see a
-// change only after Faults.LagMS. The zero value is an empty list.
+// change only after the LagMS of Faults. The zero value is an empty list.
 type BoxList struct {
 	Faults Faults
 
@@ -23,7 +23,7 @@
 	reads   int
 }
 
-// boxSnapshot is the list as set at a time.
+// boxSnapshot is the content of the list from time at on.
 type boxSnapshot struct {
 	at    time.Time
 	boxes []membership.Box
@@ -51,8 +51,8 @@
 	})
 }
 
-// update appends a snapshot with the boxes that f returns for a copy of the
-// latest ones.
+// update calls f with a copy of the latest boxes and makes its result the new
+// list.
 func (l *BoxList) update(f func([]membership.Box) []membership.Box) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,8 +70,8 @@
 	return l.reads
 }
 
-// visible counts a read and returns the latest list that is at least as old
-// as the configured lag.
+// visible counts a read and returns the list as it was the configured lag
+// (LagMS) ago.
 func (l *BoxList) visible() []membership.Box {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -21,18 +21,20 @@
 // and the request (see Token). Use NewEngine.
 type Engine struct {
 	Faults Faults
-	// ChecksFences rejects orders with an older epoch or fence.
+	// ChecksFences makes the engine reject stale orders: those whose epoch is
+	// older than the latest claim, or whose fence (fencing token) is older than
+	// that of an accepted order.
 	ChecksFences bool
 	// MemoryBytes limits the size of the loaded versions; 0 means no limit.
 	MemoryBytes int64
-	// FirstTokenTime is the time until the first token of a response,
-	// TokenTime the time between tokens.
+	// FirstTokenTime is the time until the first token of a response.
+	// TokenTime is the time between tokens.
 	TokenTime, FirstTokenTime time.Duration
-	// Slots is the number of requests that generate concurrently; others
-	// queue by priority.
+	// Slots is the number of requests that generate tokens concurrently.
+	// Further requests queue by priority.
 	Slots int
-	// DiscardChunks discards the bytes of valid staged chunks; reads generate them
-	// again with Content.
+	// DiscardChunks saves memory: the bytes of valid staged chunks are
+	// discarded, and reads generate them again with Content.
 	DiscardChunks bool
 
 	mu          sync.Mutex
@@ -42,10 +44,10 @@
 	loaded      []loadedVersion
 	generations map[string]*generation // by request ID
 	journal     []Run
-	active      int
-	waiting     []*waiter
-	orders      []string
-	fences      []int64 // of the accepted orders, in order
+	active      int       // slots in use
+	waiting     []*waiter // in the order in which they get slots
+	orders      []string  // see Orders
+	fences      []int64   // see Fences
 }
 
 // stagedVersion holds the chunks that were staged for a version.
@@ -54,6 +56,7 @@
 	chunks   map[int][]byte // by index; nil for a valid chunk whose bytes were discarded
 }
 
+// loadedVersion is a version that the engine has loaded.
 type loadedVersion struct {
 	engine.Loaded
 	// whole is true if all chunks were staged with their correct content.
@@ -66,13 +69,14 @@
 	ready    chan struct{} // closed when the slot is granted
 }
 
-// Run is a journal entry: one request that an endpoint ran.
+// Run is an entry of an endpoint's journal: one request that the endpoint ran.
 type Run struct {
 	Request   string `json:"request"`
 	Version   string `json:"version"`
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
-	// Whole is true if the version was loaded with the correct content.
+	// Whole is true if all chunks of the loaded version had their correct
+	// content. It is always true for a plain service.
 	Whole bool `json:"whole"`
 	// Done is true once the response has been generated in full.
 	Done bool `json:"done"`
@@ -94,8 +98,8 @@
 	cancelOnce sync.Once
 }
 
-// resumeTimeout is how long a generation continues without a reader, and how
-// long it can be resumed after its end.
+// resumeTimeout is the time after which a generation without a reader is
+// cancelled, and for which a generation can be resumed after its end.
 const resumeTimeout = 3 * time.Second
 
 // NewEngine returns an empty engine with 64 slots.
@@ -117,7 +121,8 @@
 	return slices.Clone(e.orders)
 }
 
-// Fences returns the fences of the accepted orders, in order.
+// Fences returns the fences (fencing tokens) of the accepted orders, in the
+// order in which they were accepted.
 func (e *Engine) Fences() []int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -303,7 +308,8 @@
 	return true
 }
 
-// removeLoaded unloads a version; the caller holds e.mu.
+// removeLoaded removes a version from the loaded ones, if it is loaded. The
+// caller holds e.mu.
 func (e *Engine) removeLoaded(ref weights.Ref) {
 	e.loaded = slices.DeleteFunc(e.loaded, func(l loadedVersion) bool { return l.Ref == ref })
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -24,12 +24,12 @@
 	Down bool `json:"down"`
 	// DelayMS delays every response, in milliseconds.
 	DelayMS int `json:"slow_ms"`
-	// DropResponses is the number of state-changing calls whose connection is
-	// cut after they have taken effect.
+	// DropResponses is the number of next state-changing calls that take effect
+	// but get no response: the connection is cut.
 	DropResponses int `json:"lose_answers"`
-	// LagMS is the time in milliseconds for which readers do not see a change.
+	// LagMS is the delay in milliseconds after which readers see a change.
 	LagMS int `json:"lag_ms"`
-	// CorruptEvery corrupts every n-th chunk sent; 0 corrupts none.
+	// CorruptEvery corrupts one in this many chunks sent; 0 corrupts none.
 	CorruptEvery int `json:"corrupt_every"`
 	// EndOffset, if positive, hides the log's entries from this offset on.
 	EndOffset int64 `json:"show_offset"`
@@ -38,17 +38,17 @@
 	CutAfterTokens int `json:"die_after_tokens"`
 	// MismatchedResponses sends responses with another request's ID.
 	MismatchedResponses bool `json:"foreign_answers"`
-	// MismatchedEvents replaces the second event of each stream by one of
+	// MismatchedEvents replaces the second event of each stream by an event of
 	// another request.
 	MismatchedEvents bool `json:"foreign_events"`
 	// Limited makes the engine report LimitRate as its rate limit.
 	Limited bool `json:"limited"`
-	// LimitRate is in requests per second.
+	// LimitRate is the reported rate limit in requests per second.
 	LimitRate float64 `json:"limit_rate"`
-	// Draining makes the engine report in each response that it drains.
+	// Draining makes the engine report in each response that it is draining.
 	Draining bool `json:"draining"`
-	// BackoffSeconds, if positive, rejects all requests with 503 and this
-	// Retry-After.
+	// BackoffSeconds, if positive, rejects all requests with status 503 and a
+	// Retry-After header of this many seconds.
 	BackoffSeconds float64 `json:"backoff_seconds"`
 }
 
@@ -74,8 +74,8 @@
 	return f.settings
 }
 
-// beforeCall injects DelayMS and Down. It reports whether the call may
-// proceed; otherwise it has written the response.
+// beforeCall injects the faults DelayMS and Down. It returns false if it has
+// rejected the call and written the response.
 func (f *Faults) beforeCall(w http.ResponseWriter) bool {
 	s := f.Get()
 	if s.DelayMS > 0 {
@@ -88,8 +88,9 @@
 	return true
 }
 
-// writeBackpressure adds the configured backpressure headers. It reports
-// whether the request is accepted; otherwise it has written the response.
+// writeBackpressure adds the headers of the faults Limited, Draining and
+// BackoffSeconds. It returns false if it has rejected the request and written
+// the response.
 func (f *Faults) writeBackpressure(w http.ResponseWriter) bool {
 	s := f.Get()
 	if s.Limited {
@@ -106,8 +107,8 @@
 	return false
 }
 
-// dropResponse reports whether the response of the current call must be
-// dropped, and counts it.
+// dropResponse reports whether to drop the response of the current call. If so,
+// it decrements DropResponses.
 func (f *Faults) dropResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,8 +127,8 @@
 	return f.settings.CorruptEvery > 0 && f.chunksSent%f.settings.CorruptEvery == 0
 }
 
-// takeStreamCut returns the number of tokens after which to cut the current
-// stream, 0 for never, and clears CutAfterTokens.
+// takeStreamCut returns CutAfterTokens for the current stream and clears it, so
+// that only one stream is cut. 0 means that the stream is not cut.
 func (f *Faults) takeStreamCut() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -14,11 +14,12 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// mismatchedID is the request ID sent by MismatchedResponses and
-// MismatchedEvents.
+// mismatchedID is the request ID in the responses and events that the faults
+// MismatchedResponses and MismatchedEvents send.
 const mismatchedID = "foreign-request"
 
-// defaultTokens is the length of a response if max_tokens is not set.
+// defaultTokens is the length of a response in tokens if the request does not
+// set max_tokens.
 const defaultTokens = 16
 
 // Token returns the text of a response's i-th token. It names the version and
@@ -27,6 +28,8 @@
 	return fmt.Sprintf("%s/%s/%d ", version, request, i)
 }
 
+// generateRequest holds the fields of a completion request that the engine
+// uses.
 type generateRequest struct {
 	Stream    bool `json:"stream"`
 	MaxTokens int  `json:"max_tokens"`
@@ -114,7 +117,8 @@
 	return false
 }
 
-// releaseSlot passes the slot to the first waiter, if there is one.
+// releaseSlot passes a slot to the first waiter, or frees the slot if no request
+// is waiting.
 func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,8 +180,8 @@
 // stop cancels the generation; it may be called more than once.
 func (g *generation) stop() { g.cancelOnce.Do(func() { close(g.cancel) }) }
 
-// token waits for token i. It returns false if the generation has ended
-// without it, or when disconnected is closed.
+// token waits for token i and returns it. It returns false if the generation
+// ends before token i, or if disconnected is closed.
 func (g *generation) token(i int, disconnected <-chan struct{}) (token string, ok bool) {
 	for {
 		g.mu.Lock()
@@ -220,9 +224,9 @@
 	}
 }
 
-// respond writes a generation as a stream that starts with token from, or as
-// one JSON body. A generation whose last reader disconnects is cancelled
-// after resumeTimeout, unless it is resumed.
+// respond writes a generation as a stream that starts with token from, or, if
+// stream is false, as one JSON body. After its last reader disconnects, a
+// generation is cancelled unless it is resumed within resumeTimeout.
 func (e *Engine) respond(w http.ResponseWriter, r *http.Request, g *generation, from int, stream bool) {
 	g.addReaders(1)
 	defer func() {
@@ -272,8 +276,8 @@
 	return len(g.tokens) == g.total
 }
 
-// stream writes the tokens from the given one on as server-sent events. It
-// cuts the connection if the generation ends before it is complete.
+// stream writes the tokens of a generation as server-sent events, starting with
+// token from. It cuts the connection if the generation is cancelled.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
@@ -299,7 +303,8 @@
 	fmt.Fprintf(w, "data: [DONE]\n\n")
 }
 
-// choice is a choice of a completion: Delta in a stream, Message otherwise.
+// choice is one choice of a completion. Delta is set in a streamed completion,
+// Message otherwise.
 type choice struct {
 	Index        int      `json:"index"`
 	Delta        *message `json:"delta,omitempty"`
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -15,8 +15,7 @@
 	"github.com/mintlift/mintlift/eventlog"
 )
 
-// appendsPerSecond limits appends over HTTP to a quarter of what the log of
-// the smallest deployment accepts.
+// appendsPerSecond limits the appends over HTTP, as the platform's log does.
 const appendsPerSecond = 100
 
 // Log is the log service: append-only streams with offsets, a bounded rate
@@ -28,13 +27,14 @@
 	Keep int
 
 	mu      sync.Mutex
-	era     int64 // incremented by each rollback
+	era     int64 // incremented by each Rollback
 	streams map[string]*stream
-	limit   *rate.Limiter
+	limit   *rate.Limiter // of appends over HTTP
 	appends int
 	reads   int
 }
 
+// stream is one stream of a Log.
 type stream struct {
 	first   int64 // offset of the oldest retained entry
 	entries []eventlog.Entry
@@ -70,7 +70,7 @@
 	return append([]eventlog.Entry(nil), l.stream(name).entries...)
 }
 
-// stream returns the named stream, which it creates if necessary; the caller
+// stream returns the named stream, and creates it if necessary. The caller
 // holds l.mu.
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
@@ -102,8 +102,8 @@
 	writeJSON(w, http.StatusOK, eventlog.AppendResponse{Offset: offset})
 }
 
-// Add appends a record and returns its offset. It is not subject to the rate
-// limit and the faults.
+// Add appends a record and returns its offset. The rate limit and the faults
+// do not apply to it.
 func (l *Log) Add(name string, data []byte) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,8 +122,8 @@
 }
 
 // Rollback rolls a stream back to its first n retained entries, as if the log
-// had been restored from an older copy. The offsets of the removed entries are
-// reused, in a new era.
+// had been restored from an older copy. Later appends reuse the offsets of the
+// removed entries; the incremented era tells them apart.
 func (l *Log) Rollback(name string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,9 +164,9 @@
 	}
 }
 
-// page counts a read and returns the visible entries from offset from on, at
-// most limit unless it is 0, and a channel that is closed when the stream
-// changes.
+// page counts a read. It returns the visible entries from offset from on, and a
+// channel that is closed when the stream changes. limit is the maximum number
+// of entries; 0 means no limit.
 func (l *Log) page(name string, from int64, limit int) (eventlog.Page, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,8 +13,8 @@
 	"github.com/mintlift/mintlift/engine"
 )
 
-// Service is a plain service. It responds to each call with an Echo and adds
-// it to its journal. The zero value is ready for use.
+// Service is a plain service. It adds each call to its journal and responds
+// with an Echo. The zero value is ready for use.
 type Service struct {
 	Faults Faults
 	// Latency is the duration of each call.
@@ -24,7 +24,8 @@
 	journal []Run
 }
 
-// Echo is the response body of a plain service: what it received.
+// Echo is the response body of a plain service: the ID, the path and the body
+// of the request that it received.
 type Echo struct {
 	Request string `json:"request"`
 	Path    string `json:"path"`
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -48,19 +48,19 @@
 	Faults Faults
 
 	mu           sync.Mutex
-	manifests    map[weights.Ref][]byte
-	parsed       map[weights.Ref]*weights.Manifest
-	originLimit  *rate.Limiter
-	requestLimit *rate.Limiter
-	sent         int64 // bytes of chunks
+	manifests    map[weights.Ref][]byte            // as served
+	parsed       map[weights.Ref]*weights.Manifest // of the versions that have chunks
+	originLimit  *rate.Limiter                     // bytes
+	requestLimit *rate.Limiter                     // requests for manifests
+	sent         int64                             // bytes of chunks
 }
 
 const (
-	storeRequestsPerSecond = 50
-	originBurst            = 256 << 10 // bytes
+	storeRequestsPerSecond = 50        // limit of requests for manifests
+	originBurst            = 256 << 10 // bytes that the origin may send at once
 )
 
-// NewStore returns a store whose origin is limited to bytesPerSecond; 0 means
+// NewStore returns a store whose origin sends at most bytesPerSecond; 0 means
 // no limit.
 func NewStore(bytesPerSecond float64) *Store {
 	limit := rate.Inf
@@ -87,7 +87,8 @@
 	s.parsed[m.Ref] = m
 }
 
-// PublishRaw adds a manifest without validation and without chunks.
+// PublishRaw adds a manifest without validation. The origin has no chunks for
+// it.
 func (s *Store) PublishRaw(ref weights.Ref, manifest []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
