--- a/load/load.go
+++ b/load/load.go
@@ -2,10 +2,10 @@
 
 // Package load is an open-loop load generator for gateways.
 //
-// The start of each request is drawn in advance and latencies are measured
-// from it, so that a slow system neither reduces the load nor hides its queueing
-// delay. Each stream is validated: it must end with [DONE] and
-// have the same request id and version in all events.
+// The start time of each request is drawn in advance, and latencies are measured
+// from it. A slow system therefore neither reduces the load nor hides its
+// queueing delay. Each stream is validated: it must end with [DONE], and all its
+// events must have the same request id and version.
 package load
 
 import (
@@ -26,7 +26,8 @@
 // Mix describes the load: request classes and their arrival rate.
 type Mix struct {
 	Name string `json:"name"`
-	// Rate is the mean number of requests per second, Seconds the duration.
+	// Rate is the mean number of requests per second. Seconds is the duration
+	// of the load.
 	Rate    float64 `json:"rate"`
 	Seconds float64 `json:"seconds"`
 	// Seed makes arrivals and requests reproducible.
@@ -43,11 +44,12 @@
 	Share float64 `json:"share"`
 	// KeyFile is the path of the file with the workspace's key.
 	KeyFile string `json:"key_file"`
-	// Model or Service, not both, is the model or the plain service to call.
+	// Model is the model to call, or Service the plain service. Exactly one of
+	// them must be set.
 	Model   string `json:"model,omitempty"`
 	Service string `json:"service,omitempty"`
-	// Tokens is the requested length of the response, Prefixes the number of
-	// different prompts; 0 counts as 1.
+	// Tokens is the requested length of a model's response. Prefixes is the
+	// number of different prompts. 0 counts as 1 for both.
 	Tokens   int `json:"tokens,omitempty"`
 	Prefixes int `json:"prefixes,omitempty"`
 	// NotRepeatable is the share of requests that carry an idempotency key.
@@ -81,7 +83,8 @@
 // SetKey sets the workspace's key without reading KeyFile.
 func (c *Class) SetKey(key string) { c.key = key }
 
-// Validate returns an errors.NotValid error for the first value out of range.
+// Validate checks the rate, the duration and the classes. It returns an
+// errors.NotValid error for the first invalid value.
 func (m *Mix) Validate() error {
 	if m.Rate <= 0 || m.Seconds <= 0 || len(m.Classes) == 0 {
 		return errors.NotValidf("mix %q: rate %g, seconds %g, %d classes", m.Name, m.Rate, m.Seconds, len(m.Classes))
@@ -101,19 +104,20 @@
 	histogramDigits = 3
 )
 
-// ClassReport summarizes the requests of a class. Times are in milliseconds
-// from the intended start.
+// ClassReport summarizes the requests of a class. Times are in milliseconds and
+// start at the time drawn for the request (see the package comment), except
+// BetweenToken.
 type ClassReport struct {
 	Name     string                  `json:"name"`
 	Sent     int                     `json:"sent"`
 	Outcomes map[outcome.Outcome]int `json:"outcomes"`
-	// Broken counts responses that were truncated, or had events of another
+	// Broken counts responses that were truncated or had an event of another
 	// request or version.
 	Broken       int       `json:"broken"`
 	FirstToken   Quantiles `json:"first_token_ms"`
 	BetweenToken Quantiles `json:"between_tokens_ms"`
 	Total        Quantiles `json:"total_ms"`
-	// Refused is the time until a request was refused as not run.
+	// Refused is the time until the refusal, of requests with outcome not run.
 	Refused Quantiles `json:"refused_ms"`
 }
 
@@ -132,7 +136,7 @@
 	Classes []ClassReport `json:"classes"`
 	// Versions counts completed requests by the version that served them.
 	Versions map[string]int `json:"versions"`
-	// NotRun lists the ids of requests refused as not run.
+	// NotRun lists the ids of the requests with outcome not run.
 	NotRun []string `json:"-"`
 }
 
@@ -170,7 +174,8 @@
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99)}
 }
 
-// add records the result of the request that was due at intended.
+// add records the result of a request. intended is the start time that was drawn
+// for it.
 func (r *recorder) add(result response, intended time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,8 +207,8 @@
 	return out
 }
 
-// Run sends the mix to its targets for its duration, or until ctx is done, and
-// waits for all responses.
+// Run sends the requests of a mix to its targets for the mix's duration, or until
+// ctx is done. It returns after all responses have ended.
 func Run(ctx context.Context, m Mix) (Report, error) {
 	if err := m.Validate(); err != nil {
 		return Report{}, err
@@ -244,8 +249,8 @@
 	return out, nil
 }
 
-// pickClass returns the index of the class at point, from 0 to 1, of the
-// cumulated shares.
+// pickClass returns the index of a class, drawn by the classes' shares. point is
+// a uniform random number from 0 to 1.
 func pickClass(classes []Class, point float64) int {
 	sum := 0.0
 	for _, c := range classes {
--- a/load/send.go
+++ b/load/send.go
@@ -20,8 +20,8 @@
 	"github.com/mintlift/mintlift/peer"
 )
 
-// requestSpec describes a request to send. An empty idempotencyKey means that
-// none is sent.
+// requestSpec describes a request to send. key is the workspace's key. The header
+// Idempotency-Key is left out if idempotencyKey is empty.
 type requestSpec struct {
 	path, key, idempotencyKey string
 	body                      []byte
@@ -45,21 +45,21 @@
 	return spec
 }
 
-// SendKey sends one request of the class with the given idempotency key.
+// SendKey sends one request of the class with the given idempotency key and
+// returns its outcome.
 func (c *Class) SendKey(ctx context.Context, target, key string) outcome.Outcome {
 	spec := c.newRequest(rand.New(rand.NewPCG(1, 1)))
 	spec.idempotencyKey = key
 	return newSender().send(ctx, target, spec).outcome
 }
 
-// response is the result of a request. firstEvent is zero without events; gaps
-// are the times between them. invalid marks a truncated or mismatched response.
+// response is the result of a request.
 type response struct {
 	requestID, version string
 	outcome            outcome.Outcome
-	firstEvent, end    time.Time
-	gaps               []time.Duration
-	invalid            bool
+	firstEvent, end    time.Time       // firstEvent is zero if there was no event
+	gaps               []time.Duration // between consecutive events
+	invalid            bool            // truncated, or with an event of another request or version
 }
 
 // sender sends requests over pooled connections.
@@ -102,15 +102,16 @@
 	return result
 }
 
-// streamEvent is the part of a stream's event that is validated.
+// streamEvent holds the fields of a stream's event that are validated.
 type streamEvent struct {
 	ID    string             `json:"id"`
 	Model string             `json:"model"`
 	Error *peer.RefusalError `json:"error"`
 }
 
-// readStream reads a stream to its end and sets the outcome and the event
-// times. Each event must have the response's request id and version.
+// readStream reads a stream to its end and sets the outcome and the event times.
+// The stream is invalid if an event has another request id or version than the
+// response.
 func (r *response) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	last := time.Time{}
