--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -38,10 +38,10 @@
 	BoxesReplacedPerDay  int     `json:"boxes_replaced_a_day"`
 	BoxesFailedPerDay    int     `json:"boxes_failed_a_day"`
 	Workspaces           int     `json:"workspaces"`
-	PlansInForce         int     `json:"plans_in_force"`
+	PlansInForce         int     `json:"plans_in_force"` // confirmed plans
 	RolloutsPerDay       int     `json:"rollouts_a_day"`
-	WavesPerRollout      int     `json:"waves_a_rollout"`
-	RecordsPerCheckpoint int     `json:"records_a_checkpoint"`
+	WavesPerRollout      int     `json:"waves_a_rollout"`      // steps in which the boxes change
+	RecordsPerCheckpoint int     `json:"records_a_checkpoint"` // log records between two checkpoints
 }
 
 // Bounds are the users' limits on the control plane: CPU, memory and traffic
@@ -91,12 +91,12 @@
 type Simulation struct {
 	Processes            int     `json:"processes"`
 	PeakLogReads         int     `json:"log_reads_a_second_peak"`
-	PeakLogReadsInOutage int     `json:"log_reads_a_second_peak_log_down"`
-	CheckpointsRead      int     `json:"checkpoints_read"`
+	PeakLogReadsInOutage int     `json:"log_reads_a_second_peak_log_down"` // while the log is down
+	CheckpointsRead      int     `json:"checkpoints_read"`                 // from the log, at the start
 	IdleLogReads         float64 `json:"log_reads_a_second_idle"`
-	InForceNormal        float64 `json:"in_force_seconds_calm"`
+	InForceNormal        float64 `json:"in_force_seconds_calm"` // without faults
 	InForceGatewayFrozen float64 `json:"in_force_seconds_gateway_frozen"`
-	InForceAfterOutage   float64 `json:"in_force_seconds_after_outage"`
+	InForceAfterOutage   float64 `json:"in_force_seconds_after_outage"` // of the log
 }
 
 // Parse decodes the content of docs/capacity.json. Data without measurements
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// publish adds a box to the box list. The initial boxes are published together
-// when all of them have started.
+// publish adds a box to the box list. Before the lab has started, it only collects
+// the boxes, which are then published together.
 func (l *Lab) publish(b membership.Box) {
 	if l.started {
 		l.BoxList.Put(b)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -94,7 +94,8 @@
 	RequestTimeout time.Duration `json:"request_timeout"`
 	// DrainTimeout is the timeout of a graceful shutdown.
 	DrainTimeout time.Duration `json:"drain_timeout"`
-	// Weighing is what plans optimize if their intent does not set it.
+	// Weighing selects which of two costs plans keep low. An intent can
+	// override it.
 	Weighing intent.Weighing `json:"weighing"`
 	Links    Links           `json:"links"`
 	// PlanTTL is the time within which a proposed plan can be confirmed.
