--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -111,6 +111,7 @@
 	return l, nil
 }
 
+// start starts the stand-ins, the gateways and the boxes.
 func (l *Lab) start() error {
 	dir, err := os.MkdirTemp("", "mintlift-lab-")
 	if err != nil {
@@ -253,7 +254,8 @@
 	return admin.NewClient(l.Gateways[gateway].AdminAddress(), OperatorKey, call.Options{})
 }
 
-// AddWorkspace adds a workspace with the key WorkspaceKey(name).
+// AddWorkspace adds a workspace with the key WorkspaceKey(name). floor is the
+// number of boxes that must serve the workspace at any time of a rollout.
 func (l *Lab) AddWorkspace(ctx context.Context, name string, priority, floor int) error {
 	key := WorkspaceKey(name)
 	_, err := l.Admin(0).SetWorkspace(ctx, name, admin.WorkspaceChange{Key: &key, Priority: &priority, Floor: &floor})
--- a/internal/linksim/faults.go
+++ b/internal/linksim/faults.go
@@ -45,6 +45,8 @@
 	clear(b.queued)
 }
 
+// sortedIDs returns the keys of m in ascending order, so that runs are
+// reproducible.
 func sortedIDs(m map[uint64]*pullRequest) []uint64 {
 	var out []uint64
 	for id := range m {
@@ -54,6 +56,7 @@
 	return out
 }
 
+// setStalled starts or ends a stall of a box's link.
 func (s *sim) setStalled(b *box, stalled bool) {
 	b.stalled = stalled
 	s.updateRates(b)
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -80,7 +80,7 @@
 	ControlBytesPerBox float64 // see controlBytesPerPull
 	Crashes            int
 	CorruptChunks      int
-	UnverifiedPassed   int // not set
+	UnverifiedPassed   int // always 0: no run sets it
 	Unfinished         int // boxes that neither crashed nor received all chunks
 	MaxOriginTransfers int // concurrent transfers from the origin
 }
@@ -118,7 +118,7 @@
 	from    *box // receives the chunk
 	to      *box // sends it
 	pull    transfer.Pull
-	id      uint64
+	id      uint64         // of the request in the peer's upload queue
 	exclude *bitset.BitSet // chunks that from holds or is receiving
 }
 
@@ -294,6 +294,8 @@
 	}
 }
 
+// pullFromOrigin starts the transfer of a chunk from the origin to a box, after one
+// round trip.
 func (s *sim) pullFromOrigin(b *box, p transfer.Pull) {
 	s.schedule(2*s.latency(nil, b), func() {
 		s.startTransfer(&chunkTransfer{to: b, pull: p, chunk: p.Chunk})
@@ -438,6 +440,7 @@
 	return out
 }
 
+// less orders transfers by receiver, then by chunk.
 func less(a, b *chunkTransfer) bool {
 	if a.to.id != b.to.id {
 		return a.to.id < b.to.id
@@ -559,11 +562,13 @@
 	s.startPulls(b)
 }
 
+// finish records that a box has all chunks.
 func (s *sim) finish(b *box) {
 	b.done, b.doneAt = true, s.now
 	s.finished++
 }
 
+// result computes the measurements at the end of a run.
 func (s *sim) result() Result {
 	var times []time.Duration
 	for _, b := range s.boxes {
--- a/internal/linksim/linksim_test.go
+++ b/internal/linksim/linksim_test.go
@@ -12,6 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// committedFile is the transfer table in JSON: an array of Row.
 const committedFile = "../../docs/transfer.json"
 
 func committedRows(t *testing.T) []Row {
--- a/load/load.go
+++ b/load/load.go
@@ -165,10 +165,12 @@
 	}
 }
 
+// recordDuration adds a duration to a histogram of microseconds.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(d.Microseconds(), histogramMin)) // fails above histogramMax only; such values are dropped
 }
 
+// quantiles returns the quantiles of a histogram of microseconds.
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99)}
@@ -200,6 +202,7 @@
 	}
 }
 
+// result returns the report of the class. No requests may be in flight.
 func (r *recorder) result() ClassReport {
 	out := r.report
 	out.FirstToken, out.BetweenToken = quantiles(r.firstToken), quantiles(r.betweenTokens)
--- a/process/process.go
+++ b/process/process.go
@@ -30,9 +30,11 @@
 
 // Config configures a Process.
 type Config struct {
-	Node        settings.Node
-	Platform    settings.Platform
-	PeerTLS     settings.TLS
+	Node     settings.Node
+	Platform settings.Platform
+	PeerTLS  settings.TLS
+	// PeerKeyFile is the path of the key that mintlift's processes share; see
+	// settings.Gateway.
 	PeerKeyFile string
 	Log         logr.Logger
 	// Direct makes the process read the event log and the box list from the
