--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -255,7 +255,7 @@
 }
 
 // AddWorkspace adds a workspace with the key WorkspaceKey(name). floor is the
-// number of boxes that must serve the workspace at any time of a rollout.
+// minimum number of boxes that must keep serving the workspace during a rollout.
 func (l *Lab) AddWorkspace(ctx context.Context, name string, priority, floor int) error {
 	key := WorkspaceKey(name)
 	_, err := l.Admin(0).SetWorkspace(ctx, name, admin.WorkspaceChange{Key: &key, Priority: &priority, Floor: &floor})
