--- a/backpressure/decode.go
+++ b/backpressure/decode.go
@@ -11,21 +11,27 @@
 )
 
 // Fields holds the names of the response headers in which an endpoint sends its
-// signals. Limit is a decimal number of requests per second, Draining is set by
-// drainingValue, and RetryAfter is a decimal number of seconds that counts only in a
-// response with status 503.
+// signals.
 type Fields struct {
-	Limit, Draining, RetryAfter string
+	// Limit names the header with the rate limit, a decimal number of requests per
+	// second.
+	Limit string
+	// Draining names the header that has the value drainingValue if the endpoint is
+	// draining.
+	Draining string
+	// RetryAfter names the header with the backoff, a decimal number of seconds. It is
+	// ignored unless the response has status 503.
+	RetryAfter string
 }
 
 const (
 	drainingValue = "1"
-	// maxInvalidValue is the number of bytes kept of an invalid value.
+	// maxInvalidValue bounds the bytes of an invalid value that are kept for logging.
 	maxInvalidValue = 40
 )
 
-// Decode returns the signal in a response. If a header is repeated, its strictest
-// valid value counts.
+// Decode returns the signal in a response. If a header is repeated, the strictest of
+// its valid values applies: the lowest limit and the longest backoff.
 func (f Fields) Decode(status int, h http.Header) Signal {
 	var signal Signal
 	invalid := func(name, value string) {
@@ -73,7 +79,8 @@
 	return v, err == nil
 }
 
-// secondsToDuration converts seconds to a duration, and saturates at the maximum.
+// secondsToDuration converts seconds to a duration. Values that are too large give the
+// longest duration.
 func secondsToDuration(s float64) time.Duration {
 	if s >= time.Duration(math.MaxInt64).Seconds() {
 		return math.MaxInt64
--- a/backpressure/quota.go
+++ b/backpressure/quota.go
@@ -8,9 +8,9 @@
 // permits. All gateways send their requests for an endpoint to the same process, which
 // need not be the sidecar of that endpoint.
 //
-// In any window of 4 s the gateways send at most the permits granted in the window, in
-// the grantTTL before it and in the time that a request waits for a connection: rate *
-// 5.4 s plus one bucket.
+// Permits are granted at the rate of the limit, plus a burst of at most the capacity of
+// a bucket. A permit may be used up to grantTTL later, and its request may then wait
+// for a connection.
 type Quotas struct {
 	table   *Table
 	buckets map[*State]*bucket
@@ -22,7 +22,7 @@
 	updatedAt time.Time
 }
 
-// The capacity of a bucket is minBucket permits plus its rate times bucketSeconds.
+// The capacity of a bucket, in permits, is minBucket plus bucketSeconds times the rate.
 const (
 	minBucket     = 2
 	bucketSeconds = 0.25
@@ -33,8 +33,9 @@
 	return &Quotas{table: NewTable(), buckets: make(map[*State]*bucket)}
 }
 
-// Allocate merges the record of a permit request and grants permits. The result changed
-// reports that the grant must be sent to other gateways as well.
+// Allocate merges the record of a permit request and grants permits. changed reports
+// that the record is new to the allocator, so that the caller must send the grant's
+// record to the other gateways as well.
 func (q *Quotas) Allocate(r PermitRequest, now time.Time) (g Grant, changed bool) {
 	changed = len(q.table.Merge(r.Record, now)) > 0
 	s := q.table.State(r.ID, r.StartedMS)
@@ -49,7 +50,8 @@
 // Records returns the latest records of endpoints.
 func (q *Quotas) Records(now time.Time) []Record { return q.table.Records(now) }
 
-// refill returns the bucket of an endpoint with its tokens up to now.
+// refill adds the tokens earned since the last call to an endpoint's bucket, and
+// returns the bucket.
 func (q *Quotas) refill(s *State, now time.Time) *bucket {
 	b := q.buckets[s]
 	if b == nil {
@@ -62,8 +64,8 @@
 	return b
 }
 
-// take takes up to want permits. If there are fewer, afterMS is the time until the
-// next, in milliseconds.
+// take takes up to want permits from the bucket. If it has fewer, afterMS is the time
+// until the next permit, in milliseconds.
 func (b *bucket) take(want int, rate float64) (permits int, afterMS int64) {
 	permits = min(want, int(b.tokens))
 	b.tokens -= float64(permits)
@@ -74,8 +76,9 @@
 	return permits, afterMS
 }
 
-// evict evicts endpoints from the table, those without a signal within recordWindow as
-// unlisted, and drops the buckets of evicted endpoints.
+// evict calls Table.Evict, and removes the buckets of evicted endpoints. The allocator
+// has no endpoint list: it treats an endpoint as listed if its last signal is newer
+// than recordWindow.
 func (q *Quotas) evict(now time.Time) {
 	q.table.Evict(func(id string) bool { return now.Sub(q.table.states[id].signalAt) < recordWindow }, now)
 	for s := range q.buckets {
--- a/backpressure/quota_test.go
+++ b/backpressure/quota_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bounds on a limit: in any window at most factor times what it allows plus slack
-// requests, and the share of it that must be used.
+// Requirements on how a limit is kept. In any window at most factor times the limit
+// plus slack requests are sent, and on average at least minUsage of the limit is used.
 const (
 	window   = 4 * time.Second
 	factor   = 1.5
@@ -28,10 +28,10 @@
 const (
 	// byPermits has one sidecar grant permits.
 	byPermits strategy = iota
-	// equalShares has each gateway use an equal share, in slots of its own.
+	// equalShares divides the limit equally; each gateway uses its share in slots.
 	equalShares
-	// sharesByDemand has each gateway use its share of the demand, which the sidecar
-	// sends with its load reports.
+	// sharesByDemand divides the limit in proportion to the gateways' demand, as
+	// reported at intervals.
 	sharesByDemand
 )
 
@@ -39,24 +39,26 @@
 	return [...]string{"permits dealt out", "equal parts", "parts by demand"}[s]
 }
 
-// simulation is a run of gateways that send to one endpoint with a limit, which ends
-// after a while.
+// simulation describes a run in which gateways send requests to one endpoint with a
+// limit. The limit ends at limitEnd.
 type simulation struct {
 	strategy strategy
 	gateways int
 	rate     float64
-	// busy gateways have demand, all alike, of so many requests per second together.
+	// busy is the number of gateways with demand. They have equal demand, in total
+	// demand requests per second.
 	busy   int
 	demand float64
-	// cutOff is the fraction of gateways that get nothing from the sidecar.
+	// cutOff is the fraction of gateways that cannot reach the sidecar.
 	cutOff float64
-	// stopped has a gateway stop, and suspended has it pause, both at disturbAt.
+	// stopped makes the first gateway stop at disturbAt; suspended makes it pause then
+	// for the time suspension.
 	stopped, suspended bool
 }
 
 const (
 	step = 5 * time.Millisecond
-	// settleTime is the time from which the limit must hold.
+	// settleTime is the time after the start from which the limit must be kept.
 	settleTime = 3 * time.Second
 	// limitEnd is when the endpoint stops sending a limit.
 	limitEnd = 64 * time.Second
@@ -64,11 +66,12 @@
 	length = 100 * time.Second
 	// maxWait is how long a request waits for a permit.
 	maxWait = 100 * time.Millisecond
-	// disturbAt is when a gateway stops or is suspended, and suspension how long.
+	// disturbAt is when a gateway stops or is suspended, and suspension is how long it
+	// is suspended.
 	disturbAt  = 20 * time.Second
 	suspension = 5 * time.Second
-	// graceTime is how long after its first response with a limit the requests of a
-	// gateway start to count against the limit.
+	// graceTime is how long a gateway may exceed the limit after its first response
+	// with the limit.
 	graceTime = 500 * time.Millisecond
 	// reportInterval is the time between updates of the shares by demand.
 	reportInterval = 300 * time.Millisecond
@@ -81,28 +84,30 @@
 	// waiting holds the arrival times of queued requests.
 	waiting []time.Time
 	cutOff  bool
-	// grant, records and responses are delivered in the next step. A response is the
-	// time at which its request was sent.
+	// grant, records and responses are delivered in the next step. responses holds the
+	// times at which the requests were sent.
 	grant     *Grant
 	records   []Record
 	responses []time.Time
-	// share is this gateway's share of the demand, and recent its decaying number of
-	// requests.
+	// share is this gateway's share of the demand, and recent is its decaying number
+	// of requests. slot is when it may send again. Only sharesByDemand uses them.
 	share, recent float64
 	slot          time.Time
-	// limitedAt is when a response first had the limit.
+	// limitedAt is when the first response with the limit was received.
 	limitedAt time.Time
 }
 
 // outcome is the outcome of a simulation.
 type outcome struct {
-	// sent holds the times of all requests, and counted those that gateways sent at
-	// least graceTime after their own first response with the limit.
+	// sent holds the send times of all requests. counted holds those that must keep
+	// the limit, since their gateways have had it for graceTime.
 	sent, counted []time.Duration
-	// known is the time from the first signal until all busy gateways have the limit,
-	// and ended the time from the end of the limit until none has it; negative if
-	// never.
-	known, ended time.Duration
+	// known is the time from the start until all busy gateways have the limit; negative
+	// if this never happens.
+	known time.Duration
+	// ended is the time from limitEnd until no gateway has the limit; negative if this
+	// never happens.
+	ended time.Duration
 }
 
 // run runs the simulation.
@@ -168,7 +173,8 @@
 	g.records, g.grant, g.responses = nil, nil, nil
 }
 
-// admit reports whether a gateway may send a request now, and counts it.
+// admit reports whether a gateway may send a request now, and if so uses its permit or
+// slot.
 func (sim simulation) admit(g *gateway, now time.Time) bool {
 	switch {
 	case !g.state.Limited():
@@ -187,8 +193,8 @@
 	}
 }
 
-// requestPermits sends the permit request of a gateway, and the grant and records that
-// result.
+// requestPermits sends the permit request of a gateway to the allocator. It queues the
+// grant for the gateway, and a changed record for the other gateways.
 func (sim simulation) requestPermits(g *gateway, all []*gateway, quotas *Quotas, now time.Time) {
 	for range g.waiting {
 		g.state.AddDemand()
@@ -241,8 +247,8 @@
 	}
 }
 
-// evaluate returns the most requests in a window, and the share of the limit that was
-// used, both from settleTime to limitEnd.
+// evaluate returns the highest number of counted requests in any window, and the share
+// of the limit that was used. Both refer to the time from settleTime to limitEnd.
 func (sim simulation) evaluate(o outcome) (most int, used float64) {
 	outside := func(at time.Duration) bool { return at < settleTime || at >= limitEnd }
 	sent := slices.DeleteFunc(slices.Clone(o.sent), outside)
@@ -260,12 +266,11 @@
 	return most, float64(len(sent)) / (sim.rate * (limitEnd - settleTime).Seconds())
 }
 
-// allowed returns the most requests that a window may have.
+// allowed returns the highest number of requests allowed in a window.
 func (sim simulation) allowed() int { return int(factor*sim.rate*window.Seconds()) + slack }
 
-// With permits, the limit holds and is used, and its start and end propagate in time,
-// for any number of gateways and distribution of demand, also if a gateway stops or is
-// suspended.
+// With permits, the gateways keep and use the limit, and notice its start and end in
+// time, also if one of them stops or is suspended.
 func TestLimitIsKeptAndUsed(t *testing.T) {
 	for _, sim := range simulations(byPermits) {
 		t.Run(sim.String(), func(t *testing.T) {
@@ -292,7 +297,7 @@
 	return fmt.Sprintf("%d gateways, limit %g, %s", sim.gateways, sim.rate, scenario)
 }
 
-// simulations returns the simulations in which the strategies are compared.
+// simulations returns the simulations of a strategy, in the same order for each.
 func simulations(s strategy) (out []simulation) {
 	for _, gateways := range []int{2, 6, 53} {
 		for _, rate := range []float64{0, 0.4, 2, 20} {
@@ -307,9 +312,9 @@
 	return out
 }
 
-// Each other strategy breaks the limit, or uses no more of it than permits do. With -v
-// it prints a table of the results.
-func TestWaysOfSharing(t *testing.T) {
+// Permits must not be worse than the other strategies: each of those either exceeds the
+// limit or uses no more of it. With -v, the test prints a table of the results.
+func TestPermitsCompareWithOtherStrategies(t *testing.T) {
 	const tolerance = 0.05
 	t.Logf("%-17s %-42s %s", "", "", "at most in 4 s/allowed, used, limit known after, end known after")
 	for n, sim := range simulations(byPermits) {
@@ -341,8 +346,8 @@
 	return fmt.Sprintf("%5.2f s", d.Seconds())
 }
 
-// Gateways that cannot reach the sidecar use their own slots, and the limit still
-// holds, whether all or some of them are cut off.
+// The limit is kept while some or all gateways cannot reach the sidecar and use their
+// own slots.
 func TestLimitIsKeptWithoutTheSidecar(t *testing.T) {
 	for _, gateways := range []int{2, 6, 53} {
 		for _, rate := range []float64{0, 0.4, 2, 20} {
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -17,19 +17,20 @@
 	Draining  bool    `json:"l,omitempty"`
 	Limited   bool    `json:"m,omitempty"`
 	Rate      float64 `json:"r,omitempty"`
-	// LimitAgeMS is the time since the limit or its end was last reported, in
-	// milliseconds; negative if neither was.
+	// LimitAgeMS is the time, in milliseconds, since an endpoint's response or load
+	// report last set, confirmed or ended the limit; negative if there was none.
 	LimitAgeMS int64 `json:"a"`
 }
 
 const (
-	// mergeMargin is by how much a looser limit from another process must be newer
-	// than the limit in force. Network delay makes a record seem newer than it is.
+	// mergeMargin applies to a looser limit from another process: it replaces the
+	// limit in force only if it is newer by more than mergeMargin. Network delay makes
+	// a record seem newer than it is.
 	mergeMargin = 50 * time.Millisecond
-	// maxRecords bounds the records of one message, about 60 bytes each.
+	// maxRecords bounds the records of one message, which have about 60 bytes each.
 	maxRecords = 4
-	// recordWindow is how long after the last signal of an endpoint its record is sent
-	// without a request.
+	// recordWindow is how long after the last signal of an endpoint Table.Records
+	// includes its record.
 	recordWindow = 10 * time.Second
 )
 
@@ -42,7 +43,8 @@
 	return r
 }
 
-// Merge merges a record of another process and returns the changes.
+// Merge merges a record of another process and returns the changes. A record of an
+// earlier incarnation of the endpoint is ignored.
 func (t *Table) Merge(r Record, now time.Time) []Change {
 	s := t.State(r.ID, r.StartedMS)
 	if s.startedMS > r.StartedMS && r.StartedMS != 0 {
--- a/backpressure/signal.go
+++ b/backpressure/signal.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package backpressure tracks the signals that endpoints send in their responses: a
-// rate limit, that they are draining, and a backoff. It allocates the rate limit of an
-// endpoint among the gateways.
+// rate limit, draining, and a backoff. It allocates the rate limit of an endpoint among
+// the gateways.
 //
 // It does no I/O, takes the current time as an argument, and is not safe for
 // concurrent use.
@@ -19,19 +19,19 @@
 	Limit Limit
 	// Draining reports that the endpoint is shutting down and accepts no new requests.
 	Draining bool
-	// Backoff is how long the gateway that got the response must send no requests to
-	// the endpoint; 0 is none.
+	// Backoff is how long the gateway that received the response must send no requests
+	// to the endpoint; 0 if the endpoint requests no backoff.
 	Backoff time.Duration
-	// Invalid holds the headers whose values cannot be parsed, as NAME: VALUE. They
-	// change nothing in the state of the endpoint.
+	// Invalid holds the headers whose values cannot be parsed, as NAME: VALUE. They do
+	// not change the state of the endpoint.
 	Invalid []string
 }
 
-// Limit is the rate limit of an endpoint, for all gateways together. The zero Limit is
-// no limit.
+// Limit is the rate limit of an endpoint, for all gateways together. The zero value
+// means that there is no limit.
 type Limit struct {
-	// Unchanged reports that the response has no valid value: the previous limit
-	// applies.
+	// Unchanged reports that the response contains only invalid values, so that the
+	// previous limit remains in force.
 	Unchanged bool
 	// Set reports that there is a limit.
 	Set bool
@@ -42,7 +42,7 @@
 // Limited returns a limit of rate requests per second.
 func Limited(rate float64) Limit { return Limit{Set: true, Rate: rate} }
 
-// tighter reports whether l allows less than other.
+// tighter reports whether l allows fewer requests per second than other.
 func (l Limit) tighter(other Limit) bool { return l.rate() < other.rate() }
 
 // rate returns the limit in requests per second, or infinity if there is none.
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Table holds the signals of endpoints, by incarnation: a new incarnation starts
-// without signals. The state is kept while an endpoint is temporarily missing from the
-// endpoint list.
+// Table holds the signals of endpoints. Signals belong to one incarnation of an
+// endpoint, which is one run of its process; a new incarnation starts without signals.
+// The state is kept while an endpoint is temporarily missing from the endpoint list.
 type Table struct {
-	states map[string]*State
+	states map[string]*State // by endpoint ID
 	// gateways is the number of gateways that share a limit.
 	gateways int
-	// anySignal reports that signals of an endpoint may apply. Usually none do, and
-	// callers need not check each endpoint.
+	// anySignal reports that a signal of at least one endpoint may be in force. While
+	// it is false, callers need not check each endpoint.
 	anySignal bool
 }
 
@@ -26,7 +26,7 @@
 // SetGateways sets the number of gateways that share limits.
 func (t *Table) SetGateways(gateways int) { t.gateways = max(gateways, 1) }
 
-// NoSignals reports that no signal of any endpoint applies.
+// NoSignals reports whether no signal of any endpoint is in force.
 func (t *Table) NoSignals() bool { return !t.anySignal }
 
 // State holds the signals of one incarnation of an endpoint.
@@ -35,32 +35,34 @@
 	id    string
 	// startedMS is when the incarnation started, in Unix milliseconds; 0 if unknown.
 	startedMS int64
-	// signalAt is when the last signal was received, and unlistedSince when the
-	// endpoint was first found missing from the endpoint list, or zero.
-	signalAt      time.Time
+	// signalAt is when the last signal was received.
+	signalAt time.Time
+	// unlistedSince is when the endpoint was first found missing from the endpoint
+	// list; zero while it is listed.
 	unlistedSince time.Time
 	draining      bool
 	backoffUntil  time.Time
-	// recovering reports that no response since the backoff has shown that the
-	// endpoint accepts requests again, and probedAt when a request was last sent to
-	// find out.
+	// recovering reports that the endpoint has requested a backoff and has not accepted
+	// a request since. probedAt is when a request was last sent to it in this state.
 	recovering bool
 	probedAt   time.Time
 	limit      Limit
-	// limitAt is when the limit or its end was last reported.
+	// limitAt is when the endpoint last reported the limit, or that there is none.
 	limitAt time.Time
-	// limitInReport reports that the last load report had a limit.
+	// limitInReport reports that the last load report contained a limit.
 	limitInReport bool
 	permits       permits
-	// notify reports that the limit or draining must be sent to other gateways.
+	// notify reports that a new limit, its end or draining must be sent to other
+	// gateways.
 	notify bool
 	// invalidSeen holds the headers of which an invalid value has been reported.
 	invalidSeen map[string]bool
 }
 
-// State returns the state of an incarnation of an endpoint, by endpoint ID and start
-// time in Unix milliseconds; 0 is unknown. A later start time replaces the state by an
-// empty one.
+// State returns the state of an endpoint's incarnation, and adds it if there is none.
+// startedMS is the start time of the incarnation in Unix milliseconds, or 0 if unknown.
+// If it is later than that of the stored state, an empty state replaces the stored one.
+// If the stored state has no start time yet, it gets startedMS and keeps its signals.
 func (t *Table) State(id string, startedMS int64) *State {
 	s := t.states[id]
 	if s != nil && (startedMS <= s.startedMS || s.startedMS == 0) {
@@ -85,9 +87,9 @@
 	Kind Kind
 	// Rate is the new limit in requests per second, for LimitSet.
 	Rate float64
-	// Backoff is the backoff from now on, for BackoffRequested.
+	// Backoff is the remaining time of the backoff, for BackoffRequested.
 	Backoff time.Duration
-	// Value is the header and value, for ValueInvalid.
+	// Value is the header as NAME: VALUE, for ValueInvalid.
 	Value string
 }
 
@@ -112,15 +114,17 @@
 	// maxBackoff bounds the backoff of one response, so that a wrong value does not
 	// exclude an endpoint for the rest of its incarnation.
 	maxBackoff = 10 * time.Minute
-	// minBackoffChange is the least extension of a backoff that is a Change.
+	// minBackoffChange is the least extension of a current backoff that Observe returns
+	// as a Change.
 	minBackoffChange = time.Second
-	// probeInterval is the time between requests to an endpoint after its backoff
-	// until it accepts one. Sent all at once, all would be rejected again.
+	// probeInterval is the time between requests to an endpoint after the end of its
+	// backoff, until it accepts one. This keeps waiting requests from reaching it all
+	// at once.
 	probeInterval = time.Second
 )
 
-// Observe applies the signal of a response to a request sent at sent, and returns the
-// changes.
+// Observe applies the signal of a response and returns the changes. sent is when the
+// request was sent.
 func (s *State) Observe(signal Signal, sent, now time.Time) []Change {
 	var out []Change
 	if signal.Draining {
@@ -143,9 +147,9 @@
 	return out
 }
 
-// MarkDraining marks the endpoint as draining, and other gateways to be notified.
-// Draining lasts until the end of the incarnation, since entries of the endpoint list
-// may be older than the signal.
+// MarkDraining marks the endpoint as draining until the end of its incarnation, and
+// schedules a notification of the other gateways. An entry of the endpoint list does
+// not end the draining, since it may be older than the signal.
 func (s *State) MarkDraining() []Change {
 	if s.draining {
 		return nil
@@ -154,8 +158,8 @@
 	return []Change{{Kind: DrainingStarted}}
 }
 
-// SetListedDraining marks the endpoint as draining from the endpoint list, which all
-// gateways read: no other gateway is notified.
+// SetListedDraining marks the endpoint as draining because of its list entry or load
+// report. It notifies no other gateway, since all gateways receive those.
 func (s *State) SetListedDraining() { s.draining, s.table.anySignal = true, true }
 
 // ObserveReport applies the signal in a load report of the endpoint's sidecar. An
@@ -188,9 +192,9 @@
 	return []Change{{Kind: BackoffRequested, Backoff: backoff}}
 }
 
-// observeLimit applies the limit of a response, or that it has none. Responses arrive
-// in any order: a looser limit counts only if its request was sent after the limit in
-// force was last reported.
+// observeLimit applies the limit of a response; the zero Limit if the response has
+// none. A looser limit is ignored unless its request was sent after the limit in force
+// was last reported, since responses may arrive out of order.
 func (s *State) observeLimit(l Limit, sent, now time.Time) []Change {
 	if l == s.limit {
 		s.limitAt = now
@@ -203,7 +207,8 @@
 	return s.setLimit(l, now)
 }
 
-// setLimit sets the limit as reported at a time.
+// setLimit sets the limit that the endpoint reported at the time at, and returns the
+// change, if any.
 func (s *State) setLimit(l Limit, at time.Time) []Change {
 	changed := l != s.limit
 	s.limit, s.limitAt = l, at
@@ -219,14 +224,16 @@
 	}
 }
 
-// BackingOff reports whether a backoff for this gateway is in force.
+// BackingOff reports whether the endpoint's backoff has not ended yet.
 func (s *State) BackingOff(now time.Time) bool { return now.Before(s.backoffUntil) }
 
-// Closed reports whether a request must not be sent because of a backoff: it is in
-// force, or another request probes whether it has ended.
+// Closed reports whether a backoff forbids sending a request now. This is the case
+// during the backoff, and after it for probeInterval after each probe request, until
+// the endpoint accepts one.
 func (s *State) Closed(now time.Time) bool { return s.backoffEnd(now).After(now) }
 
-// backoffEnd returns the earliest time at which backoffs allow a request, or now.
+// backoffEnd returns the earliest time at which a backoff and its probe requests allow
+// another request; now if they allow it at once.
 func (s *State) backoffEnd(now time.Time) time.Time {
 	switch {
 	case s.BackingOff(now):
@@ -245,8 +252,8 @@
 // valid only if Limited.
 func (s *State) Rate() float64 { return s.limit.Rate }
 
-// AvailableAt returns the earliest time at which this gateway may send a request to the
-// endpoint, or now. It ignores draining.
+// AvailableAt returns the earliest time at which the endpoint's backoff and limit allow
+// this gateway to send a request; now if they allow it at once. It ignores draining.
 func (s *State) AvailableAt(now time.Time) time.Time {
 	availableAt := s.backoffEnd(now)
 	if s.limit.Set {
@@ -255,7 +262,8 @@
 	return availableAt
 }
 
-// Take records that a request is sent to the endpoint, and consumes a permit.
+// Take records that a request is sent to the endpoint. If there is a limit, it consumes
+// a permit or the gateway's slot.
 func (s *State) Take(now time.Time) {
 	if s.recovering {
 		s.probedAt = now
@@ -286,8 +294,8 @@
 	return PermitRequest{Record: s.record(now), Want: want}, true
 }
 
-// SetNoAllocator records that there is no permit allocator. Requests are then sent in
-// slots until the next grant.
+// SetNoAllocator records that there is no permit allocator for the endpoint. Until the
+// next grant, the gateway uses its own share of the limit.
 func (s *State) SetNoAllocator(now time.Time) {
 	s.permits.unansweredSince, s.permits.noAllocator = now.Add(-allocatorTimeout), true
 }
@@ -302,20 +310,23 @@
 }
 
 const (
-	// unlistedTTL is how long the state of an endpoint is kept that is not on the
-	// endpoint list. Entries are missing for less within one incarnation.
+	// unlistedTTL is how long the state of an endpoint is kept after the endpoint was
+	// first found missing from the endpoint list. The entry of a running endpoint may
+	// be missing for a shorter time.
 	unlistedTTL = 10 * time.Minute
-	// maxUnlisted bounds the number of those, of which the latest are kept.
+	// maxUnlisted bounds the number of states of unlisted endpoints. The states that
+	// became unlisted last are kept.
 	maxUnlisted = 2048
 )
 
-// active reports whether a signal of the endpoint applies.
+// active reports whether a signal of the endpoint is in force.
 func (s *State) active() bool {
 	return s.draining || s.limit.Set || s.recovering
 }
 
-// Evict removes the state of unlisted endpoints that has no active signal or has
-// expired.
+// Evict removes states of endpoints that are not on the endpoint list: those without
+// an active signal, those unlisted for more than unlistedTTL, and the oldest beyond
+// maxUnlisted.
 func (t *Table) Evict(listed func(id string) bool, now time.Time) {
 	var kept []*State
 	t.anySignal = false
@@ -345,7 +356,8 @@
 	}
 }
 
-// observeInvalid returns a change for the first invalid value of each header.
+// observeInvalid returns a change for each header of which no invalid value has been
+// seen before. entries are those of Signal.Invalid.
 func (s *State) observeInvalid(entries []string) []Change {
 	var out []Change
 	for _, entry := range entries {
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -34,8 +34,8 @@
 	assert.DeepEqual(t, kinds(s.Observe(invalid, at(0.8), at(0.9))), []Kind(nil))
 }
 
-// Responses arrive out of order: one to a request sent before the limit was received
-// must neither raise nor end the limit.
+// A response to a request that was sent before the limit was received must neither
+// raise nor end the limit.
 func TestOvertakenResponsesDoNotLoosenALimit(t *testing.T) {
 	s := NewTable().State("e", 1)
 	s.Observe(Signal{Limit: Limited(2)}, at(1), at(1.1))
@@ -51,16 +51,16 @@
 	assert.Equal(t, s.limit, Limit{})
 }
 
-// A new incarnation starts without signals; a start time that becomes known later does
-// not make one.
+// A restarted endpoint must not inherit the signals of its earlier incarnation. If only
+// the start time was unknown (0) and becomes known, the signals must be kept.
 func TestNewIncarnationHasNoSignals(t *testing.T) {
 	table := NewTable()
 	s := table.State("e", 0)
 	s.Observe(Signal{Draining: true}, at(0), at(0))
-	assert.Assert(t, table.State("e", 7).draining)
+	assert.Assert(t, table.State("e", 7).draining, "the start time becomes known")
 	assert.Assert(t, table.State("e", 7).draining)
 	assert.Assert(t, table.State("e", 0).draining, "an entry without start time")
-	assert.Assert(t, !table.State("e", 8).draining)
+	assert.Assert(t, !table.State("e", 8).draining, "a later start time is a new incarnation")
 }
 
 // A backoff is never shortened, and is bounded.
@@ -74,8 +74,8 @@
 	assert.Assert(t, s.backoffUntil.Equal(at(1).Add(maxBackoff)))
 }
 
-// After a backoff one request probes the endpoint; others are sent once it was
-// accepted.
+// After a backoff only one request is sent. Others must wait until the endpoint has
+// accepted it or probeInterval has passed.
 func TestOneRequestProbesAfterABackoff(t *testing.T) {
 	s := NewTable().State("e", 1)
 	s.Observe(Signal{Backoff: 3 * time.Second}, at(0), at(0))
@@ -91,9 +91,9 @@
 	assert.Assert(t, !s.Closed(at(4.1)))
 }
 
-// The state of unlisted endpoints is bounded, and survives a short absence of the
-// endpoint from the list.
-func TestMemoryIsBounded(t *testing.T) {
+// The number of states of unlisted endpoints is bounded, and the latest and listed ones
+// are kept.
+func TestUnlistedStatesAreBounded(t *testing.T) {
 	table := NewTable()
 	const endpoints = 10000
 	for n := range endpoints {
@@ -108,7 +108,7 @@
 	assert.Assert(t, table.State("e9000", 1).draining, "a listed endpoint is kept")
 }
 
-// NoSignals is true only while no signal applies.
+// NoSignals must be false while any signal is in force.
 func TestNoSignals(t *testing.T) {
 	listed := func(string) bool { return true }
 	for _, signal := range []Signal{{Draining: true}, {Backoff: time.Second}, {Limit: Limited(2)}} {
@@ -125,8 +125,7 @@
 	}
 }
 
-// Records are merged by age: an older limit, or one of an earlier incarnation, changes
-// nothing.
+// A record with an older limit, or from an earlier incarnation, must change nothing.
 func TestMergeIgnoresOlderRecords(t *testing.T) {
 	local, remote := NewTable(), NewTable()
 	remote.State("e", 5).Observe(Signal{Limit: Limited(2)}, at(0), at(1))
