--- a/backpressure/decode.go
+++ b/backpressure/decode.go
@@ -14,14 +14,10 @@
 // signals.
 type Fields struct {
 	// Limit names the header with the rate limit, a decimal number of requests per
-	// second.
-	Limit string
-	// Draining names the header that has the value drainingValue if the endpoint is
-	// draining.
-	Draining string
-	// RetryAfter names the header with the backoff, a decimal number of seconds. It is
-	// ignored unless the response has status 503.
-	RetryAfter string
+	// second. Draining names the header that has the value drainingValue if the
+	// endpoint is draining. RetryAfter names the header with the backoff, a decimal
+	// number of seconds, which is ignored unless the response has status 503.
+	Limit, Draining, RetryAfter string
 }
 
 const (
--- a/backpressure/quota_test.go
+++ b/backpressure/quota_test.go
@@ -102,12 +102,10 @@
 	// sent holds the send times of all requests. counted holds those that must keep
 	// the limit, since their gateways have had it for graceTime.
 	sent, counted []time.Duration
-	// known is the time from the start until all busy gateways have the limit; negative
-	// if this never happens.
-	known time.Duration
-	// ended is the time from limitEnd until no gateway has the limit; negative if this
-	// never happens.
-	ended time.Duration
+	// known is the time from the start until all busy gateways have the limit. ended is
+	// the time from limitEnd until no gateway has it. Both are negative if this never
+	// happens.
+	known, ended time.Duration
 }
 
 // run runs the simulation.
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -57,10 +57,10 @@
 	table := NewTable()
 	s := table.State("e", 0)
 	s.Observe(Signal{Draining: true}, at(0), at(0))
-	assert.Assert(t, table.State("e", 7).draining, "the start time becomes known")
+	assert.Assert(t, table.State("e", 7).draining) // the start time becomes known
 	assert.Assert(t, table.State("e", 7).draining)
 	assert.Assert(t, table.State("e", 0).draining, "an entry without start time")
-	assert.Assert(t, !table.State("e", 8).draining, "a later start time is a new incarnation")
+	assert.Assert(t, !table.State("e", 8).draining) // a new incarnation
 }
 
 // A backoff is never shortened, and is bounded.
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,37 +1,36 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package freshness divides the time within which a change must be in force
-// among the steps of its propagation from the store to a process.
+// Package freshness limits how long each step in the propagation of a change from the
+// store to a process may take, so that the change is in force within a bound.
 //
-// While the store responds, changes arrive at once by long polling. The division
-// is for responses that never arrive: a call made during an outage of the store, or
-// of a part of it, may stay unanswered after the outage, with its connection still
-// open and no other process having newer data. The data of a process therefore has
-// an age, the time since the store last confirmed it, and no step may take longer
-// than that age leaves of the bound.
+// While the store responds, changes arrive at once by long polling. The limits matter
+// if responses are lost: a call made during an outage of the store may stay unanswered
+// after the outage, although its connection is still open. A process therefore tracks
+// the age of its data, which is the time since the store last confirmed the data. A
+// step may take at most the part of the bound that remains at this age.
 package freshness
 
 import "time"
 
-// Shares of the bound, in percent. A follower, a process that queries another one (a
-// reader) instead of the store, has the same bound: it queries only until its data has
-// the age StaleAfter, and then reads the store itself.
+// Shares of the bound, in percent. A reader is a process that reads the store; a
+// follower is a process that queries a reader instead. A follower has the same bound:
+// when its data reaches the age StaleAfter, it reads the store itself.
+//
+// waitShare, hedgeShare and responseShare apply one after the other. The rest of the
+// bound is for requests in flight and for parsing and applying a change.
 const (
-	// waitShare is the timeout of a long poll at the store. Each gateway makes one
-	// call in this time.
+	// waitShare is the timeout of a long poll at the store.
 	waitShare = 45
-	// hedgeShare is how long after its wait a read may stay unanswered before a
-	// hedged read is made.
+	// hedgeShare is the time from the end of a long poll's timeout to the hedged read,
+	// a second read made if the first is still unanswered.
 	hedgeShare = 30
-	// responseShare is for the response to the hedged read.
+	// responseShare is the time for the response to the hedged read.
 	responseShare = 15
-	// relayShare is for the response of a reader. A larger share makes followers
-	// leave a slow reader earlier; many that then read the store at once saturate
-	// the network links that the reader needs.
+	// relayShare is the time for the response of a reader to a follower. It is part of
+	// waitShare and hedgeShare. The larger it is, the earlier followers give up a slow
+	// reader and load the store themselves.
 	relayShare = 8
-	// The remaining 10 are for parsing and applying a change, and for requests in
-	// flight. relayShare is part of the shares up to StaleAfter.
-	percent = 100
+	percent    = 100
 )
 
 // Budget is the bound for a kind of change, and its shares.
@@ -47,30 +46,32 @@
 func (b Budget) Bound() time.Duration { return b.bound }
 
 // Wait returns the long-poll timeout of a read of the store by a process with data
-// of this age. It is 0 if the data is old, as after a failed read.
+// of this age. It is 0 if the data is so old, such as after a failed read, that the
+// store must respond at once.
 func (b Budget) Wait(age time.Duration) time.Duration { return max(0, b.share(waitShare)-age) }
 
-// Interval returns the time between reads while responses are missing. It is the
-// long-poll timeout, so the rate of calls does not rise.
+// Interval returns the time between reads while the store does not respond. It is the
+// same as the long-poll timeout, so that the rate of reads does not rise.
 func (b Budget) Interval() time.Duration { return b.share(waitShare) }
 
-// HedgeDelay returns how long after its wait a read may stay unanswered before a
-// hedged read is made.
+// HedgeDelay returns how long after its long-poll timeout a read may stay unanswered
+// before a hedged read, a second read of the same data, is made.
 func (b Budget) HedgeDelay() time.Duration { return b.share(hedgeShare) }
 
-// ResponseTime returns how long the store may take to respond to a read without a wait.
+// ResponseTime returns how long the store may take to respond to a read that is not a
+// long poll.
 func (b Budget) ResponseTime() time.Duration { return b.share(responseShare) }
 
-// RelayTimeout returns how long the response of a reader may take in addition to the
-// time for which it may hold the request.
+// RelayTimeout returns how long a reader's response to a follower may take in addition
+// to Hold.
 func (b Budget) RelayTimeout() time.Duration { return b.share(relayShare) }
 
 // StaleAfter returns the age of its data at which a process reads the store itself,
-// whatever calls are pending.
+// even if a call to a reader or the store is still pending.
 func (b Budget) StaleAfter() time.Duration { return b.share(waitShare + hedgeShare) }
 
-// Hold returns how long a reader may hold the request of a follower with data of this
-// age. If it is not positive, the follower must read the store itself.
+// Hold returns how long a reader may wait for a change before it responds to a follower
+// with data of this age. If it is not positive, the follower must read the store itself.
 func (b Budget) Hold(age time.Duration) time.Duration { return b.StaleAfter() - b.RelayTimeout() - age }
 
 // Current reports whether data of this age is within the bound.
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// The slowest propagation of a change stays within the bound: a read that is never
-// answered, and then the response to the hedged one.
-func TestLongestWayIsUnderTheBound(t *testing.T) {
+// A change must be in force within the bound even if a read, or a follower's query, is
+// never answered and the next read answers only just in time.
+func TestSlowestPropagationIsWithinTheBound(t *testing.T) {
 	for _, bound := range []time.Duration{time.Second, 2 * time.Second, 7 * time.Second} {
 		b := New(bound)
 		hedged := b.Wait(0) + b.HedgeDelay() + b.ResponseTime()
 		assert.Assert(t, hedged < bound, "hedged read: %s of %s", hedged, bound)
 		afterOutage := b.Interval() + b.ResponseTime()
 		assert.Assert(t, afterOutage < bound, "after an outage: %s of %s", afterOutage, bound)
-		// A follower with data of any age that asks a reader which does not respond.
+		// A follower with data of any age queries a reader that does not respond.
 		for age := time.Duration(0); b.Hold(age) > 0; age += bound / 50 {
 			viaReader := age + b.Hold(age) + b.RelayTimeout() + b.ResponseTime()
 			assert.Assert(t, viaReader < bound, "follower of age %s: %s of %s", age, viaReader, bound)
@@ -28,8 +28,8 @@
 	}
 }
 
-// The data of a reader is confirmed before the requests of its followers time out,
-// also with a slow response of the store.
+// Even if the store responds slowly, a reader's data must be confirmed before the
+// requests of its followers time out.
 func TestReaderIsConfirmedBeforeFollowersTimeOut(t *testing.T) {
 	b := New(2 * time.Second)
 	const slowResponse = 240 * time.Millisecond
--- a/history/history.go
+++ b/history/history.go
@@ -2,9 +2,10 @@
 
 // Package history orders positions in a topic of the platform's event log.
 //
-// The log may be restored from an older copy. Records written since that copy are
-// then lost, and their offsets are assigned to other records. An offset is therefore
-// only valid within its era, a number that increases with each restore.
+// The log may be restored from an older copy. Records written after that copy was made
+// are then lost, and their offsets are assigned to new records. An offset is therefore
+// only valid within an era, the time between two restores. Eras are numbered, and the
+// number increases with each restore.
 package history
 
 import "cmp"
@@ -13,8 +14,8 @@
 type Position struct {
 	// Era is the era of the log.
 	Era int64
-	// Offset is the offset of the next record in the era; negative if nothing has
-	// been read.
+	// Offset is the offset of the next record to read in the era; negative if nothing
+	// has been read.
 	Offset int64
 }
 
@@ -24,8 +25,8 @@
 // Known reports whether anything has been read.
 func (p Position) Known() bool { return p.Offset >= 0 }
 
-// Before reports whether p is before q. A position that is not Known is before each
-// that is; others are ordered by era and offset.
+// Before reports whether p is before q. Positions are ordered by era, then by offset. A
+// position where nothing has been read is before all others.
 func (p Position) Before(q Position) bool {
 	if !p.Known() || !q.Known() {
 		return !p.Known() && q.Known()
--- a/quarantine/completed.go
+++ b/quarantine/completed.go
@@ -2,11 +2,12 @@
 
 package quarantine
 
-// completedRequests holds the last maxCompleted requests that completed.
+// completedRequests is the set of the last maxCompleted requests that got a complete
+// response.
 type completedRequests struct {
 	ids map[ID]struct{}
-	// ring holds the same IDs in the order in which they were added; next is the
-	// index of the oldest once it is full.
+	// ring holds the same IDs in the order in which they were added. Once it is full,
+	// next is the index of the oldest.
 	ring []ID
 	next int
 }
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -11,21 +11,21 @@
 	"github.com/juju/errors"
 )
 
-// identityBytes is the length of an ID. 128 bits of SHA-256 keep callers from
-// constructing a request with the ID of another caller's, which an unkeyed
-// checksum would allow.
+// identityBytes is the length of an ID, which is a truncated SHA-256. It is long enough
+// that a caller cannot construct a request with the ID of another caller's request.
 const identityBytes = 16
 
-// ID identifies a request by its caller and by the content that an endpoint
-// receives. It is the same for all attempts, connections and gateways.
+// ID identifies a request by its caller's workspace and its content. All attempts and
+// retries of the request have the same ID, at every gateway.
 type ID [identityBytes]byte
 
 // Request holds the properties that identify a request.
 type Request struct {
 	Method string
-	// Host and Target are as sent by the caller; Host is case-insensitive.
+	// Host and Target are those that the caller sent. Upper and lower case in Host
+	// make no difference.
 	Host, Target string
-	// Workspace is the caller's, empty on public routes.
+	// Workspace is the caller's workspace; empty on public routes.
 	Workspace string
 	Body      []byte
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -4,15 +4,17 @@
 // query of death) from being sent to more of them.
 //
 // A single crash does not identify the request that caused it, since an endpoint
-// runs several requests and all of them fail with it. The request to blame is the
-// one that never completes. Each request that was in progress at a crash is
-// recorded by its ID with its crashes; a completion clears it; Threshold crashes
-// without one put it in quarantine, and it is sent to no endpoint for CrashTTL.
+// runs several requests and all of them fail with it. The request that causes crashes
+// is the one that never completes. For each request that was in progress at a crash,
+// the table records its ID and its crashes. Such a request is a suspect. If it
+// completes, its crashes are cleared. After Threshold crashes without a completion it
+// is put in quarantine, and is sent to no endpoint for CrashTTL. The exception is a
+// trial: one process may run it once after TrialAfter.
 //
 // Processes exchange their tables as Records. Merging is idempotent and depends
-// neither on the order of messages nor on synchronised clocks: a completion starts
-// a new epoch of the request's entry, a higher epoch replaces a lower one, and the
-// crashes of one epoch are united by key.
+// neither on the order of messages nor on synchronised clocks. A completion starts a
+// new epoch of the request's entry, and a higher epoch replaces a lower one. Within an
+// epoch the crashes of all processes are combined, identified by their keys.
 package quarantine
 
 import (
@@ -26,54 +28,48 @@
 )
 
 const (
-	// Threshold is the number of crashes that put a request in quarantine. One
-	// attempt may cause two before its gateway is notified; with three, an innocent
-	// request must have been in progress at three crashes without completing in
-	// between.
+	// Threshold is the number of crashes that put a request in quarantine.
 	Threshold = 3
-	// completedThreshold is the same for a request that completed recently in this
-	// process, and so is unlikely to be the cause. A common request is in progress
-	// at each crash of an outbreak; with Threshold alone it would be quarantined
-	// too, and could then no longer complete and be cleared.
+	// completedThreshold replaces Threshold for a request that completed recently in
+	// this process and is therefore unlikely to cause crashes. A common request is in
+	// progress at most crashes that another request causes. In quarantine it could no
+	// longer complete and be cleared.
 	completedThreshold = 3 * Threshold
-	// maxCompleted bounds the completed requests that are kept: 0.2 MB.
+	// maxCompleted bounds the set of completed requests that is kept.
 	maxCompleted = 4096
-	// correlationWindow is the time within which crashes count as one, unless the
-	// request was sent to the endpoint after the previous crash. A rack that loses
-	// power ends many runs of a common request at once.
+	// correlationWindow is the time within which several crashes count as one, such as
+	// those of a rack that loses power. A crash within it counts separately if the
+	// request was sent to the endpoint after the previous crash.
 	correlationWindow = 200 * time.Millisecond
-	// detectionDelay is how long other processes may take to detect the end of an
-	// endpoint, a few round trips between regions. A request sent there in the
-	// meantime never started.
+	// detectionDelay is how long processes may take to detect the crash of an endpoint.
+	// A request that is sent to it in the meantime does not run there.
 	detectionDelay = 30 * time.Millisecond
-	// CrashTTL is how long a crash counts. A request in quarantine may run again
-	// after it, and crashes at most Threshold more endpoints in each CrashTTL.
+	// CrashTTL is how long a crash counts, and so how long a request stays in
+	// quarantine after its last crash.
 	CrashTTL = 10 * time.Minute
-	// TrialAfter is how long after the last crash one process may run a request in
-	// quarantine once, if it was not cleared. An innocent request leaves quarantine
-	// after this time instead of CrashTTL, such as a common one when all endpoints
-	// crash before it has completed anywhere. A harmful one crashes one more
-	// endpoint in each CrashTTL.
+	// TrialAfter is the time from the last crash of a request in quarantine to its
+	// trial: one process then runs the request once. If it completes, it leaves
+	// quarantine early; if it crashes another endpoint, it stays.
 	TrialAfter = 20 * time.Second
-	// relayedTTL is how long a process that only relays keeps an entry that no
-	// gateway sends any more. Gateways send twice a second.
+	// relayedTTL is how long a process that only relays records keeps an entry after a
+	// gateway last sent it.
 	relayedTTL = 5 * time.Second
-	// maxRequests bounds the table: 0.6 MB with maxCrashes of each.
+	// maxRequests bounds the entries of a table.
 	maxRequests = 512
-	// maxCrashes bounds the crashes that are kept of a request.
+	// maxCrashes bounds the crashes kept of each request.
 	maxCrashes = completedThreshold + 3
 )
 
 // Status is the status of a request.
 type Status struct {
-	// Crashes is the number of endpoint crashes with the request in progress since
-	// it last completed, with correlated ones counted as one.
+	// Crashes is the number of endpoint crashes at which the request was in progress,
+	// since it last completed. Correlated crashes count as one.
 	Crashes int
-	// Completed reports that it completed recently in this process.
+	// Completed reports that the request completed recently in this process.
 	Completed bool
 }
 
-// Suspected reports whether an endpoint crashed with the request in progress.
+// Suspected reports whether the request may have caused the crash of an endpoint.
 func (s Status) Suspected() bool { return s.Crashes > 0 }
 
 // Quarantined reports whether the request must be sent to no endpoint.
@@ -87,11 +83,13 @@
 // crash is the crash of an endpoint as detected by one gateway.
 type crash struct {
 	key uint32 // random, chosen by the gateway
-	// sent is when the request was sent to the endpoint.
+	// sent is when the request was sent to the endpoint, and at is when the crash was
+	// detected.
 	sent, at time.Time
 }
 
-// independent reports whether c counts in addition to an earlier crash at last.
+// independent reports whether c counts separately from an earlier crash at the time
+// last. If not, the two probably have one cause, such as a power failure.
 func (c crash) independent(last time.Time) bool {
 	apart := c.at.Sub(last)
 	return apart >= correlationWindow || c.sent.After(last) && apart >= detectionDelay
@@ -99,17 +97,17 @@
 
 // entry holds the crashes of one request.
 type entry struct {
-	// epoch counts the completions that followed a crash, and the clears by an
-	// operator.
+	// epoch is the number of times that the crashes were cleared, by a completion or
+	// by an operator.
 	epoch uint32
-	// crashes of this epoch, by time.
+	// crashes holds the crashes of this epoch, ordered by time.
 	crashes []crash
-	// changedAt is when the entry last changed in this process, and refreshedAt when
-	// it was last changed or received.
+	// changedAt is when the entry last changed in this process. refreshedAt is when it
+	// last changed or was last received from another process.
 	changedAt, refreshedAt time.Time
-	// ownKeys are the keys of the crashes that this process detected.
+	// ownKeys holds the keys of the crashes that this process detected.
 	ownKeys []uint32
-	// tried reports that this process has run the request in quarantine.
+	// tried reports that this process has run the request as a trial.
 	tried bool
 }
 
@@ -126,8 +124,8 @@
 	return count
 }
 
-// add adds a crash, and reports whether it is new. A known one gets the earlier of
-// the two times, since message delays only make it seem later.
+// add adds a crash, and reports whether it is new. If the crash is already known, the
+// earlier of its two times is kept, since message delays make a crash seem later.
 func (e *entry) add(c crash) bool {
 	index := slices.IndexFunc(e.crashes, func(known crash) bool { return known.key == c.key })
 	switch {
@@ -151,7 +149,7 @@
 	slices.SortFunc(e.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 }
 
-// dropDependent drops the last crash that is not independent of the one before it.
+// dropDependent drops the latest crash that is not independent of the one before it.
 func (e *entry) dropDependent() {
 	for n := len(e.crashes) - 1; n > 0; n-- {
 		if !e.crashes[n].independent(e.crashes[n-1].at) {
@@ -161,8 +159,9 @@
 	}
 }
 
-// Table holds the requests of one process that were in progress at a crash. It is
-// safe for concurrent use; its lock is taken last.
+// Table holds the requests that one process knows to have been in progress at a crash.
+// It is safe for concurrent use. It calls nothing that takes a lock while it holds its
+// own, so its methods may be called with other locks held.
 type Table struct {
 	// relayed reports that entries expire relayedTTL after a gateway last sent them.
 	relayed bool
@@ -170,20 +169,21 @@
 	// usual case that there are none.
 	nonEmpty atomic.Bool
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	entries   map[ID]*entry
 	completed completedRequests
-	// rotation is the position of Records among the entries that are not urgent.
+	// rotation is the position of Records in its rotation among the less urgent
+	// entries.
 	rotation int
 }
 
 // New returns the table of a gateway.
 func New() *Table { return &Table{entries: make(map[ID]*entry)} }
 
-// NewRelayed returns the table of a process that only relays between gateways.
+// NewRelayed returns the table of a process that only relays records between gateways.
 func NewRelayed() *Table { return &Table{relayed: true, entries: make(map[ID]*entry)} }
 
-// Status returns the status of a request; it is zero for one without crashes.
+// Status returns the status of a request, or the zero Status if it has no crashes.
 func (t *Table) Status(id ID, now time.Time) Status {
 	if !t.nonEmpty.Load() {
 		return Status{}
@@ -197,13 +197,13 @@
 	return t.status(id, e)
 }
 
-// status returns the status of a request with an entry; Table.mu is held.
+// status returns the status of a request with entry e. Table.mu must be held.
 func (t *Table) status(id ID, e *entry) Status {
 	return Status{Crashes: e.count(), Completed: t.completed.has(id)}
 }
 
-// RecordCrash records the crash of an endpoint to which the request was sent at
-// sent, and returns the status of the request.
+// RecordCrash records that an endpoint crashed while the request was in progress there,
+// and returns the status of the request. sent is when the request was sent.
 func (t *Table) RecordCrash(id ID, sent, now time.Time) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,9 +219,9 @@
 	return t.status(id, e)
 }
 
-// Trial reports whether this process may run a request in quarantine once, and
-// records that it does. Only the process that detected the crash with the lowest key
-// may, and once per entry.
+// Trial reports whether this process may now run a request in quarantine once as a
+// trial, and if so records the trial. Only the process that detected the crash with the
+// lowest key may run it, and only once per entry.
 func (t *Table) Trial(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -242,8 +242,8 @@
 	return t.clear(id, now)
 }
 
-// clear starts a new epoch of a request with crashes, and reports whether there were
-// any; Table.mu is held.
+// clear starts a new epoch if the request has crashes, and reports whether it has.
+// Table.mu must be held.
 func (t *Table) clear(id ID, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || len(e.crashes) == 0 {
@@ -255,8 +255,8 @@
 	return true
 }
 
-// RecordCompletion records that the request got a complete response. It reports
-// whether that cleared any crashes.
+// RecordCompletion records that the request got a complete response, which clears its
+// crashes. It reports whether there were any.
 func (t *Table) RecordCompletion(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -264,8 +264,8 @@
 	return t.clear(id, now)
 }
 
-// Remaining returns how long a request in quarantine stays there unless it is
-// cleared, or 0 if the table has no entry for it.
+// Remaining returns the time until a request in quarantine leaves it if it is not
+// cleared before. It returns 0 if the table has no entry for the request.
 func (t *Table) Remaining(id ID, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -295,7 +295,7 @@
 	return suspected, quarantined
 }
 
-// expired reports whether an entry has expired; Table.mu is held.
+// expired reports whether an entry has expired. Table.mu must be held.
 func (t *Table) expired(e *entry, now time.Time) bool {
 	if t.relayed {
 		return now.Sub(e.refreshedAt) > relayedTTL
@@ -312,8 +312,8 @@
 	return e.changedAt
 }
 
-// put adds an entry, and evicts the least important one if the table is full;
-// Table.mu is held.
+// put adds an entry, and evicts the least important one if the table is full.
+// Table.mu must be held.
 func (t *Table) put(id ID, e *entry, now time.Time) {
 	if len(t.entries) >= maxRequests {
 		maps.DeleteFunc(t.entries, func(_ ID, e *entry) bool { return t.expired(e, now) })
@@ -325,9 +325,9 @@
 	t.nonEmpty.Store(true)
 }
 
-// evictLeastImportant evicts the entry with the fewest crashes, the oldest of those,
-// so that a caller cannot release a request from quarantine by sending many others;
-// Table.mu is held.
+// evictLeastImportant evicts the entry with the fewest crashes, and among those the one
+// that changed least recently. A caller therefore cannot release a request from
+// quarantine by sending many others. Table.mu must be held.
 func (t *Table) evictLeastImportant() {
 	var id ID
 	var least *entry
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -41,7 +41,8 @@
 	assert.Equal(t, quarantined, 1)
 }
 
-// An innocent request completes at its next endpoint, which must clear its crashes.
+// A request that completes at another endpoint is not the cause of the crashes, and must
+// no longer be suspected.
 func TestOneCompletionClears(t *testing.T) {
 	table := New()
 	assert.Assert(t, !table.RecordCompletion(nth(1), at(0)), "no crash to clear")
@@ -52,8 +53,8 @@
 	assert.Equal(t, table.RecordCrash(nth(1), at(400), at(450)).Crashes, 1)
 }
 
-// Simultaneous crashes, as of a rack that loses power, count as one. Crashes of a
-// request that was sent to the next endpoint after the previous crash count each.
+// Simultaneous crashes, such as those of a rack that loses power, must count as one. A
+// crash counts separately if the request was sent to the endpoint after the previous one.
 func TestCrashesAtOneMomentCountOnce(t *testing.T) {
 	table := New()
 	for n := range 2 * maxCrashes {
@@ -91,7 +92,7 @@
 	assert.Assert(t, !table.Status(nth(1), at(9000)).Suspected(), "the oldest is evicted")
 }
 
-// A process that only relays evicts entries that no gateway sends any more.
+// A process that only relays must evict entries that gateways no longer send.
 func TestARelayEvictsEntries(t *testing.T) {
 	gateway, relay := New(), NewRelayed()
 	gateway.RecordCrash(nth(1), at(0), at(50))
@@ -101,8 +102,8 @@
 	assert.Equal(t, len(relay.Records(at(4001).Add(relayedTTL))), 0)
 }
 
-// A delayed message, such as one to a suspended process, neither duplicates a crash
-// nor makes it later.
+// A delayed message, such as one to a suspended process, must neither duplicate a crash
+// nor change its time to a later one.
 func TestADelayedMessageChangesNothing(t *testing.T) {
 	one, other := New(), New()
 	one.RecordCrash(nth(1), at(0), at(50))
@@ -114,8 +115,8 @@
 	assert.Equal(t, one.entries[nth(1)].crashes[0].at, at(50))
 }
 
-// A cleared request stays cleared when others still send the crashes of its earlier
-// epoch.
+// A cleared request must not become suspected again because another process still sends
+// crashes from before it was cleared.
 func TestAClearedRequestStaysCleared(t *testing.T) {
 	one, other := New(), New()
 	for n := range Threshold {
@@ -130,10 +131,8 @@
 	assert.Assert(t, !one.Status(nth(1), at(3300)).Suspected())
 }
 
-// For messages that arrive in any order, late, twice or not at all, all processes
-// converge: no request has more crashes than happened, and one with Threshold crashes
-// since its last completion has that many everywhere, and is in quarantine in each
-// process where it has not completed.
+// All processes must agree on which requests have reached Threshold, also if messages
+// are reordered, delayed, duplicated or lost. None may count more crashes than happened.
 func TestProcessesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const requests, processes = 3, 3
@@ -191,8 +190,8 @@
 	})
 }
 
-// Records sends all entries of a full table in rotation, those in quarantine each
-// time, and its records fit a datagram.
+// Repeated calls of Records must return all entries of a full table, and the records of
+// each call must fit a datagram.
 func TestRecordsFitADatagramAndAllAreSent(t *testing.T) {
 	table := New()
 	for n := range maxRequests * maxCrashes {
@@ -229,10 +228,9 @@
 	}
 }
 
-// A common request is in progress at each crash of an outbreak. Having completed
-// before keeps it from being quarantined with the request that causes the crashes;
-// in quarantine it could not complete and be cleared.
-func TestACommonRequestIsNotQuarantinedWithTheOneToBlame(t *testing.T) {
+// A request that completed before must not be quarantined only because it is in progress
+// at each crash that another request causes.
+func TestACommonRequestIsNotQuarantinedWithTheOneThatCrashes(t *testing.T) {
 	table := New()
 	table.RecordCompletion(nth(1), at(0))
 	for n := range 2 * Threshold {
@@ -250,8 +248,8 @@
 	assert.Assert(t, !other.Status(nth(1), at(9600)).Suspected(), "cleared by a completion elsewhere")
 }
 
-// A request that completed before is still quarantined, after more crashes. The set of
-// completed requests is bounded.
+// A request that completed before must be quarantined after completedThreshold crashes.
+// The set of completed requests must be bounded.
 func TestACompletedRequestIsQuarantinedAfterMoreCrashes(t *testing.T) {
 	table := New()
 	table.RecordCompletion(nth(1), at(0))
@@ -280,8 +278,8 @@
 	}
 }
 
-// Records of suspected requests are sent for reportTime; those of requests in
-// quarantine until they leave it.
+// The record of a suspected request must be sent for reportTime, and that of a request in
+// quarantine for longer.
 func TestSuspectsAreSentForReportTime(t *testing.T) {
 	table := New()
 	for n := range Threshold {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -10,37 +10,41 @@
 // Record is the entry of a request as sent between processes. Times are sent as
 // ages, so the clocks of the processes need not agree.
 type Record struct {
-	ID      ID      `json:"i"`
+	ID ID `json:"i"`
+	// Epoch increases each time the crashes of the request are cleared.
 	Epoch   uint32  `json:"e,omitempty"`
 	Crashes []Crash `json:"c,omitempty"`
 }
 
-// Crash is one crash of a Record.
+// Crash is the crash of an endpoint to which the request of a Record was sent.
 type Crash struct {
-	// Key identifies the crash.
-	Key   uint32 `json:"k"`
-	AgeMS int64  `json:"a"`
+	// Key identifies the crash. It is random.
+	Key uint32 `json:"k"`
+	// AgeMS is the time since the crash, in milliseconds.
+	AgeMS int64 `json:"a"`
 	// RanMS is the time from sending the request to the crash, in milliseconds.
 	RanMS int64 `json:"r"`
 }
 
-// Sizes of one message, such that it fits a datagram with a subscription or a
-// load report: 40 bytes a record and 40 a crash.
+// Limits on the records of one message, which must fit into a datagram together with a
+// subscription or a load report.
 const (
 	maxRecords = 6
-	// rotatingRecords is how many of maxRecords rotate among the entries that are
-	// not among the most urgent.
+	// rotatingRecords is the number of records of a message that do not go to the most
+	// urgent entries, but to each of the others in turn.
 	rotatingRecords = 2
-	// reportTime is how long after a change a request that is not in quarantine
-	// is sent. All processes have received it by then, and the crashes of busy
-	// endpoints would otherwise fill the datagrams for CrashTTL.
+	// reportTime is how long after its last change the entry of a request that is not
+	// in quarantine is sent. Older entries have reached all processes and would only
+	// fill the datagrams.
 	reportTime = 30 * time.Second
-	// maxRecordCrashes bounds the crashes of a record; it suffices for quarantine.
+	// maxRecordCrashes bounds the crashes of one record. It is sufficient to put the
+	// request in quarantine.
 	maxRecordCrashes = Threshold + 1
 )
 
-// Records returns the most urgent records: requests in quarantine first, then by
-// time of the last change. Subsequent calls return the rest in rotation. Expired
+// Records returns up to maxRecords records to send. Most are those of the most urgent
+// entries: requests in quarantine first, then the latest changes. The rest are taken
+// from the other entries in rotation, so that repeated calls return all of them. Expired
 // entries are evicted.
 func (t *Table) Records(now time.Time) []Record {
 	t.mu.Lock()
@@ -96,8 +100,8 @@
 	return r
 }
 
-// recordCrashes returns up to maxRecordCrashes crashes; if there are more, only
-// independent ones.
+// recordCrashes returns up to maxRecordCrashes crashes. If the entry has more, it
+// returns only crashes that count separately; see crash.independent.
 func (e *entry) recordCrashes() []crash {
 	if len(e.crashes) <= maxRecordCrashes {
 		return e.crashes
--- a/retrybudget/retrybudget.go
+++ b/retrybudget/retrybudget.go
@@ -2,21 +2,21 @@
 
 // Package retrybudget limits the rate of retries.
 //
-// In any window, all gateways together may send a service no more retries than a
-// ratio of its requests plus a slack. For the ratio, each gateway counts its own
-// requests. The slack is divided by the highest number of gateways that may be
-// running. The sum stays within the bound however many of them restart, because a
-// new gateway starts with half of its share and earns the rest over a window.
+// In any window, all gateways together may send a service at most Ratio times its
+// requests plus Slack retries. For the first part, each gateway counts its own
+// requests. The slack is divided by the number of gateways that may be running. A new
+// budget starts with half of its share of the slack and earns the rest over a window,
+// so that restarts of gateways do not exceed the bound.
 package retrybudget
 
 import "time"
 
 // Params holds the bounds that all gateways share.
 type Params struct {
-	// Ratio of retries to requests.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is how many retries all gateways together may send in a window in
-	// addition.
+	// Slack is the number of retries that all gateways together may send in a window
+	// in addition to those that Ratio allows.
 	Slack float64
 	// Window is the time over which retries are counted.
 	Window time.Duration
@@ -24,8 +24,8 @@
 	Gateways int
 }
 
-// Margins keep a budget below its bound, to allow for retries of other gateways and
-// at the edges of windows.
+// ratioMargin and slackMargin are the shares of Ratio and Slack that are used. The rest
+// allows for requests and retries that fall into different windows.
 const (
 	ratioMargin = 0.6
 	slackMargin = 0.5
@@ -39,7 +39,8 @@
 	last   time.Time
 }
 
-// New returns a budget with half of its share of the slack.
+// New returns the budget of a gateway that has just started. It has half of the
+// gateway's share of the slack.
 func New(p Params, now time.Time) *Budget {
 	b := &Budget{params: p, last: now}
 	b.tokens = b.share() / 2
@@ -55,7 +56,7 @@
 	return slackMargin * b.params.Slack / float64(max(b.params.Gateways, 1))
 }
 
-// refill adds the tokens earned since the last call; half of the share per window.
+// refill adds the tokens earned since the last call, at half of the share per window.
 func (b *Budget) refill(now time.Time) {
 	elapsed := now.Sub(b.last)
 	if elapsed > 0 && b.params.Window > 0 {
@@ -65,7 +66,7 @@
 	b.tokens = min(b.tokens, b.share())
 }
 
-// AddRequest counts the first attempt of a request.
+// AddRequest counts the first attempt of a request, which earns a part of a token.
 func (b *Budget) AddRequest(now time.Time) {
 	b.refill(now)
 	b.tokens += ratioMargin * b.params.Ratio
--- a/retrybudget/retrybudget_test.go
+++ b/retrybudget/retrybudget_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// All gateways together stay within ratio x requests + slack in any window, however
-// many of them restart.
-func TestBoundHoldsOverGateways(t *testing.T) {
+// In any window, all gateways together must send at most ratio x requests + slack
+// retries, however many of them restart.
+func TestAllGatewaysTogetherStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Params{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Gateways: 8}
 		now := time.Unix(1000, 0)
