--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -12,37 +12,39 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// Limits on the load of an endpoint.
+// Limits on the load of an endpoint. A slot of an engine is its capacity for one
+// concurrent request.
 const (
-	// retryExtraLoad is how many further attempts of requests may wait at an engine
-	// beyond its slots.
+	// retryExtraLoad is the load beyond its slots up to which an engine gets retries.
 	retryExtraLoad = 2
 	// plainLoadFactor limits the load of a plain endpoint, in multiples of
 	// defaultSlots.
 	plainLoadFactor = 3
-	// defaultSlots is the number of slots assumed for a plain endpoint.
+	// defaultSlots is the number of concurrent requests that a plain endpoint is
+	// assumed to serve at full speed.
 	defaultSlots = 8
 )
 
-// Limits on waiting for an endpoint.
+// Limits on waiting for an endpoint. An endpoint is late for a request if the first
+// bytes of its response are expected after the route's target latency. A request
+// accepts late endpoints only if it would otherwise be refused again or aborted.
 const (
 	// maxWaitShare is the share of the target latency that a request may wait
 	// before it is refused.
 	maxWaitShare = 0.22
 	// defaultMaxWait limits the wait if the route has no target latency.
 	defaultMaxWait = 200 * time.Millisecond
-	// lateMaxWait and lateMaxWaitShare limit the wait of a request that accepts
-	// late endpoints and would otherwise be refused again or aborted: a time, and a
-	// share of the caller's remaining time.
+	// lateMaxWait limits the wait of a request that accepts late endpoints. On the
+	// first attempt, the wait is also limited to the share lateMaxWaitShare of the
+	// caller's remaining time.
 	lateMaxWait      = 1200 * time.Millisecond
 	lateMaxWaitShare = 0.3
-	// retryOnTimeWait is how long a further attempt waits for an engine that meets
-	// the target before it accepts a late one.
+	// retryOnTimeWait is how long a retry waits for an engine that meets the target
+	// before it accepts a late one.
 	retryOnTimeWait = 120 * time.Millisecond
-	// lateLoadShare is the share of an engine's slots up to which it takes requests
-	// that will be late, and lateBacklogPrompts the backlog it may have before one,
-	// in mean prompts. This keeps late requests from delaying ones that can still
-	// be on time.
+	// lateLoadShare and lateBacklogPrompts limit the load of an engine, as a share of
+	// its slots, and its backlog, in prompts of mean length, up to which it gets late
+	// requests. This keeps late requests from delaying ones that can still be on time.
 	lateLoadShare      = 0.8
 	lateBacklogPrompts = 1.0
 	// latencyTargetShare is the share of the target latency within which an engine
@@ -50,8 +52,9 @@
 	latencyTargetShare = 0.92
 )
 
-// Retry-After of refusals. Delay and spread grow with the share of the service's
-// requests that are refused.
+// Retry-After of refusals. It is retryAfterMin plus a random part of a spread. The
+// spread is retryAfterSpread, plus retryAfterRefusedSpread times the share of the
+// service's requests that are refused.
 const (
 	retryAfterMin           = 350 * time.Millisecond
 	retryAfterSpread        = 500 * time.Millisecond
@@ -59,12 +62,11 @@
 	// retryAfterUnservable is added if no endpoint could serve the request at any
 	// load.
 	retryAfterUnservable = 600 * time.Millisecond
-	// maxRetryAfterClosed limits what is added while all endpoints are closed, as
-	// other endpoints may be added meanwhile.
+	// maxRetryAfterClosed limits the time that is added while all endpoints are closed
+	// by their own signals. Other endpoints may be added before they open.
 	maxRetryAfterClosed = 10 * time.Second
-	// retryAfterUnready and its spread apply while the gateway has no
-	// configuration, as the store may take seconds to respond. Callers wait at most
-	// a third of their time.
+	// retryAfterUnready is the Retry-After while the gateway has no configuration. A
+	// random part of retryAfterUnreadySpread is added.
 	retryAfterUnready       = 1200 * time.Millisecond
 	retryAfterUnreadySpread = 800 * time.Millisecond
 )
@@ -102,8 +104,9 @@
 	return q
 }
 
-// servableQuery is attemptQuery without the condition that lasts only until other
-// attempts end. Server.mu must be held.
+// servableQuery returns the attemptQuery of x without Isolated. That condition depends
+// on which other suspected requests are in progress, and ends with them. Server.mu must
+// be held.
 func (s *Server) servableQuery(x *exchange, now time.Time) fleet.Query {
 	q := s.attemptQuery(x, now)
 	q.Isolated = false
@@ -122,8 +125,8 @@
 	return q
 }
 
-// maxFirstByteMS returns the time within which an engine should send the first
-// bytes of the next attempt, in milliseconds, or 0 for no limit.
+// maxFirstByteMS returns the time within which an engine should send the first bytes of
+// its response to the next attempt, in milliseconds, or 0 for no limit.
 func (x *exchange) maxFirstByteMS(now time.Time) float64 {
 	left := float64(0)
 	switch {
@@ -153,10 +156,9 @@
 	return max(1, int(connectionShare*float64(service.MaxConnections)/float64(s.gateways)))
 }
 
-// waitForEndpoint waits for an endpoint for x, for at most maxWait. It returns nil
-// if none had capacity in time or ctx ended. A new request that no endpoint could
-// serve at any load does not wait, as this takes seconds to change; its caller is
-// told when to retry.
+// waitForEndpoint waits up to maxWait for an endpoint for x. It returns nil if none had
+// capacity in time or ctx ended. A new request that no endpoint could serve at any load
+// does not wait, because this usually lasts longer than maxWait.
 func (s *Server) waitForEndpoint(ctx context.Context, x *exchange, maxWait time.Duration) *fleet.Endpoint {
 	now := clock.Now()
 	w := &waiter{
@@ -211,9 +213,10 @@
 	return nil
 }
 
-// acquireEndpoint returns an endpoint for the next attempt of x, or nil if x is to
-// be refused. A caller's retry and a further attempt get a second wait, in which
-// they accept late endpoints.
+// acquireEndpoint waits for an endpoint for the next attempt of x. It returns nil if x
+// is to be refused. A request first waits for an endpoint that meets the target latency.
+// A retry, by the gateway or by the caller, then waits a second time and accepts late
+// endpoints.
 func (s *Server) acquireEndpoint(ctx context.Context, x *exchange) *fleet.Endpoint {
 	if x.attempts > 0 && !x.acceptsLate {
 		if e := s.waitForEndpoint(ctx, x, min(retryOnTimeWait, clock.Until(x.expiresAt))); e != nil {
@@ -234,8 +237,9 @@
 	return s.waitForEndpoint(ctx, x, min(lateMaxWait, left))
 }
 
-// cannotMeetTarget reports whether even an idle engine could not respond to x in
-// time. Refusing x would only make its caller retry.
+// cannotMeetTarget reports whether even an idle engine would respond to x after the
+// target latency. Such a request accepts late endpoints from the start, since refusing
+// it would only make its caller retry.
 func (x *exchange) cannotMeetTarget() bool {
 	s := x.server
 	now := clock.Now()
@@ -254,8 +258,9 @@
 	return min(maxWait-now.Sub(x.start), x.expiresAt.Sub(now))
 }
 
-// retryAfter returns how long a refused caller should wait before it retries, and
-// why all endpoints are closed by their own signals, if they are.
+// retryAfter returns how long a refused caller should wait before it retries. If all
+// endpoints are closed by their own signals, such as draining, the Closure is the
+// reason; else its Reason is Open.
 func (s *Server) retryAfter(x *exchange) (fleet.Closure, time.Duration) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -281,7 +286,8 @@
 	return retryAfterUnready + rand.N(retryAfterUnreadySpread)
 }
 
-// slotIntervalMS returns how often a full engine frees a slot, in milliseconds.
+// slotIntervalMS returns the mean time between two slots becoming free at a fully
+// loaded engine, in milliseconds.
 func slotIntervalMS(e *routing.Engine) float64 {
 	decodeMS := float64(e.MeanAnswerTokens) * float64(e.Step.Microseconds()) / 1000
 	return decodeMS/float64(max(e.Slots, 1)) + prefillMS(e, e.MeanPromptTokens)
@@ -296,8 +302,8 @@
 	return float64(tokens) / e.PrefillRate * 1000
 }
 
-// engineConfig returns the engine configuration of a service, or nil if it is no
-// engine.
+// engineConfig returns the engine configuration of a service, or nil if its endpoints
+// are not engines.
 func engineConfig(c *routing.Configuration, service string) *routing.Engine {
 	if s := c.Services[service]; s != nil {
 		return s.Engine
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -20,21 +20,22 @@
 )
 
 const (
-	// crashProbeTimeout limits the dial that distinguishes a crash from a broken
-	// connection: after a crash the address refuses connections.
+	// crashProbeTimeout limits the dial that checks whether an endpoint has crashed:
+	// after a crash its address refuses connections.
 	crashProbeTimeout = 150 * time.Millisecond
-	// crashSettleTime is how long after a crash requests may still be sent to the
-	// endpoint. They did not run there, so the crash is not attributed to them.
+	// crashSettleTime is how long the time of an endpoint's crash is kept. Requests
+	// that are sent to the endpoint within this time after the crash fail as well, but
+	// the crash is not attributed to them, since they did not run.
 	crashSettleTime = 500 * time.Millisecond
-	// suspectCrashLimit is the number of a request's crashes from which an exchange
-	// makes no further attempt after a crash. The caller may retry.
+	// suspectCrashLimit is the number of crashes at which a request is not retried
+	// after another endpoint crashed running it. Its caller may still retry it.
 	suspectCrashLimit = 2
 )
 
 // checkCrash determines whether an attempt failed because its endpoint crashed, and
-// if so records the crash against the request. A cut link, a reset connection and a
-// truncated response look alike; only after a crash does the address refuse
-// connections or the process have a new start time.
+// if so records the crash against the request. A lost connection alone does not show
+// this. After a crash, the endpoint's address also refuses connections, or its process
+// has a new start time.
 func (x *exchange) checkCrash(ctx context.Context, e *fleet.Endpoint, cause error) {
 	s := x.server
 	if !connectionLost(cause) {
@@ -67,8 +68,8 @@
 	sentAt            time.Time
 }
 
-// recordCrash records a crash against the request. It returns false if the request
-// was sent after the crash, and so did not cause it.
+// recordCrash records a crash against the request. It returns false, and records
+// nothing, if the request was sent after the crash and so did not cause it.
 func (s *Server) recordCrash(c crashedAttempt, now time.Time) bool {
 	if s.crashedBeforeSend(c.endpoint, c.sentAt, now) {
 		return false
@@ -83,14 +84,13 @@
 	return true
 }
 
-// restartDetectTimeout is how long after a failed attempt a new start time of the
-// endpoint's process is awaited. Its sidecar reads the start time every 40 ms and
-// reports a change at once.
+// restartDetectTimeout is how long restartedSince waits after a failed attempt for the
+// endpoint's sidecar to report a new start time of the endpoint's process.
 const restartDetectTimeout = 300 * time.Millisecond
 
-// restartedSince reports whether the process of the endpoint at address has
-// restarted since startedMS. A process that restarts within milliseconds accepts
-// connections as if it had not crashed. It blocks for up to restartDetectTimeout.
+// restartedSince reports whether the process of the endpoint at address has a later
+// start time than startedMS. It detects a process that crashed but restarted so fast
+// that its address accepts connections. It blocks for up to restartDetectTimeout.
 func (s *Server) restartedSince(address string, startedMS int64) bool {
 	const pollInterval = 20 * time.Millisecond
 	for began := clock.Now(); clock.Since(began) < restartDetectTimeout; time.Sleep(pollInterval) {
@@ -104,15 +104,15 @@
 	return false
 }
 
-// connectionLost reports whether err is one that the end of the peer's process
-// causes.
+// connectionLost reports whether err can result from the end of the peer's process.
 func connectionLost(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
 // crashedBeforeSend reports whether the endpoint had crashed before an attempt was
-// sent to it. The first report of a crash records its time.
+// sent to it. If no recent crash of the endpoint is known, it records one at now and
+// returns false.
 func (s *Server) crashedBeforeSend(endpoint string, sent, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,18 +125,19 @@
 	return sent.After(crashedAt)
 }
 
-// suspected reports whether endpoints crashed while running the request.
+// suspected reports whether the request is a suspect: an endpoint crashed while running
+// it, and it has not completed since.
 func (x *exchange) suspected(now time.Time) bool { return x.suspectStatus(now).Suspected() }
 
 // quarantined reports whether the request must not be sent because it is in
-// quarantine.
+// quarantine. It is false if the request runs as a trial.
 func (x *exchange) quarantined(now time.Time) bool {
 	return !x.trial && x.suspectStatus(now).Quarantined()
 }
 
-// blockedByQuarantine reports whether a new request must not be sent to any
-// endpoint. From time to time a quarantined request is allowed to run once, as a
-// trial.
+// blockedByQuarantine reports whether a new request must not be sent to any endpoint
+// because it is in quarantine. If quarantine.Table.Trial allows it, the request runs
+// once as a trial, and the result is false.
 func (x *exchange) blockedByQuarantine() bool {
 	now := x.start
 	if !x.quarantined(now) {
@@ -149,8 +150,8 @@
 	return !x.trial
 }
 
-// ClearSuspect removes a request from quarantine on behalf of an operator. It
-// reports whether the request was suspected.
+// ClearSuspect clears the crashes of a request on behalf of an operator, which removes
+// it from quarantine. It reports whether the request had crashes.
 func (s *Server) ClearSuspect(id quarantine.ID, now time.Time) bool {
 	cleared := s.suspects.Clear(id, now)
 	s.events.Info("request cleared by an operator", "identity", id.String(), "known", cleared)
@@ -165,14 +166,14 @@
 	return x.server.suspects.Status(x.identity, now)
 }
 
-// crashLimitReached reports whether an endpoint crashed during this exchange and
-// the request has at least suspectCrashLimit crashes in all.
+// crashLimitReached reports whether an endpoint crashed during this exchange and the
+// request has at least suspectCrashLimit crashes, including those that other exchanges
+// and gateways recorded.
 func (x *exchange) crashLimitReached() bool {
 	return x.crashes > 0 && x.suspectStatus(clock.Now()).Crashes >= suspectCrashLimit
 }
 
-// recordCompletion records that the request completed, which clears it of
-// suspicion.
+// recordCompletion records that the request completed, which clears its crashes.
 func (x *exchange) recordCompletion() {
 	if !x.server.suspects.RecordCompletion(x.identity, clock.Now()) {
 		return
@@ -180,10 +181,10 @@
 	x.server.events.Info("request cleared", "request", x.id, "identity", x.identity.String())
 }
 
-// rejectQuarantined responds to a request in quarantine. If it was sent to no
-// endpoint, the response says that it has not run, and after which time it leaves
-// quarantine at the latest. If it was sent, it may have run, so the response is 502
-// without Retry-After.
+// rejectQuarantined responds to a request in quarantine. If the request has certainly
+// not run in this exchange, the response is 503, and Retry-After is the time until it
+// leaves quarantine at the latest. If it may have run, the response is 502 without
+// Retry-After.
 func (x *exchange) rejectQuarantined() {
 	cause := "in quarantine: endpoints crashed under request " + x.identity.String() + ", and it has ended well at none"
 	if x.mayHaveRun {
@@ -195,10 +196,11 @@
 	x.respond(http.StatusServiceUnavailable, outcomeQuarantined, cause)
 }
 
-// Suspects returns the records of suspected requests to be sent to other gateways.
+// Suspects returns the records to send to other gateways: those of requests that were
+// in progress when an endpoint crashed.
 func (s *Server) Suspects(now time.Time) []quarantine.Record { return s.suspects.Records(now) }
 
-// MergeSuspects merges records of suspected requests from another gateway.
+// MergeSuspects merges records that another gateway returned from Suspects.
 func (s *Server) MergeSuspects(records []quarantine.Record, now time.Time) {
 	if len(records) == 0 || !s.suspects.Merge(records, now) {
 		return
--- a/ingress/endpoints.go
+++ b/ingress/endpoints.go
@@ -9,7 +9,8 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// SetEndpoints replaces the endpoint list.
+// SetEndpoints replaces the endpoint list by one read from the store. After a store
+// rollback the list is corrected first; see reconcile.
 func (s *Server) SetEndpoints(records []fleet.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +35,9 @@
 	s.dispatchAll(now)
 }
 
-// PutEndpoint adds or changes an endpoint.
+// PutEndpoint adds or changes an endpoint whose entry was written to the store. A
+// written entry also ends the special treatment of the endpoint after a store rollback:
+// it no longer counts as removed, nor as missing from the restored list.
 func (s *Server) PutEndpoint(r fleet.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,10 +66,10 @@
 	s.dispatch(r.Service, clock.Now())
 }
 
-// putUnconfigured keeps the entry of an endpoint whose service the configuration
-// lacks, apart from the fleet: the service may be configured later, and until then
-// the entry must not replace an endpoint with the same address. Server.mu must be
-// held.
+// putUnconfigured keeps the entry of an endpoint whose service the configuration lacks.
+// The entry is kept separately from the fleet, so that it does not replace an endpoint
+// with the same address, and is used if the service is configured later. Server.mu must
+// be held.
 func (s *Server) putUnconfigured(r fleet.Record) {
 	_, known := s.unconfigured[r.ID]
 	s.unconfigured[r.ID] = r
@@ -89,8 +92,8 @@
 	}
 }
 
-// isConfigured reports whether the configuration in force contains a service; true
-// if there is no configuration yet.
+// isConfigured reports whether the configuration in force contains a service. It is
+// true for all services if there is no configuration yet.
 func (s *Server) isConfigured(service string) bool {
 	c := s.routes.Get()
 	return c == nil || c.Services[service] != nil
@@ -111,7 +114,8 @@
 func (s *Server) removeLocked(id string, now time.Time) bool {
 	e := s.fleet.ByID(id)
 	if e == nil {
-		// Another endpoint may have replaced it at its address before.
+		// Another endpoint may have taken its address, and thereby its place in the
+		// fleet.
 		s.recordRemoval(fleet.Record{ID: id, StartedMS: anyIncarnation}, now)
 		return false
 	}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -4,8 +4,12 @@
 // to a route, authenticates its key, waits for an endpoint with spare capacity,
 // forwards the request there and relays the response.
 //
+// An endpoint is an instance of a service. It is either an engine, which serves versions
+// of a model and has a sidecar that reports its load, or a plain endpoint, without a
+// sidecar.
+//
 // Server.mu guards all mutable tables: the fleet, queues of waiting requests, retry
-// budgets, named versions. Nothing blocks while it is held, and no other locks are
+// budgets, target versions. Nothing blocks while it is held, and no other locks are
 // taken under it except those inside telemetry and quarantine. The configuration is
 // read without a lock.
 package ingress
@@ -41,7 +45,7 @@
 	Workspace      string
 	Priority       string
 	Model          string
-	TokenUsage     string // "IN,OUT": prompt tokens and the maximum of generated tokens
+	TokenUsage     string // "IN,OUT": number of prompt tokens and maximum number of generated tokens
 }
 
 // Settings configures a Server.
@@ -53,12 +57,13 @@
 	// response headers. If nil, responses carry no signals.
 	DecodeSignal func(status int, head http.Header) backpressure.Signal
 	Budget       retrybudget.Params
-	// VersionDeadline is how long after a version was named older versions may
-	// still start requests.
+	// VersionDeadline is how long older versions of a model may still start requests
+	// after the operator has set a target version.
 	VersionDeadline time.Duration
-	// Current reports whether the configuration in force is known to be the newest;
-	// nil means always. While it returns false, a request for a route or key that
-	// the configuration lacks gets a retryable refusal instead of a denial.
+	// Current reports whether the configuration in force is known to be the newest. If
+	// nil, it always counts as the newest. While Current returns false, a request for a
+	// route or key that the configuration lacks gets a retryable refusal instead of a
+	// denial.
 	Current func() bool
 	// ConfigAge returns the time since the configuration in force was last known to
 	// be the newest; nil if unknown.
@@ -76,18 +81,18 @@
 	stopping              atomic.Bool // set by StartStopping
 	refusing              atomic.Bool // set by Refuse
 	inFlight              atomic.Int64
-	noticeDue             chan struct{} // capacity 1
+	noticeDue             chan struct{} // see NoticeDue; capacity 1
 	permitRequestsPending chan struct{} // capacity 1
 	acceptState           acceptState
-	// suspects holds the requests during which endpoints crashed.
+	// suspects holds the requests that were in progress when an endpoint crashed.
 	suspects *quarantine.Table
 
-	mu sync.Mutex
+	mu sync.Mutex // guards the fields below
 	// Maps without a comment are keyed by service name.
 	fleet         *fleet.Fleet
 	queues        map[string]*queue
 	budgets       map[string]*retrybudget.Budget
-	namedVersions map[string][]NamedVersion // by model, oldest first
+	targetVersions map[string][]NamedVersion // by model, oldest first
 	stats         map[string]*requestStats
 	timeouts      map[string]*timeoutHistogram // by route
 	// gateways is the number of gateways among which shared limits are divided.
@@ -104,18 +109,20 @@
 	permitRequests []PermitRequest
 }
 
-// NamedVersion is a version of a model that the operator named.
+// TargetVersion is a version of a model that the operator has set to be served.
 type NamedVersion struct {
 	Version int
-	// LearnedAt is when this gateway read the version. AgeUnknown reports that the
-	// version had already been named, at an unknown time, when the process started.
+	// LearnedAt is when this gateway first read the target version. AgeUnknown reports
+	// that the version had already been set, at an unknown time, when the process
+	// started.
 	LearnedAt  time.Time
 	AgeUnknown bool
-	// cutoff is the time from which older versions may start no requests.
+	// cutoff is the time from which the gateway sends no requests to engines with
+	// older versions. It is earlier than the version's deadline; see versionMargin.
 	cutoff time.Time
 }
 
-// Overdue reports whether older versions may start no more requests.
+// PastCutoff reports whether engines with older versions get no more requests.
 func (n NamedVersion) Overdue(now time.Time) bool { return !now.Before(n.cutoff) }
 
 // New returns a server without configuration and endpoints.
@@ -133,7 +140,7 @@
 		fleet:                 fleet.New(s.Place),
 		queues:                make(map[string]*queue),
 		budgets:               make(map[string]*retrybudget.Budget),
-		namedVersions:         make(map[string][]NamedVersion),
+		targetVersions:         make(map[string][]NamedVersion),
 		stats:                 make(map[string]*requestStats),
 		timeouts:              make(map[string]*timeoutHistogram),
 		crashedAt:             make(map[string]time.Time),
@@ -177,13 +184,13 @@
 // Configuration returns the configuration in force, or nil if there is none yet.
 func (s *Server) Configuration() *routing.Configuration { return s.routes.Get() }
 
-// NameVersion records a newly named version of a model; one that is not newer than
-// the last is ignored. first means that the version already existed when the
-// process started, so that its age is unknown.
+// SetTargetVersion records a new target version of a model. A version that is not
+// higher than the last one is ignored. first means that the version had already been
+// set when the process started, so that its age is unknown.
 func (s *Server) NameVersion(model string, version int, first bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.namedVersions[model]
+	list := s.targetVersions[model]
 	if len(list) > 0 && list[len(list)-1].Version >= version {
 		return
 	}
@@ -191,13 +198,13 @@
 	if first && s.anyEndpointHolds(model, version, now) {
 		cutoff = now
 	}
-	s.namedVersions[model] = append(list, NamedVersion{Version: version, LearnedAt: now, AgeUnknown: first, cutoff: cutoff})
+	s.targetVersions[model] = append(list, NamedVersion{Version: version, LearnedAt: now, AgeUnknown: first, cutoff: cutoff})
 	s.events.Info("version named", "model", model, "version", version, "age_unknown", first, "due", cutoff)
 	s.requestNoticeLocked()
 }
 
-// requestNoticeLocked requests an immediate notice to sidecars. Server.mu must be
-// held.
+// requestNoticeLocked makes NoticeDue receive, so that sidecars are notified at once.
+// Server.mu must be held.
 func (s *Server) requestNoticeLocked() {
 	select {
 	case s.noticeDue <- struct{}{}:
@@ -205,11 +212,12 @@
 	}
 }
 
-// cutOffOlderVersions moves the cutoff of named versions of unknown age up to now
-// once an endpoint reports them or a newer one: loading a version takes seconds, so
-// its deadline may be close. Server.mu must be held.
+// cutOffOlderVersions sets the cutoff of target versions of unknown age to now if an
+// endpoint has reported that it serves the version or a newer one. Loading a version
+// takes seconds, so the deadline of a version that is served may be close. Server.mu
+// must be held.
 func (s *Server) cutOffOlderVersions(model string, reported int, now time.Time) {
-	list := s.namedVersions[model]
+	list := s.targetVersions[model]
 	for i := range list {
 		n := &list[i]
 		if !n.AgeUnknown || n.Version > reported || !n.cutoff.After(now) {
@@ -220,21 +228,21 @@
 	}
 }
 
-// maxVersionMargin is how long before the deadline of a version older ones are cut
-// off, so that a request sent just before still starts in time: its packet may be
-// retransmitted once, after initialRTO, and the engine then takes up to
-// engineStartTime to start it. maxVersionMarginShare limits the margin to a share
-// of VersionDeadline.
+// maxVersionMargin is the time from the cutoff of a target version to its deadline. A
+// request that is sent to an older version just before the cutoff then starts before
+// the deadline, even if its packet is lost once. maxVersionMarginShare limits this time
+// to a share of VersionDeadline.
 const (
 	// initialRTO is the initial retransmission timeout of TCP (RFC 6298).
-	initialRTO            = time.Second
+	initialRTO = time.Second
+	// engineStartTime bounds the time from an engine's receipt of a request to its
+	// start.
 	engineStartTime       = 900 * time.Millisecond
 	maxVersionMargin      = initialRTO + engineStartTime
 	maxVersionMarginShare = 0.25
 )
 
-// versionMargin returns how long before the version deadline older versions are cut
-// off.
+// versionMargin returns the time from the cutoff of a target version to its deadline.
 func (s *Server) versionMargin() time.Duration {
 	return min(maxVersionMargin, time.Duration(maxVersionMarginShare*float64(s.settings.VersionDeadline)))
 }
@@ -256,22 +264,21 @@
 	return false
 }
 
-// nextVersionLead is how long before a cutoff engines with older versions get only
-// requests that they can start at once.
+// nextVersionLead is the time before the cutoff of a target version in which engines
+// with older versions get only requests that they can start at once.
 const nextVersionLead = 1700 * time.Millisecond
 
-// scheduledUpdateLead is how long after the cutoff an engine with an older version
-// still gets requests that it can start at once, if its sidecar has scheduled an
-// update before the deadline. Sidecars drain such engines 1.2 s before the
-// deadline. If a sidecar fails to do so, engineStartTime and 100 ms remain until
-// the deadline.
+// scheduledUpdateLead is the time after the cutoff of a target version in which an
+// engine with an older version may still get requests that it can start at once. This
+// applies only if the engine's sidecar has scheduled its update before the deadline.
+// After this time, a request still has engineStartTime to start before the deadline.
 const scheduledUpdateLead = maxVersionMargin - engineStartTime - 100*time.Millisecond
 
-// minVersion returns the lowest version of model that may start a request at time
-// at, or 0 for any. Server.mu must be held.
+// minVersion returns the lowest version of model to which requests may be sent at the
+// time at, or 0 if any may be used. Server.mu must be held.
 func (s *Server) minVersion(model string, at time.Time) int {
 	lowest := 0
-	for _, n := range s.namedVersions[model] {
+	for _, n := range s.targetVersions[model] {
 		if at.After(n.cutoff) {
 			lowest = n.Version
 		}
@@ -279,9 +286,9 @@
 	return lowest
 }
 
-// HandleReport processes an engine's load report. roundTrip is the measured round
-// trip to the sidecar, or negative if there is none. Reports of endpoints not on
-// the list are ignored.
+// HandleReport processes an engine's load report. roundTrip is the measured round-trip
+// time to the sidecar, or negative if it was not measured. Reports of endpoints that
+// are not on the list are ignored.
 func (s *Server) HandleReport(r fleet.Report, roundTrip time.Duration) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -298,8 +305,8 @@
 	s.dispatch(e.Service, now)
 }
 
-// raiseGateways processes the number of gateways known to a sidecar. Shared limits
-// are divided by the largest number ever reported. Server.mu must be held.
+// raiseGateways processes the number of gateways that a sidecar has reported. Shared
+// limits are divided by the largest number ever reported. Server.mu must be held.
 func (s *Server) raiseGateways(n int) {
 	if n <= s.gateways {
 		return
@@ -312,26 +319,28 @@
 	s.events.Info("gateway count increased", "gateways", n)
 }
 
-// NoticeDue returns a channel that receives when sidecars should be notified at
-// once: a version has been named, an endpoint was added, or suspects have changed.
+// NoticeDue returns a channel that receives when sidecars should be notified at once:
+// a target version was set, an endpoint was added, or the suspects have changed, which
+// are the requests that may have crashed endpoints.
 func (s *Server) NoticeDue() <-chan struct{} { return s.noticeDue }
 
-// NamedVersions returns the most recently named versions of a model, newest last,
-// at most maxNamedVersions.
+// TargetVersions returns the most recent target versions of a model, newest last, at
+// most maxTargetVersions.
 func (s *Server) NamedVersions(model string) []NamedVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.namedVersions[model]
-	return slices.Clone(list[max(0, len(list)-maxNamedVersions):])
+	list := s.targetVersions[model]
+	return slices.Clone(list[max(0, len(list)-maxTargetVersions):])
 }
 
-// maxNamedVersions is how many named versions sidecars are notified of. It exceeds
-// 1 because the deadline of a version may pass before the next one is served.
-const maxNamedVersions = 2
+// maxTargetVersions bounds the target versions of a model of which sidecars are
+// notified. It exceeds 1 because the deadline of a version may pass before the next one
+// is served.
+const maxTargetVersions = 2
 
-// EngineAddresses returns the addresses of a service's endpoints, divided into
-// those whose sidecars have the weights configuration with the given checksum and
-// all others.
+// EngineAddresses returns the addresses of a service's endpoints in two groups:
+// upToDate are those whose sidecars have the weights configuration with the given
+// checksum, and others are the rest.
 func (s *Server) EngineAddresses(service string, checksum uint32, now time.Time) (upToDate, others []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ingress/storerollback.go
+++ b/ingress/storerollback.go
@@ -10,16 +10,16 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// The store may be restored from a replica that lags by some seconds. Its endpoint
-// list then contains endpoints that have been removed since and lacks endpoints
-// that were added. Until the endpoints have rewritten their entries, the gateway's
-// own state takes precedence over the list.
+// A store rollback is a restore of the store from a replica that lags by some seconds.
+// The restored endpoint list contains endpoints that were removed since then and lacks
+// endpoints that were added. Until the running endpoints have rewritten their entries,
+// the gateway's own state takes precedence over the list.
 const (
-	// rewriteTimeout is how long after a rollback an endpoint missing from the list
-	// is kept. Running endpoints rewrite their entries within about two seconds.
+	// rewriteTimeout is how long after a rollback an endpoint that is missing from the
+	// list is kept. Running endpoints rewrite their entries sooner.
 	rewriteTimeout = 2500 * time.Millisecond
-	// staleEntryTimeout is how long after a rollback the list may contain entries
-	// of removed endpoints: three heartbeats of 1.2 s and one read of the list.
+	// staleEntryTimeout is how long after a rollback the list may still contain entries
+	// of endpoints that were removed before it.
 	staleEntryTimeout = 4600 * time.Millisecond
 	// removalRetention is how long removals are kept. It exceeds the lag of a
 	// replica.
@@ -31,9 +31,11 @@
 type storeRollback struct {
 	// startedAt is when this gateway detected the last rollback, or zero.
 	startedAt time.Time
-	// removed holds recent removals by endpoint ID.
+	// removed holds recent removals by endpoint ID. Entries of these endpoints in a
+	// restored list are ignored.
 	removed map[string]removal
-	// unconfirmed holds the IDs of the endpoints kept although the list lacks them.
+	// unconfirmed holds the IDs of the endpoints that are kept although the restored
+	// list lacks them.
 	unconfirmed map[string]bool
 }
 
@@ -44,16 +46,17 @@
 	removedAt time.Time
 }
 
-// anyIncarnation exceeds every start time.
+// anyIncarnation is the start time of a removal that applies to all incarnations of an
+// endpoint, which are the runs of its process. It is later than every start time.
 const anyIncarnation = math.MaxInt64
 
 func newStoreRollback() storeRollback {
 	return storeRollback{removed: make(map[string]removal), unconfirmed: make(map[string]bool)}
 }
 
-// SetEra sets the era of the store from which the next list is read; the era
-// increases with each rollback. It returns false if era is older than the current
-// one.
+// SetEra sets the era of the store from which the next list is read. The era is a
+// number that increases with each rollback of the store. SetEra returns false if era is
+// older than the current one.
 func (s *Server) SetEra(era int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,9 +79,9 @@
 	delete(s.rollback.unconfirmed, r.ID)
 }
 
-// reconcile corrects a list that may come from a lagging replica: it drops removed
-// endpoints, preserves draining, and adds the endpoints that the list lacks.
-// Server.mu must be held.
+// reconcile corrects a list that was read soon after a store rollback. It drops
+// endpoints that were removed before the rollback, keeps endpoints marked as draining,
+// and for rewriteTimeout adds the endpoints that the list lacks. Server.mu must be held.
 func (s *Server) reconcile(records []fleet.Record, now time.Time) []fleet.Record {
 	since := now.Sub(s.rollback.startedAt)
 	if s.rollback.startedAt.IsZero() || since >= staleEntryTimeout {
@@ -110,9 +113,9 @@
 	return out
 }
 
-// expireRollback drops endpoints that have not rewritten their entries within
-// rewriteTimeout of a rollback, and removals older than removalRetention. Server.mu
-// must be held.
+// expireRollback removes the endpoints that have not rewritten their entries within
+// rewriteTimeout after a rollback, and deletes removals older than removalRetention.
+// Server.mu must be held.
 func (s *Server) expireRollback(now time.Time) {
 	for id, d := range s.rollback.removed {
 		if now.Sub(d.removedAt) > removalRetention {
