--- a/ingress/accept.go
+++ b/ingress/accept.go
@@ -12,9 +12,9 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// acceptFailureHold is how long a gateway reports itself unready after a failed
-// accept. It covers the two missed probes after which the platform sends new
-// callers elsewhere.
+// acceptFailureHold is how long a gateway reports itself unready after it failed to
+// accept a connection. Within this time the platform's readiness probes fail twice,
+// after which it sends new callers to other gateways.
 const acceptFailureHold = 2500 * time.Millisecond
 
 // acceptState records whether callers' connections can be accepted.
@@ -28,13 +28,14 @@
 	return now.UnixNano()-a.lastFailure.Load() < int64(acceptFailureHold)
 }
 
-// WatchAccepts wraps the listener for callers. If accepting fails, such as when
-// file descriptors run out, the gateway closes its idle connections to endpoints
-// and becomes unready for acceptFailureHold.
+// WatchAccepts wraps the listener for callers' connections. If the gateway cannot accept
+// a connection, for example because it has no file descriptors left, it closes its idle
+// connections to endpoints and is unready for acceptFailureHold.
 func (s *Server) WatchAccepts(l net.Listener) net.Listener {
 	return &watchedListener{Listener: l, server: s}
 }
 
+// watchedListener is the listener that WatchAccepts returns.
 type watchedListener struct {
 	net.Listener
 	server *Server
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -60,7 +60,7 @@
 // deny responds with a client error.
 func (x *exchange) deny(status int, cause string) { x.respond(status, outcomeDenied, cause) }
 
-// denyIfCurrent denies a request for something that the configuration lacks. If a
+// denyIfCurrent denies a request for a route or key that the configuration lacks. If a
 // newer configuration may exist, it refuses the request as retryable instead.
 func (x *exchange) denyIfCurrent(status int, cause string) {
 	if current := x.server.settings.Current; current != nil && !current() {
@@ -81,8 +81,8 @@
 	x.recordOutcome(outcome, cause, status)
 }
 
-// respondUnanswered ends a request for which no attempt succeeded. If the caller
-// has disconnected, it aborts the connection.
+// respondUnanswered responds to a request for which no attempt got a response that can
+// be forwarded. If the caller has disconnected, it aborts the connection.
 func (x *exchange) respondUnanswered(ctx context.Context) {
 	switch {
 	case x.callerLeft():
@@ -101,7 +101,7 @@
 }
 
 // refusalCause returns why x is refused. If all endpoints are closed by their own
-// signals, it names one, whose log lines show the signal.
+// signals, the text contains the ID of one of them.
 func (x *exchange) refusalCause(c fleet.Closure) string {
 	switch {
 	case c.Reason == fleet.Open:
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -13,8 +13,8 @@
 	"github.com/mintlift/mintlift/upstream"
 )
 
-// send sends the request to e and reads the response header. If lastEvent is not
-// empty, it is sent as Last-Event-Id.
+// send sends the request to e and reads the response header. lastEvent is the value of
+// the Last-Event-Id header; if it is empty, the caller's header is sent unchanged.
 func (x *exchange) send(ctx context.Context, e *fleet.Endpoint, lastEvent string) (*upstream.Response, error) {
 	names := &x.server.settings.Headers
 	h := x.header.Clone()
@@ -44,9 +44,9 @@
 	})
 }
 
-// stillEligible reports whether e may still get the request for which it was
-// chosen. Since then a version's cutoff may have passed, or e may have started to
-// drain or asked for backoff.
+// stillEligible reports whether x may still be sent to e, which was chosen for it. In
+// the meantime the cutoff of a target version may have passed, x may have been
+// quarantined, or e may have sent a signal that forbids the request.
 func (s *Server) stillEligible(x *exchange, e *fleet.Endpoint) bool {
 	now := clock.Now()
 	s.mu.Lock()
@@ -61,10 +61,10 @@
 type verdict int
 
 const (
-	verdictOK      verdict = iota // success, as far as known from the response header
+	verdictOK      verdict = iota // the response header reports success
 	verdictNotRun                 // the endpoint did not run the request
-	verdictFailed                 // error response of the endpoint
-	verdictInvalid                // no valid response to this request
+	verdictFailed                 // the endpoint sent an error response
+	verdictInvalid                // there is no complete and valid response
 )
 
 // classify returns the verdict on a response by its header.
@@ -83,8 +83,8 @@
 	}
 }
 
-// mayRetry reports whether another attempt may follow one that may have reached an
-// endpoint, and charges the retry budget unless reserveRetry has done so.
+// mayRetry reports whether another attempt may be made after a failed one. If so, it
+// charges the retry budget, unless reserveRetry has already done so.
 func (x *exchange) mayRetry(now time.Time) bool {
 	if x.retryReserved {
 		x.retryReserved = false
@@ -93,16 +93,16 @@
 	return x.takeRetry(now)
 }
 
-// reserveRetry charges the retry budget for the attempt that will follow the
-// current one, before that is canceled. An attemptCanceler calls it concurrently
-// with the attempt, but not after the attempt has ended.
+// reserveRetry charges the retry budget for the next attempt before the current one is
+// canceled, and reports whether the budget allows the next attempt. An attemptCanceler
+// calls it concurrently with the current attempt, but not after that has ended.
 func (x *exchange) reserveRetry(now time.Time) bool {
 	x.retryReserved = x.takeRetry(now)
 	return x.retryReserved
 }
 
-// takeRetry charges the retry budget for one attempt, if one is left and the time
-// is not up.
+// takeRetry charges the retry budget for one attempt. It returns false if the budget is
+// used up, the route allows no more attempts, or the request has expired.
 func (x *exchange) takeRetry(now time.Time) bool {
 	if x.attempts >= max(x.route.MaxAttempts, 1) || now.After(x.expiresAt) {
 		return false
@@ -143,10 +143,11 @@
 	}
 }
 
-// unknownLateness means that an attempt ended without receiving bytes.
+// unknownLateness is the lateness of an attempt that ended without receiving bytes.
 const unknownLateness = time.Duration(-1)
 
-// enginePassTime is the expected time of an engine pass, without prefill.
+// enginePassTime is the expected time until an idle engine sends its first bytes, in
+// addition to the prefill time.
 const enginePassTime = 120 * time.Millisecond
 
 // recordFirstBytes reports to the fleet that the attempt at e has received its
@@ -164,7 +165,8 @@
 	s.mu.Unlock()
 }
 
-// recordAttempt records the time and expectations of the attempt at e and logs it.
+// recordAttempt sets the fields of x that describe the attempt at e, such as its start
+// and expected first-byte time, and logs the attempt.
 func (x *exchange) recordAttempt(e *fleet.Endpoint) {
 	s := x.server
 	now := clock.Now()
--- a/ingress/caller.go
+++ b/ingress/caller.go
@@ -12,15 +12,15 @@
 // connContextKey is the context key of the caller's connection.
 type connContextKey struct{}
 
-// ConnContext makes the caller's connection available to its requests. Set it as
-// http.Server.ConnContext.
+// ConnContext stores the caller's connection in the context of its requests, for
+// callerLeft. It must be set as http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// callerLeft reports whether the caller has closed its connection. It checks the
-// socket because net/http cancels the request's context from a separate goroutine,
-// possibly after the request would already have been sent to an endpoint.
+// callerLeft reports whether the caller has closed its connection. It checks the socket
+// in addition to the request's context, because net/http cancels the context in another
+// goroutine, which may be too late to keep the request from being sent.
 func (x *exchange) callerLeft() bool {
 	ctx := x.request.Context()
 	if ctx.Err() != nil {
--- a/ingress/handler.go
+++ b/ingress/handler.go
@@ -30,7 +30,8 @@
 	// identity is the same for all attempts and caller retries of one request, at every
 	// gateway.
 	identity quarantine.ID
-	// trial reports that the request runs although it is in quarantine.
+	// trial reports that the request is allowed to run once although it is in
+	// quarantine.
 	trial bool
 	// endpointStartedMS is the start time of the endpoint's process when the attempt was
 	// sent, in Unix milliseconds, or 0 if unknown.
@@ -38,8 +39,8 @@
 	body              []byte
 	header            http.Header // for the endpoint, without per-attempt headers
 	start             time.Time
-	// configAge is how long before start the configuration was last known to be the
-	// newest.
+	// configAge is the time from when the configuration was last known to be the newest
+	// until start.
 	configAge time.Duration
 	// expiresAt is the earlier of the caller's deadline and the route's timeout.
 	expiresAt time.Time
@@ -47,33 +48,35 @@
 	// sent the time left until expiresAt.
 	callerDeadline time.Time
 	priority       int
-	// callerRetry reports that the caller probably retries after a refusal.
+	// callerRetry reports that this request is probably the caller's retry of a request
+	// that was refused.
 	callerRetry bool
 
 	// prefillMS is the expected prefill time of the prompt, in milliseconds.
 	prefillMS float64
 	// meanPrefillMS is the prefill time of a prompt of mean length.
 	meanPrefillMS float64
-	// sentAt is when the current attempt was sent, and expectedFirstByte the
-	// expected time from then to its first bytes.
+	// sentAt is when the current attempt started, and expectedFirstByte is the expected
+	// time from then until the first bytes of its response.
 	sentAt            time.Time
 	expectedFirstByte time.Duration
-	// gotBytes reports that the current attempt has received bytes.
+	// gotBytes reports that bytes of the current attempt's response have been received.
 	gotBytes bool
 
-	// acceptsLate reports that the request also takes endpoints that miss the
-	// target latency.
+	// acceptsLate reports that the request may be sent to endpoints that are expected
+	// to respond after the target latency.
 	acceptsLate   bool
 	attempts      int             // attempts that may have reached an endpoint
-	tried         map[string]bool // endpoint IDs
-	mayHaveRun    bool            // an endpoint may have run the request, or may yet run it
+	tried         map[string]bool // IDs of the endpoints of previous attempts
+	mayHaveRun    bool            // an endpoint may have run the request, or may still run it
 	retryReserved bool            // the retry budget has been charged for the next attempt
-	// isolated reports that the current attempt was chosen with Query.Isolated.
-	// hasPermit reports that it holds a permit of an endpoint with a rate limit.
+	// isolated reports that the endpoint of the current attempt was chosen with
+	// Query.Isolated, so that it runs no other suspected request. hasPermit reports that
+	// the attempt has used a permit of an endpoint with a rate limit.
 	isolated, hasPermit bool
-	// crashes counts the endpoints that crashed during attempts of this exchange.
+	// crashes is the number of endpoints that crashed during attempts of this exchange.
 	crashes   int
-	lastCause string
+	lastCause string // why the last attempt failed
 }
 
 // Limits on reading a request.
@@ -114,9 +117,9 @@
 	x.servePlain(ctx)
 }
 
-// prepare matches the request against the configuration in force, sets the fields
-// derived from it and reads the body. If it returns false, the response has been
-// sent.
+// prepare matches the request against the configuration in force, sets the fields of x
+// that depend on the request and the configuration, and reads the body. If it returns
+// false, it has already responded.
 func (x *exchange) prepare() bool {
 	x.config = x.server.routes.Get()
 	if age := x.server.settings.ConfigAge; age != nil {
@@ -227,8 +230,8 @@
 	}
 }
 
-// readBody reads the request body into x.body. If it returns false, the response has
-// been sent.
+// readBody reads the request body into x.body. If it returns false, it has already
+// responded.
 func (x *exchange) readBody() bool {
 	if x.request.Body == nil || x.request.Body == http.NoBody {
 		return true
--- a/ingress/list.go
+++ b/ingress/list.go
@@ -16,12 +16,11 @@
 	// the changes of the list within it.
 	instance   uint64
 	generation int64
-	// era is the store's era of the list; see SetEra.
+	// era is the store's era in which the list was read; see SetEra.
 	era int64
 	// changed is closed and replaced when the list changes.
 	changed chan struct{}
-	// confirmedAt is when the store was last read, by this gateway or by the
-	// gateway from which it has the list.
+	// confirmedAt is when the list was last known to be current.
 	confirmedAt time.Time
 }
 
@@ -38,9 +37,10 @@
 
 // List is a snapshot of a gateway's endpoint list.
 type List struct {
-	// State identifies this snapshot; it is unique across gateways.
+	// State identifies this snapshot. Snapshots of different gateways have different
+	// states.
 	State string
-	// Era is the store's era in which the list was read.
+	// Era is the store's era in which the list was read; see Server.SetEra.
 	Era     int64
 	Records []fleet.Record
 	// Confirmed is when the list was last known to be current.
@@ -56,7 +56,8 @@
 	s.list.confirmedAt = now
 }
 
-// List returns a snapshot of the endpoint list, and whether the list has been read.
+// List returns a snapshot of the endpoint list. The second result reports whether the
+// list has been read at least once.
 func (s *Server) List() (List, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -21,12 +21,12 @@
 // is complete.
 const maxResponseBytes = 8 << 20
 
-// errStalled cancels an attempt whose endpoint has sent nothing for too long.
+// errStalled is the cause with which an attempt is canceled if its endpoint has sent
+// nothing for too long.
 const errStalled = errors.ConstError("the endpoint has fallen silent")
 
-// attemptTimeShare is the share of the remaining time that an attempt may take
-// while another endpoint could still be tried. It leaves time for a retry if an
-// endpoint or its connection hangs.
+// attemptTimeShare is the share of the request's remaining time that an attempt may
+// take if it can be retried. The rest is left for the retry.
 const attemptTimeShare = 0.5
 
 // errResponseTooLarge reports a response larger than maxResponseBytes.
@@ -79,8 +79,8 @@
 	}
 }
 
-// nextEndpoint waits for the endpoint of the next attempt and counts the attempt.
-// It returns nil if there is none or the request is in quarantine.
+// nextEndpoint waits for an endpoint for the next attempt, and counts the attempt. It
+// returns nil if the request is refused or in quarantine.
 func (x *exchange) nextEndpoint(ctx context.Context) *fleet.Endpoint {
 	if x.quarantined(clock.Now()) {
 		return nil
@@ -99,13 +99,14 @@
 	return e
 }
 
-// canFailOver reports whether the current attempt may be canceled and retried at
-// another endpoint.
+// canFailOver reports whether the route allows canceling the current attempt and
+// retrying it at another endpoint.
 func (x *exchange) canFailOver() bool {
 	return x.route.Idempotent() && x.attempts < max(x.route.MaxAttempts, 1)
 }
 
-// attemptCanceler cancels an attempt that has not ended, if it can be retried.
+// attemptCanceler cancels an attempt that takes too long, if the retry budget allows
+// another attempt.
 type attemptCanceler struct {
 	exchange *exchange
 	cancel   context.CancelCauseFunc
@@ -113,15 +114,15 @@
 	ended    bool
 }
 
-// withCanceler returns a context for an attempt, and its canceler. The caller must
-// call end.
+// withCanceler returns a context for an attempt, and the canceler of that context. The
+// caller must call end when the attempt has ended.
 func (x *exchange) withCanceler(ctx context.Context) (context.Context, *attemptCanceler) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return ctx, &attemptCanceler{exchange: x, cancel: cancel}
 }
 
-// cancelForRetry cancels the attempt if the retry budget allows another. It returns
-// true if the attempt has ended, by this call or before.
+// cancelForRetry cancels the attempt with errStalled if the retry budget allows another
+// attempt. It returns true if the attempt has been canceled or had already ended.
 func (b *attemptCanceler) cancelForRetry(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,8 +145,9 @@
 	b.cancel(nil)
 }
 
-// withAttemptTimeout returns a context that limits an attempt to attemptTimeShare
-// of the remaining time if it can be retried elsewhere.
+// withAttemptTimeout returns a context for an attempt. If the attempt can be retried at
+// another endpoint, the context limits it to attemptTimeShare of the request's remaining
+// time.
 func (x *exchange) withAttemptTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, b := x.withCanceler(ctx)
 	if !x.canFailOver() {
@@ -160,8 +162,8 @@
 	}
 }
 
-// attemptStalled ends an attempt at an endpoint that stalled. The idle connections
-// to the endpoint are closed, as they may be stalled as well.
+// attemptStalled ends an attempt that was canceled with errStalled. It closes the idle
+// connections to the endpoint, which may be stalled as well.
 func (x *exchange) attemptStalled(e *fleet.Endpoint) verdict {
 	x.lastCause = errStalled.Error()
 	x.server.pool.CloseIdle(e.Address)
@@ -210,8 +212,8 @@
 	return &reply{status: response.Status, header: response.Header, body: body}, v
 }
 
-// discardResponse ends an attempt whose response the caller does not get: the
-// endpoint did not run the request, or the response is invalid.
+// discardResponse ends an attempt whose response is not forwarded, because the endpoint
+// did not run the request or the response is invalid.
 func (x *exchange) discardResponse(e *fleet.Endpoint, response *upstream.Response, v verdict) {
 	if v == verdictNotRun {
 		x.lastCause = "endpoint refused"
@@ -225,8 +227,8 @@
 	x.finishAttempt(e, fleet.Failed)
 }
 
-// rejectionResult maps the status of a response to a request that was not run to
-// its fleet result.
+// rejectionResult returns the fleet.Result for an endpoint that did not run a request
+// and responded with status.
 func rejectionResult(status int) fleet.Result {
 	if status == http.StatusMisdirectedRequest {
 		return fleet.Misdirected
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -15,7 +15,7 @@
 type waiter struct {
 	exchange *exchange
 	rank     rank
-	deadline time.Time // when it is refused
+	deadline time.Time // when the request is refused
 	// assigned has capacity 1 and receives the endpoint, or nil if the request is
 	// refused.
 	assigned chan *fleet.Endpoint
@@ -25,22 +25,23 @@
 type rank struct {
 	priority int
 	stage    stage
-	// responseDue is when the response should start; the earliest goes first.
+	// responseDue is when the response should start. The waiter with the earliest time
+	// is served first.
 	responseDue time.Time
 }
 
-// stage orders waiters of the same priority. Further attempts of a request go
-// first, because its stream may already have started; new requests go before
-// callers' retries, because they can still meet their target latency.
+// stage orders waiters of the same priority. The gateway's own retries are served
+// first, because their streams may already have started. First attempts of new requests
+// are served before callers' retries, because they can still meet the target latency.
 type stage int
 
 const (
-	stageRetry stage = iota
-	stageFirst
-	stageCallerRetry
+	stageRetry       stage = iota // a further attempt by the gateway
+	stageFirst                    // the first attempt of a new request
+	stageCallerRetry              // the first attempt of a caller's retry
 )
 
-// stage returns the stage of the next attempt.
+// stage returns the stage of the next attempt of x.
 func (x *exchange) stage() stage {
 	switch {
 	case x.attempts > 0:
@@ -59,7 +60,7 @@
 // queue holds the waiters of a service, ordered by rank. Server.mu guards it.
 type queue struct {
 	waiters []*waiter
-	// nextDispatch is the time of the scheduled dispatch, or zero if none was
+	// nextDispatch is the time of the last scheduled dispatch, or zero if none has been
 	// scheduled.
 	nextDispatch time.Time
 }
@@ -76,13 +77,12 @@
 	}
 }
 
-// dispatch assigns endpoints with spare capacity to the waiters of a service, by
-// rank. Each waiter's query is built anew, because a version's cutoff may have
-// passed meanwhile. Server.mu must be held.
+// dispatch assigns endpoints with spare capacity to the waiters of a service, in the
+// order of their ranks. It builds each waiter's query anew, because the cutoff of a
+// target version may have passed since the last dispatch. Server.mu must be held.
 //
-// Endpoints without capacity for any waiter are filtered out once. Searching all
-// endpoints for each waiter, on each load report, costs too much when many requests
-// wait.
+// Endpoints that have no capacity for any waiter are excluded once for all waiters.
+// Searching all endpoints for each waiter would be too slow.
 func (s *Server) dispatch(service string, now time.Time) {
 	q := s.queues[service]
 	if q == nil || len(q.waiters) == 0 {
@@ -117,8 +117,9 @@
 	q.waiters = kept
 }
 
-// refuseClosed refuses the waiters for which all endpoints are closed by their own
-// signals until after the waiter's deadline. Server.mu must be held.
+// refuseClosed refuses each waiter for which the endpoints' own signals, such as
+// draining or a backoff, close all endpoints until after its deadline. Server.mu must
+// be held.
 func (s *Server) refuseClosed(q *queue, now time.Time) {
 	if s.fleet.Closure(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
 		return
@@ -133,8 +134,9 @@
 	})
 }
 
-// scheduleDispatch schedules a dispatch for when the next endpoint opens, as no
-// other event may trigger one then. Server.mu must be held.
+// scheduleDispatch schedules a dispatch for the time at which the next endpoint opens,
+// such as the end of a backoff. No other event may cause a dispatch at that time.
+// Server.mu must be held.
 func (s *Server) scheduleDispatch(service string, q *queue, now time.Time) {
 	if len(q.waiters) == 0 {
 		return
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -17,7 +17,7 @@
 func (x *exchange) recordSignals(e *fleet.Endpoint, r *upstream.Response) {
 	s := x.server
 	if s.settings.DecodeSignal == nil || r.Status == http.StatusMisdirectedRequest {
-		return // may come from another endpoint at the same address
+		return // a 421 may come from another endpoint at the same address
 	}
 	signal := s.settings.DecodeSignal(r.Status, r.Header)
 	now := clock.Now()
@@ -30,8 +30,9 @@
 	}
 }
 
-// logSignalChanges logs and counts changes of an endpoint's signals. request is
-// empty if another process reported them. Server.mu must be held.
+// logSignalChanges logs and counts changes of an endpoint's signals. request is the ID
+// of the request in whose response they were received; it is empty if another process
+// reported them. Server.mu must be held.
 func (s *Server) logSignalChanges(endpoint, request string, changes []backpressure.Change) {
 	for _, c := range changes {
 		s.metrics.Counter("mintlift_ingress_endpoint_signals_total", "signal", c.Kind.String()).Inc()
@@ -39,7 +40,7 @@
 	}
 }
 
-// registerSignalGauges registers the gauges of endpoints by signal.
+// registerSignalGauges registers the gauges that count the endpoints with each signal.
 func (s *Server) registerSignalGauges(m *telemetry.Metrics) {
 	of := func(read func(w fleet.Signals) float64) func() float64 {
 		return func() float64 {
@@ -54,9 +55,9 @@
 	m.Gauge("mintlift_ingress_limits_allowed", of(func(w fleet.Signals) float64 { return w.Allowed }))
 }
 
-// takePermit reports whether the rate limit of e, if any, allows x to be sent
-// there. It takes a permit if x has none, as when the limit was set after e was
-// chosen. Server.mu must be held.
+// takePermit reports whether the rate limit of e, if any, allows x to be sent to e. If
+// x has no permit, because the limit was set after e was chosen, it takes one.
+// Server.mu must be held.
 func (x *exchange) takePermit(e *fleet.Endpoint, now time.Time) bool {
 	if x.hasPermit || !e.Signals.Limited() {
 		return true
@@ -73,7 +74,7 @@
 // endpoint.
 type PermitRequest struct {
 	backpressure.PermitRequest
-	// Address is the address of the endpoint next to the sidecar.
+	// Address is the address of the sidecar's endpoint.
 	Address string
 }
 
@@ -90,8 +91,8 @@
 	return requests
 }
 
-// maxPermitRequests limits the permit requests that wait to be sent. Dropped ones
-// are made again later.
+// maxPermitRequests limits the permit requests that wait to be sent. Further ones are
+// dropped and made again later.
 const maxPermitRequests = 256
 
 // queuePermitRequests queues the permit requests that are due for the endpoints of
@@ -116,9 +117,10 @@
 	}
 }
 
-// permitAllocator returns the address of the endpoint whose sidecar allocates the permits
-// of e: of e itself if it has a sidecar, or else one that all gateways choose
-// alike. It is empty if there is none. Server.mu must be held.
+// permitAllocator returns the address of the endpoint whose sidecar allocates the
+// permits of e. An engine has its own sidecar. For a plain endpoint, all gateways choose
+// the same sidecar of an engine. The address is empty if there is none. Server.mu must
+// be held.
 func (s *Server) permitAllocator(e *fleet.Endpoint, now time.Time) string {
 	c := s.routes.Get()
 	if c == nil {
@@ -147,7 +149,7 @@
 	}
 }
 
-// MergeEndpointSignals merges signals of endpoints that other gateways received.
+// MergeEndpointSignals merges records of endpoint signals that other gateways received.
 func (s *Server) MergeEndpointSignals(records []backpressure.Record) {
 	now := clock.Now()
 	s.mu.Lock()
--- a/ingress/stats.go
+++ b/ingress/stats.go
@@ -11,16 +11,17 @@
 // statsDecay is the time constant of requestStats.
 const statsDecay = 1500 * time.Millisecond
 
-// requestStats counts a service's requests and refusals with exponential decay. It
-// is safe for concurrent use.
+// requestStats counts the requests for a service and how many of them were refused.
+// The counts decay exponentially with the time constant statsDecay. It is safe for
+// concurrent use.
 type requestStats struct {
 	mu                sync.Mutex // guards all fields
 	requests, refused float64
 	updatedAt         time.Time
 }
 
-// decay reduces the counts by the time since the last update. requestStats.mu must
-// be held.
+// decay applies the exponential decay since the last update. requestStats.mu must be
+// held.
 func (p *requestStats) decay(now time.Time) {
 	keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(statsDecay))
 	p.requests *= keep
@@ -39,8 +40,8 @@
 	}
 }
 
-// refusedShare returns the share of recent requests that were refused, from 0 to 1;
-// 0 while there are too few.
+// refusedShare returns the share of recent requests that were refused, from 0 to 1. It
+// returns 0 if there were too few requests.
 func (p *requestStats) refusedShare(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -19,37 +19,36 @@
 
 // Timeouts after which a stream without new events is resumed at another endpoint.
 const (
-	// boxStallTimeout applies if nothing at all arrives from the endpoint's box.
+	// boxStallTimeout applies if nothing at all arrives from the endpoint's box, neither
+	// events nor load reports.
 	boxStallTimeout = 900 * time.Millisecond
-	// firstEventTimeout applies to a stream that has no events yet while its box is
-	// reachable; an engine may take seconds until it has a free slot.
-	// nextEventTimeout applies after the first event. Callers disconnect after two
-	// seconds without events.
+	// firstEventTimeout applies while the box is reachable and the attempt has received
+	// no event. It is long, because an engine may take seconds until it has a free slot,
+	// its capacity for one request. nextEventTimeout applies after the first event.
 	firstEventTimeout = 2200 * time.Millisecond
 	nextEventTimeout  = 1200 * time.Millisecond
-	// idleCheckInterval is how often the timeouts are checked.
+	// idleCheckInterval is the time between two checks of the timeouts.
 	idleCheckInterval = 300 * time.Millisecond
 )
 
-// errEventGap reports an event whose ID does not follow the last one.
+// errEventGap is the error for an event whose ID is not the last event's ID plus one.
 const errEventGap = errors.ConstError("events do not follow")
 
 // streamExchange is an exchange whose response is a stream of events.
 type streamExchange struct {
 	*exchange
 	control *http.ResponseController
-	// started reports that the response header and an event have been sent to the
-	// caller.
+	// started reports that the response header has been sent to the caller.
 	started bool
-	// lastID is the ID of the last event that the caller has, from this stream or
-	// an earlier one; -1 if none.
+	// lastID is the ID of the last event that the caller has received, in this exchange
+	// or before it; -1 if none.
 	lastID int64
-	// lastEventID is the Last-Event-Id of the next attempt: lastID, or the caller's
-	// header as it was received.
+	// lastEventID is the Last-Event-Id to send with the next attempt: the caller's own
+	// header until an event was forwarded, then lastID.
 	lastEventID string
 	eventCount  int // events sent to the caller
-	// firstAt and lastAt are the times of the first and last event sent to the
-	// caller, and maxGap is the longest pause between two.
+	// firstAt and lastAt are the times of the first and last event sent to the caller.
+	// maxGap is the longest time between two successive events.
 	firstAt, lastAt time.Time
 	maxGap          time.Duration
 }
@@ -71,8 +70,9 @@
 	t.failStream(ctx, failure)
 }
 
-// failStream ends a stream that could not be completed. If the response has
-// started, it aborts the connection.
+// failStream ends a stream that could not be completed. If the response header has been
+// sent, it aborts the connection, so that the stream does not look complete. Else it
+// sends failure, the last error response of an endpoint, if there is one.
 func (t *streamExchange) failStream(ctx context.Context, failure *reply) {
 	if t.started {
 		outcome := outcomeBrokenOff
@@ -244,8 +244,8 @@
 	return w
 }
 
-// eventTimeout returns the timeout until the next event while the box is reachable;
-// started reports whether the attempt has received events.
+// eventTimeout returns the timeout for the next event while the box is reachable.
+// started tells whether the attempt has received an event.
 func eventTimeout(started bool) time.Duration {
 	if started {
 		return nextEventTimeout
@@ -253,9 +253,9 @@
 	return firstEventTimeout
 }
 
-// streamStalled reports whether a stream without events for the time idle should be
-// resumed elsewhere: after limit, or sooner if nothing arrives from the endpoint's
-// box.
+// streamStalled reports whether a stream should be resumed at another endpoint. idle is
+// the time without events. The stream counts as stalled if idle reaches limit, or
+// boxStallTimeout while nothing at all arrives from the endpoint's box.
 func (s *Server) streamStalled(e *fleet.Endpoint, idle, limit time.Duration, now time.Time) bool {
 	if idle < boxStallTimeout {
 		return false
--- a/ingress/timeouts.go
+++ b/ingress/timeouts.go
@@ -9,42 +9,43 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// Callers send the time that they will wait. A caller that retries after a refusal
-// has less time left than at its first try, but first tries may send different
-// times as well, from 0.85 of the route's timeout on at some deployments. The lower
-// end of the usual range is learned from the times that most callers send.
+// A request whose caller has already been refused is recognized by its deadline. Callers
+// send the time for which they will still wait. At a retry after a refusal, less time
+// is left than at the first try. The times of first tries may vary as well, so their
+// usual range is learned for each route from the times that most callers send.
 const (
 	// timeoutBins is the number of bins into which the route's timeout is divided.
 	timeoutBins = 100
 	// timeoutDecay is the time constant of the histogram.
 	timeoutDecay = 20 * time.Second
-	// firstTryQuantile is the share of callers below the usual range. Few callers
-	// retry while few are refused, and their remaining times vary.
+	// firstTryQuantile is the quantile of the recorded times at which the usual range
+	// of first tries begins. Times below it are taken for retries.
 	firstTryQuantile = 0.03
-	// maxRefusedToLearn is the share of refused requests up to which times are
-	// recorded. Above it, retries are so many that they would count as usual.
+	// maxRefusedToLearn is the share of refused requests above which no times are
+	// recorded, because too many of them would be those of retries.
 	maxRefusedToLearn = 0.01
-	// maxTimeoutRoutes limits the number of histograms, of 0.8 KB each. Callers on
-	// other routes count as first tries.
+	// maxTimeoutRoutes limits the number of histograms. Requests on routes without one
+	// count as first tries.
 	maxTimeoutRoutes = 64
-	// minTimeoutSamples is the decayed number of callers from which on the
-	// histogram is used.
+	// minTimeoutSamples is the decayed number of recorded times below which a histogram
+	// is not used.
 	minTimeoutSamples = 20
 )
 
-// callerRetryMargin is how far below the usual range a caller's time must be to
-// count as a retry: retryAfterMin, less a margin.
+// callerRetryMargin is how far a caller's time must be below the usual range of first
+// tries to count as a retry. It is less than retryAfterMin, the least time by which a
+// refusal delays a caller.
 const callerRetryMargin = 200 * time.Millisecond
 
 // timeoutHistogram is the decaying distribution of the times that a route's callers
-// send, as shares of the route's timeout. Server.mu guards it.
+// send as their deadlines, as shares of the route's timeout. Server.mu guards it.
 type timeoutHistogram struct {
 	bins      [timeoutBins + 1]float64
 	total     float64
 	updatedAt time.Time
 }
 
-// add adds a caller's share of the timeout.
+// add adds the time that a caller sent, as a share of the timeout.
 func (p *timeoutHistogram) add(part float64, now time.Time) {
 	keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(timeoutDecay))
 	p.updatedAt = now
@@ -55,8 +56,8 @@
 	p.bins[int(math.Round(min(max(part, 0), 1)*timeoutBins))]++
 }
 
-// firstTryMin returns the lower end of the usual range, as a share of the timeout;
-// 1 while there are too few samples.
+// firstTryMin returns the lower end of the usual range of first tries, as a share of the
+// timeout. It returns 1 while there are too few samples.
 func (p *timeoutHistogram) firstTryMin() float64 {
 	if p.total < minTimeoutSamples {
 		return 1
@@ -71,9 +72,9 @@
 	return 1
 }
 
-// isCallerRetry reports whether a caller with the time left is likely to retry
-// after a refusal, and adds its time to the route's histogram. Only streaming
-// routes are considered.
+// isCallerRetry reports whether a request is probably a caller's retry after a refusal.
+// left is the time that the caller sent as its deadline, and is added to the route's
+// histogram. The result is always false for routes that are not streaming.
 func (s *Server) isCallerRetry(r *routing.Route, service string, left, timeout time.Duration, now time.Time) bool {
 	if r.Kind != routing.Streaming || timeout <= 0 {
 		return false
