--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -52,7 +52,8 @@
 // crashBody is the body of a request that crashes its endpoint.
 const crashBody = "killer"
 
-// crashOnCrashBody crashes the endpoint on crashBody, and else responds.
+// crashOnCrashBody crashes the endpoint if the body is crashBody, and else responds with
+// an event.
 func crashOnCrashBody(rw http.ResponseWriter, _ *http.Request, body string, crash func()) {
 	if body == crashBody {
 		time.Sleep(40 * time.Millisecond) // the request has started to run
@@ -61,9 +62,9 @@
 	_, _ = io.WriteString(rw, "id: 1\ndata: token\n\n")
 }
 
-// assertQuarantineResponse checks the response to a request in quarantine. If it
-// was sent to an endpoint, it may have run, and the response must not invite a
-// retry. Otherwise the response must say when to retry.
+// assertQuarantineResponse checks the response to a request in quarantine. sent tells
+// whether the request was sent to an endpoint and may have run. If so, the response must
+// have no Retry-After; else Retry-After must be the time left in quarantine.
 func assertQuarantineResponse(t *testing.T, r *http.Response, sent bool) {
 	t.Helper()
 	if sent {
@@ -77,8 +78,8 @@
 	assert.Assert(t, time.Duration(after)*time.Second > quarantine.CrashTTL-time.Minute && time.Duration(after)*time.Second <= quarantine.CrashTTL, "%d s", after)
 }
 
-// A request that has crashed three endpoints is not sent again, whichever request
-// ID it has, and is rejected at once. Other requests are served.
+// A request that has crashed three endpoints must be rejected at once, even with another
+// request ID. Other requests must be served.
 func TestRequestThatCrashesEndpointsIsRejected(t *testing.T) {
 	for _, test := range []struct{ path, service string }{
 		{"/safe/1", "plain"},
@@ -109,8 +110,8 @@
 	}
 }
 
-// Requests that run on an endpoint while another request crashes it are retried
-// elsewhere, and are cleared of suspicion when they complete.
+// Requests that run on an endpoint while another request crashes it must be retried
+// elsewhere, and must no longer be suspected when they have completed.
 func TestConcurrentRequestsSurviveACrash(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -131,7 +132,7 @@
 		}
 		mu.Unlock()
 		if firstEndpoint {
-			select {} // until the endpoint crashes
+			select {} // blocks; the crash closes the connection
 		}
 		_, _ = io.WriteString(rw, "id: 1\ndata: token\n\n")
 	}
@@ -154,7 +155,7 @@
 	assert.Equal(t, quarantined, 0)
 }
 
-// Aborted responses of running endpoints do not count as crashes.
+// A response that an endpoint aborts without crashing must not count as a crash.
 func TestBrokenResponsesAreNotCrashes(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -169,7 +170,8 @@
 	assert.Equal(t, suspected, 0)
 }
 
-// Crashes and completions that other gateways recorded count as well.
+// Crashes and completions that other gateways recorded must put a request in quarantine
+// and release it.
 func TestQuarantineFromOtherGateways(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -191,8 +193,8 @@
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
-// Two suspected requests are not sent to the same endpoint at the same time while
-// there are others, so that a crash is attributed to one of them.
+// Suspected requests must not run on the same endpoint at the same time while other
+// endpoints have capacity; a crash could then not be attributed to one of them.
 func TestSuspectsRunOnSeparateEndpoints(t *testing.T) {
 	for _, service := range []string{"engine", "plain"} {
 		t.Run(service, func(t *testing.T) { testSuspectsRunApart(t, service) })
@@ -249,8 +251,8 @@
 	assert.Equal(t, suspected, 0, "all have completed")
 }
 
-// quarantineRecords returns another gateway's records of a request that crashed
-// enough endpoints to be in quarantine.
+// quarantineRecords returns records, as sent by another gateway, of a request that is in
+// quarantine.
 func quarantineRecords(target, body string, now time.Time) []quarantine.Record {
 	other := quarantine.New()
 	id := requestIdentity(target, body)
@@ -266,9 +268,8 @@
 	return quarantine.Identify(quarantine.Request{Method: "POST", Host: "h.example", Target: target, Workspace: "w", Body: []byte(body)})
 }
 
-// A quarantined request runs once as a trial, at the gateway that recorded its
-// first crash. If it completes, it leaves quarantine; if it crashes another
-// endpoint, it stays.
+// A quarantined request must run only once as a trial. If it completes, it must leave
+// quarantine; if it crashes another endpoint, it must stay.
 func TestQuarantineTrialRunsOnce(t *testing.T) {
 	for _, body := range []string{"good", crashBody} {
 		t.Run(body, func(t *testing.T) {
@@ -313,8 +314,8 @@
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
-// An endpoint that restarts at once accepts connections; its new start time reveals
-// the crash.
+// The crash of an endpoint that restarts at once, and so accepts connections, must be
+// detected by its new start time.
 func TestCrashDetectedByRestart(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/dispatch_test.go
+++ b/ingress/dispatch_test.go
@@ -13,8 +13,8 @@
 	"github.com/mintlift/mintlift/fleet"
 )
 
-// newFullServer returns a server whose engines are all at capacity, with waiting
-// requests, and the engines' load reports.
+// newFullServer returns a server on which requests wait because all engines are at
+// capacity. It also returns the engines' load reports.
 func newFullServer(t testing.TB, engines, waiters int) (*Server, []fleet.Report) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/endpoints_test.go
+++ b/ingress/endpoints_test.go
@@ -12,9 +12,9 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// An entry of a service that is not configured does not replace the endpoint at its
-// address. It takes effect once the service is configured, and is part of the list
-// that other gateways read.
+// An entry of a service that is not configured must not replace the endpoint at the same
+// address, must be used once the service is configured, and must be in the list that
+// other gateways read.
 func TestEndpointsOfUnconfiguredServices(t *testing.T) {
 	for name, put := range map[string]func(g *testGateway, r fleet.Record){
 		"as single update": func(g *testGateway, r fleet.Record) { g.server.PutEndpoint(r) },
@@ -46,8 +46,8 @@
 	}
 }
 
-// An endpoint whose entry changes to a service that is not configured gets no more
-// requests.
+// An endpoint whose entry changes to a service that is not configured must get no more
+// requests, until it changes back.
 func TestEndpointMovedToUnconfiguredService(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// configure puts a configuration with routes for plain and streaming requests, and
-// with extra routes, in force.
+// configure applies a configuration with the routes /safe/, /unsafe/ and /stream/ and
+// the extra routes.
 func (g *testGateway) configure(version int64, extra ...*routing.Route) {
 	routes := append([]*routing.Route{
 		route(routing.Safe, "/safe/", "plain", 2),
@@ -98,7 +98,7 @@
 		routing.Limits{BodyBytes: 1 << 20}))
 }
 
-// startEndpoint starts an endpoint that is served by h and adds it to the list.
+// startEndpoint starts an endpoint whose requests h handles, and adds it to the list.
 func (g *testGateway) startEndpoint(id, service string, h handler) {
 	g.t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -178,8 +178,8 @@
 
 func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// respondEvents sends the events from the caller's Last-Event-Id up to upTo. If
-// upTo is less than lastEvent, it aborts the connection within the next event.
+// respondEvents sends the events after the request's Last-Event-Id up to upTo. If upTo
+// is less than lastEvent, it then aborts the connection in the middle of an event.
 func respondEvents(upTo, lastEvent int) handler {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testHeaders.Seal, "seal-"+r.Header.Get(testHeaders.ExpectEndpoint))
@@ -200,7 +200,7 @@
 	}
 }
 
-// eventsText returns the complete stream of events up to lastEvent.
+// eventsText returns the body of a stream with the events 1 to lastEvent.
 func eventsText(lastEvent int) string {
 	var b strings.Builder
 	for n := 1; n <= lastEvent; n++ {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -89,12 +89,12 @@
 
 	mu sync.Mutex // guards the fields below
 	// Maps without a comment are keyed by service name.
-	fleet         *fleet.Fleet
-	queues        map[string]*queue
-	budgets       map[string]*retrybudget.Budget
+	fleet          *fleet.Fleet
+	queues         map[string]*queue
+	budgets        map[string]*retrybudget.Budget
 	targetVersions map[string][]NamedVersion // by model, oldest first
-	stats         map[string]*requestStats
-	timeouts      map[string]*timeoutHistogram // by route
+	stats          map[string]*requestStats
+	timeouts       map[string]*timeoutHistogram // by route
 	// gateways is the number of gateways among which shared limits are divided.
 	gateways  int
 	listKnown bool // the endpoint list has been read at least once
@@ -140,7 +140,7 @@
 		fleet:                 fleet.New(s.Place),
 		queues:                make(map[string]*queue),
 		budgets:               make(map[string]*retrybudget.Budget),
-		targetVersions:         make(map[string][]NamedVersion),
+		targetVersions:        make(map[string][]NamedVersion),
 		stats:                 make(map[string]*requestStats),
 		timeouts:              make(map[string]*timeoutHistogram),
 		crashedAt:             make(map[string]time.Time),
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// While the configuration may be outdated, requests for routes and keys that it
-// lacks are refused as retryable instead of denied.
+// While the configuration may be outdated, a request for a route or key that it lacks
+// must get a retryable refusal, since a newer configuration may contain it.
 func TestStaleConfigurationRefusesInsteadOfDenying(t *testing.T) {
 	g := newTestGateway(t)
 	current := false
@@ -68,9 +68,9 @@
 	assert.Equal(t, r.StatusCode, http.StatusNotFound)
 }
 
-// A removed key is rejected, a new route is served, and an older configuration that
-// arrives late is ignored.
-func TestNewerConfigurationAppliesAtOnce(t *testing.T) {
+// An older configuration that arrives late must be ignored, and a key that a newer one
+// lacks must be rejected.
+func TestOnlyNewerConfigurationsApply(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(5, route(routing.Safe, "/new/", "plain", 1))
 	g.startEndpoint("a", "plain", respondOK("body"))
@@ -113,8 +113,8 @@
 	assert.Assert(t, left <= 2000, "deadline %d", left)
 }
 
-// An unsafe request is sent once, whatever the response. Only a certain "not run"
-// becomes a retryable refusal.
+// An unsafe request must be sent only once, whatever the response. The refusal must be
+// retryable only if the request has certainly not run.
 func TestUnsafeIsSentOnce(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -154,8 +154,8 @@
 	}
 }
 
-// Even if the route allows more attempts, an unsafe request is retried only if it
-// has certainly not run.
+// Even if the route allows more attempts, an unsafe request must not be retried unless
+// it has certainly not run.
 func TestUnsafeIsRetriedOnlyIfNotRun(t *testing.T) {
 	const attempts = 3
 	for _, test := range []struct {
@@ -190,7 +190,8 @@
 	}
 }
 
-// A request that no engine can start in time is served late, at its first try.
+// A request with a prefill time longer than the target latency must be served late
+// instead of refused.
 func TestLargePromptIsServedLate(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -271,8 +272,7 @@
 	assert.Assert(t, time.Since(began) < 1900*time.Millisecond, "refused after %s", time.Since(began))
 }
 
-// A new request that no endpoint could serve at any load is refused without
-// waiting.
+// A request for which all endpoints are draining must be refused without waiting.
 func TestUnservableIsRefusedAtOnce(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -298,7 +298,7 @@
 	assert.Equal(t, r.StatusCode, http.StatusRequestEntityTooLarge)
 }
 
-// If the caller disconnects, the attempt at the endpoint is canceled.
+// If the caller disconnects, the attempt at the endpoint must be canceled.
 func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	for _, path := range []string{"/safe/1", "/stream/1"} {
 		g := newTestGateway(t)
@@ -339,8 +339,8 @@
 	assert.Equal(t, len(g.requests()), 1)
 }
 
-// An endpoint that responds with 421, because the list is outdated, costs one attempt in
-// total, not one for each request.
+// After an endpoint has responded with 421, because its list entry is outdated, it must
+// get no further requests.
 func TestMisdirectedEndpointIsAvoided(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/signals_test.go
+++ b/ingress/signals_test.go
@@ -56,8 +56,8 @@
 	return count
 }
 
-// Signals in a 421 response come from another endpoint at the same address and are
-// ignored.
+// Signals in a 421 response must be ignored, since they may come from another endpoint at
+// the same address.
 func TestMisdirectedResponseSignalsAreIgnored(t *testing.T) {
 	g := newTestGateway(t)
 	g.decodeSignals()
@@ -80,8 +80,8 @@
 	assert.Equal(t, got.StatusCode, http.StatusOK)
 }
 
-// If all endpoints drain or ask for backoff, callers, including ones that retry,
-// are refused at once with the time until an endpoint may accept requests again.
+// While all endpoints are draining or in backoff, requests must be refused at once, and
+// Retry-After must cover the time until an endpoint may accept requests again.
 func TestClosedServicesRefuseAtOnce(t *testing.T) {
 	const backoff = 30.0
 	for _, test := range []struct {
@@ -124,8 +124,8 @@
 	}
 }
 
-// An endpoint's Retry-After applies to this gateway and is not forwarded to the
-// caller, whose retry another endpoint may serve.
+// An endpoint's Retry-After must not be forwarded to the caller, since another endpoint
+// may serve the caller's retry sooner.
 func TestEndpointBackoffIsNotPassedToCallers(t *testing.T) {
 	g := newTestGateway(t)
 	g.decodeSignals()
@@ -146,7 +146,7 @@
 	assert.Assert(t, after < 5, "%f s", after)
 }
 
-// A waiting request is refused when the last endpoint closes.
+// A waiting request must be refused as soon as all endpoints are draining.
 func TestWaitersAreRefusedWhenAllClose(t *testing.T) {
 	g := newTestGateway(t)
 	g.decodeSignals()
@@ -165,7 +165,7 @@
 	assert.Assert(t, took > closeDelay && took < closeDelay+50*time.Millisecond, "after %s", took)
 }
 
-// A waiting request is served when an endpoint's backoff ends.
+// A waiting request must be served when an endpoint's backoff ends.
 func TestWaiterIsServedWhenBackoffEnds(t *testing.T) {
 	g := newTestGateway(t)
 	g.decodeSignals()
@@ -187,8 +187,8 @@
 	assert.Equal(t, g.requestsTo("a"), 2)
 }
 
-// An endpoint that starts to drain, asks for backoff or sets a limit of 0 while the
-// request waits for its connection gets no request.
+// A request must not be written to an endpoint that has started to drain, requested a
+// backoff or set a limit of 0 after it was chosen.
 func TestSignalsAreCheckedBeforeWriting(t *testing.T) {
 	for _, signal := range []backpressure.Signal{{Draining: true}, {Backoff: time.Minute}, {Limit: backpressure.Limited(0)}} {
 		g := newTestGateway(t)
--- a/ingress/stall_test.go
+++ b/ingress/stall_test.go
@@ -26,8 +26,9 @@
 // has disconnected.
 const maxStopDelay = 500 * time.Millisecond
 
-// stallProxy forwards connections to an endpoint. After stall, open connections
-// transfer nothing in either direction but stay open; new ones work.
+// stallProxy forwards connections to an endpoint. A call of stall makes the existing
+// connections transfer nothing more in either direction, but leaves them open. New
+// connections are forwarded.
 type stallProxy struct {
 	address string
 	// stalls counts the calls of stall. A connection forwards only while the count
@@ -80,7 +81,7 @@
 
 func (p *stallProxy) stall() { p.stalls.Add(1) }
 
-// putBehindProxy replaces an endpoint's address by that of a proxy.
+// putBehindProxy replaces an endpoint's address by that of a new stallProxy.
 func (g *testGateway) putBehindProxy(id string) *stallProxy {
 	r := g.records[id]
 	p := newStallProxy(g.t, r.Address)
@@ -100,7 +101,7 @@
 	}
 }
 
-// A stalled connection is detected, and a request that may be retried is served by
+// If a connection to an endpoint stalls, a request that may be retried must be served by
 // another endpoint in time.
 func TestStalledConnectionIsDetected(t *testing.T) {
 	for _, kind := range []string{"safe", "stream"} {
@@ -137,8 +138,8 @@
 	}
 }
 
-// A stream that stalls after its first event is resumed elsewhere before the caller
-// gives up, even while its endpoint's box still sends load reports.
+// A stream that stalls after its first event must be resumed at another endpoint, even
+// while its endpoint's box still sends load reports.
 func TestStalledStreamResumesElsewhere(t *testing.T) {
 	g := newTestGateway(t)
 	longRoute := route(routing.Streaming, "/patient/", "engine", 2)
@@ -172,8 +173,8 @@
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// The timeout is shorter after the first event: before it, the engine may have no
-// free slot yet.
+// A stream must count as stalled sooner after its first event than before it, and sooner
+// if nothing arrives from the endpoint's box.
 func TestStreamStallTimeouts(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -188,8 +189,8 @@
 	assert.Assert(t, g.server.streamStalled(e, idle, eventTimeout(false), now.Add(2*boxStallTimeout)), "nothing arrives from the whole box")
 }
 
-// When one connection to an endpoint stalls, its idle connections are not reused,
-// as each would delay a request as much.
+// When a connection to an endpoint stalls, the idle connections to it must not be reused,
+// since they may be stalled as well.
 func TestIdleConnectionsAreClosedAfterAStall(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -231,8 +232,8 @@
 // failureBackoff is longer than an endpoint is avoided after one failure.
 const failureBackoff = 600 * time.Millisecond
 
-// If the caller closes its connection, the request stops at the endpoint. The
-// shortest of several tries counts, as the machine may be busy.
+// If the caller closes its connection, the request must stop at the endpoint within
+// maxStopDelay. The shortest of several delays counts, since the machine may be busy.
 func TestCallerCloseStopsEndpoint(t *testing.T) {
 	for path, service := range map[string]string{"/safe/1": "plain", "/unsafe/1": "plain", "/stream/1": "engine"} {
 		t.Run(path, func(t *testing.T) {
@@ -276,7 +277,8 @@
 	return (<-ended).Sub(closed)
 }
 
-// A request that is read after its caller has disconnected reaches no endpoint.
+// A request that is read after its caller has disconnected must not be sent to an
+// endpoint.
 func TestRequestOfDisconnectedCallerIsNotSent(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -327,8 +329,8 @@
 	return l.Listener.Accept()
 }
 
-// A gateway is not ready while it fails to accept connections, and becomes ready
-// again afterwards.
+// A gateway must be unready while it cannot accept connections, and become ready again
+// afterwards.
 func TestNotReadyWhileAcceptFails(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -351,8 +353,8 @@
 	}
 }
 
-// With all endpoints at capacity and many callers, a ready gateway still accepts
-// each connection and answers.
+// With the only endpoint at capacity and many callers, a gateway must still accept and
+// answer each request.
 func TestConnectionsAreAcceptedUnderLoad(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/storerollback_test.go
+++ b/ingress/storerollback_test.go
@@ -35,8 +35,8 @@
 	return out
 }
 
-// After a rollback an endpoint that the list lacks is kept until it had time to
-// rewrite its entry, and then removed if it has not done so.
+// After a store rollback, an endpoint that the list lacks must be kept for
+// rewriteTimeout, and be removed if it has not rewritten its entry by then.
 func TestRollbackKeepsMissingEndpoints(t *testing.T) {
 	s := newListedServer(testRecord("old", 1), testRecord("writes", 2), testRecord("silent", 3))
 	assert.Assert(t, s.SetEra(1))
@@ -51,8 +51,8 @@
 	assert.DeepEqual(t, drainingByID(s), map[string]bool{"old": false, "writes": false})
 }
 
-// A rollback does not restore endpoints that were removed or have restarted since,
-// and preserves draining. A new entry of an endpoint counts again.
+// A store rollback must not restore removed endpoints or old incarnations, nor end
+// draining. A removed endpoint that writes a new entry must be added again.
 func TestRollbackDoesNotRestoreRemovedEndpoints(t *testing.T) {
 	s := newListedServer(testRecord("left", 1), testRecord("again", 1), testRecord("drains", 1), testRecord("moved", 1))
 	s.RemoveEndpoint("left")
@@ -78,8 +78,8 @@
 	assert.Assert(t, s.fleet.Has("left"), "a new entry counts")
 }
 
-// The list of an older era is rejected. The first list of a process is accepted in
-// any era.
+// A list of an older era of the store must be rejected. The first list of a process must
+// be accepted in any era, without the corrections that follow a rollback.
 func TestEraOfTheFirstList(t *testing.T) {
 	s := New(Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
 	assert.Assert(t, s.SetEra(4))
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -18,8 +18,8 @@
 
 const lastEvent = 6
 
-// serveInTurn starts two engines. The first request is handled by first and further
-// ones by later, whichever engine receives them.
+// serveInTurn starts two engines. The handler first gets the first request, and later
+// gets all others, whichever engine receives them.
 func serveInTurn(g *testGateway, first, later handler) {
 	h := func(rw http.ResponseWriter, r *http.Request) {
 		if len(g.requests()) == 1 {
@@ -43,7 +43,7 @@
 	assert.Equal(t, g.requests()[0].header.Get(testHeaders.Priority), "1")
 }
 
-// Events are forwarded as they arrive.
+// Events must be forwarded as they arrive.
 func TestEventsAreNotBuffered(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -63,9 +63,8 @@
 	close(release)
 }
 
-// A stream that is interrupted, within an event or between two, is resumed at
-// another endpoint. The caller gets each event once, under the header of the first
-// response.
+// An interrupted stream must be resumed at another endpoint. The caller must get each
+// event once, with the header of the first response.
 func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	for _, upTo := range []int{0, 1, 3, lastEvent - 1} {
 		g := newTestGateway(t)
@@ -104,7 +103,7 @@
 	assert.Equal(t, err, io.ErrUnexpectedEOF)
 }
 
-// Events after a gap in the IDs are not forwarded.
+// Events after a gap in the IDs must not be forwarded; the stream is resumed elsewhere.
 func TestEventGapIsNotForwarded(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -116,7 +115,7 @@
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// Events that the caller already has are dropped.
+// Events that the caller already has must not be sent again.
 func TestDuplicateEventsAreDropped(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -128,7 +127,8 @@
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// A stream is resumed elsewhere if nothing arrives from its endpoint's box.
+// A stream must be resumed at another endpoint if nothing arrives from its endpoint's
+// box.
 func TestStreamOfUnreachableBoxResumesElsewhere(t *testing.T) {
 	g := newTestGateway(t)
 	long := route(routing.Streaming, "/long/", "engine", 2)
@@ -142,6 +142,8 @@
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
+// After the deadline of a target version, engines with older versions must get no
+// requests.
 func TestVersionDeadline(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -157,8 +159,8 @@
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 }
 
-// For a gateway started during a rollout the age of the named version is unknown.
-// If an engine holds the version, only engines with it get requests.
+// A gateway that starts during a rollout does not know when the target version was set.
+// Once an engine holds that version, only engines with it must get requests.
 func TestVersionOfUnknownAge(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -182,7 +184,7 @@
 	}
 }
 
-// A waiting request is served as soon as an engine reports spare capacity.
+// A waiting request must be served as soon as an engine reports spare capacity.
 func TestWaiterIsServedWhenLoadDrops(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -198,8 +200,8 @@
 	assert.Equal(t, body, eventsText(lastEvent))
 }
 
-// If a version's cutoff passes while a request waits, the request is not sent to an
-// engine with an older version.
+// If the cutoff of a target version passes while a request waits for an endpoint, the
+// request must not be sent to an engine with an older version.
 func TestVersionCutoffDuringAWait(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -217,8 +219,8 @@
 	assert.Equal(t, len(g.requests()), 0)
 }
 
-// For a gateway started after a version was named, older versions are cut off as
-// soon as an engine reports the version.
+// A gateway that starts after the target version was set must send no requests to older
+// versions once an engine reports the target version.
 func TestVersionOfUnknownAgeCutsOffOlderOnes(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -245,8 +247,8 @@
 	}
 }
 
-// A request that will be late does not queue at an engine ahead of requests that
-// can still be on time.
+// A request that will miss its target latency must not be queued at an engine with a
+// backlog, where it would delay requests that can still meet theirs.
 func TestLateRequestDoesNotQueueAhead(t *testing.T) {
 	g := newTestGateway(t)
 	quick := route(routing.Streaming, "/quick/", "engine", 2)
@@ -270,19 +272,19 @@
 		}
 	}()
 	report(2)
-	returned := withHeader(testHeaders.Deadline, "1700")
-	r, _ := g.do("POST", "/quick/1", "x", returned)
+	callerRetry := withHeader(testHeaders.Deadline, "1700")
+	r, _ := g.do("POST", "/quick/1", "x", callerRetry)
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, len(g.requests()), 0)
 	stop()
 	time.Sleep(40 * time.Millisecond)
 	report(0)
-	r, _ = g.do("POST", "/quick/1", "x", returned)
+	r, _ = g.do("POST", "/quick/1", "x", callerRetry)
 	assert.Equal(t, r.StatusCode, http.StatusOK, "the engine's queue is empty")
 }
 
-// If a version's cutoff passes after an engine was chosen and before the request is
-// written, the request is not sent there.
+// If the cutoff of a target version passes after an engine was chosen and before the
+// request is written, the request must not be sent to that engine.
 func TestVersionCutoffBeforeWriting(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -301,9 +303,8 @@
 	assert.Assert(t, !g.server.stillEligible(x, e), "the endpoint drains")
 }
 
-// A request whose packet is lost on the way to an engine with an older version
-// arrives one retransmission later and must still start before the version
-// deadline.
+// A request to an engine with an older version must start before the version deadline,
+// even if its packet is lost and arrives one retransmission later.
 func TestLostPacketNearVersionCutoff(t *testing.T) {
 	const retransmitDelay = initialRTO + 200*time.Millisecond
 	for _, before := range []time.Duration{1100 * time.Millisecond, 1300 * time.Millisecond, 1700 * time.Millisecond} {
--- a/ingress/suspend_test.go
+++ b/ingress/suspend_test.go
@@ -14,7 +14,7 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// The deadline sent to an endpoint accounts for the time in which the machine was
+// The deadline sent to an endpoint must be reduced by the time for which the machine was
 // suspended.
 func TestDeadlineIncludesSuspension(t *testing.T) {
 	g := newTestGateway(t)
@@ -37,8 +37,8 @@
 	assert.Assert(t, left <= 800, "%d ms", left)
 }
 
-// A request whose deadline passes while the machine is suspended times out when the
-// machine resumes.
+// A request whose deadline passes while the machine is suspended must time out as soon as
+// the machine resumes.
 func TestRequestTimesOutOnResume(t *testing.T) {
 	g := newTestGateway(t)
 	go clock.Watch(t.Context(), nil)
@@ -53,8 +53,8 @@
 	assert.Assert(t, time.Since(began) < time.Second, "%s", time.Since(began))
 }
 
-// If the cutoff of a version passes while the machine is suspended, an engine with
-// an older version gets no requests after it resumes.
+// If the cutoff of a target version passes while the machine is suspended, engines with
+// older versions must get no requests after it resumes.
 func TestVersionCutoffWhileSuspended(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -68,7 +68,8 @@
 	assert.Equal(t, len(g.requests()), 1)
 }
 
-// A load report from before a suspension is outdated after it.
+// A load report that was received before the machine was suspended must not be used after
+// it resumes.
 func TestReportsExpireWhileSuspended(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/timeouts.go
+++ b/ingress/timeouts.go
@@ -73,8 +73,9 @@
 }
 
 // isCallerRetry reports whether a request is probably a caller's retry after a refusal.
-// left is the time that the caller sent as its deadline, and is added to the route's
-// histogram. The result is always false for routes that are not streaming.
+// left is the time that the caller sent as its deadline. While few requests are
+// refused, it is added to the route's histogram. The result is always false for routes
+// that are not streaming.
 func (s *Server) isCallerRetry(r *routing.Route, service string, left, timeout time.Duration, now time.Time) bool {
 	if r.Kind != routing.Streaming || timeout <= 0 {
 		return false
--- a/ingress/timeouts_test.go
+++ b/ingress/timeouts_test.go
@@ -12,8 +12,8 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// Callers' retries are distinguished from first tries, both if all first tries send
-// the same time and if they send from 0.85 to 1 of the route's timeout.
+// Callers' retries must be distinguished from first tries, whether all first tries send
+// the same time or times from 0.85 to 1 of the route's timeout.
 func TestCallerRetriesAreDetected(t *testing.T) {
 	const timeout = 6 * time.Second
 	for _, spread := range []float64{0, 0.15} {
@@ -33,7 +33,7 @@
 		assert.Assert(t, misdetected < 20, "%d first tries taken for retries", misdetected)
 		lowest := time.Duration(float64(timeout) * (1 - spread))
 		assert.Assert(t, g.server.isCallerRetry(r, "engine", lowest-retryAfterMin, timeout, now))
-		// Nothing is learned from retries while requests are refused.
+		// While requests are refused, no times are recorded.
 		for range 20 {
 			g.server.statsOf("engine").record(true, now)
 		}
@@ -44,8 +44,8 @@
 	}
 }
 
-// Before there are enough samples, first tries are expected to send the whole
-// timeout. Plain requests never count as retries.
+// While there are too few samples, a request with less than the route's timeout must
+// count as a retry. Requests on plain routes must never count as retries.
 func TestCallerRetryBeforeEnoughSamples(t *testing.T) {
 	g := newTestGateway(t)
 	r := route(routing.Streaming, "/s/", "engine", 2)
