--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -15,6 +15,7 @@
 // at returns the time s seconds after start.
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
+// kinds returns the kinds of changes, in the same order.
 func kinds(changes []Change) (out []Kind) {
 	for _, c := range changes {
 		out = append(out, c.Kind)
@@ -22,6 +23,7 @@
 	return out
 }
 
+// Observe must return a change only for the first response that contains it.
 func TestChangesAreReportedOnce(t *testing.T) {
 	s := NewTable().State("e", 1)
 	assert.DeepEqual(t, kinds(s.Observe(Signal{Limit: Limited(2)}, at(0), at(0.1))), []Kind{LimitSet})
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -143,8 +143,8 @@
 	return max(left/float64(time.Millisecond), 1)
 }
 
-// connectionShare is the share of an endpoint's connections that all gateways
-// together use.
+// connectionShare is the share of an endpoint's maximum number of connections that all
+// gateways together may use.
 const connectionShare = 0.9
 
 // connectionLimit returns this gateway's share of the connections that an endpoint
@@ -280,8 +280,8 @@
 	return closure, after
 }
 
-// retryAfterNotReady returns how long a caller should wait while the gateway has no
-// configuration.
+// retryAfterNotReady returns the Retry-After for a caller that is refused because the
+// gateway has no configuration yet.
 func retryAfterNotReady() time.Duration {
 	return retryAfterUnready + rand.N(retryAfterUnreadySpread)
 }
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -197,11 +197,11 @@
 // endpoints have capacity; a crash could then not be attributed to one of them.
 func TestSuspectsRunOnSeparateEndpoints(t *testing.T) {
 	for _, service := range []string{"engine", "plain"} {
-		t.Run(service, func(t *testing.T) { testSuspectsRunApart(t, service) })
+		t.Run(service, func(t *testing.T) { testSuspectsRunOnSeparateEndpoints(t, service) })
 	}
 }
 
-func testSuspectsRunApart(t *testing.T, service string) {
+func testSuspectsRunOnSeparateEndpoints(t *testing.T, service string) {
 	g := newTestGateway(t)
 	kind := routing.Streaming
 	if service == "plain" {
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -54,8 +54,11 @@
 	records  map[string]fleet.Record // by endpoint ID
 }
 
+// handler responds to a request in place of a test endpoint.
 type handler func(w http.ResponseWriter, r *http.Request)
 
+// newTestGateway returns a gateway that listens for callers, without configuration and
+// endpoints.
 func newTestGateway(t testing.TB) *testGateway {
 	t.Helper()
 	g := &testGateway{t: t, records: make(map[string]fleet.Record)}
@@ -73,6 +76,7 @@
 	return g
 }
 
+// route returns a route for the paths with a prefix, to one service.
 func route(kind routing.Kind, prefix, service string, attempts int) *routing.Route {
 	return &routing.Route{
 		Name: prefix, Host: "h.example", PathPrefix: prefix, Kind: kind, Timeout: 2 * time.Second,
@@ -125,6 +129,7 @@
 	return append([]receivedRequest(nil), g.received...)
 }
 
+// requestOption changes a request before it is sent.
 type requestOption func(*http.Request)
 
 func withHeader(name, value string) requestOption {
@@ -156,6 +161,7 @@
 	return response, string(text)
 }
 
+// respondOK responds with status 200 and body.
 func respondOK(body string) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testHeaders.Seal, "seal")
@@ -163,6 +169,7 @@
 	}
 }
 
+// respondStatus responds with a status and no body.
 func respondStatus(code int) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testHeaders.Seal, "seal")
@@ -176,6 +183,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
+// abortConnection closes the connection without a response.
 func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // respondEvents sends the events after the request's Last-Event-Id up to upTo. If upTo
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -37,7 +37,7 @@
 // endpoints. The platform adapter sets them.
 type Headers struct {
 	RequestID      string
-	Deadline       string // remaining time in milliseconds until the sender gives up
+	Deadline       string // time left until the sender stops waiting for a response, in milliseconds
 	Seal           string // the endpoint's signature of a successful response
 	NotRun         string // set if the endpoint did not run the request
 	ExpectEndpoint string
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -218,6 +218,7 @@
 	}
 }
 
+// A request must get no more attempts than its route allows.
 func TestAttemptsAreBounded(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -229,6 +230,7 @@
 	assert.Equal(t, len(g.requests()), 2)
 }
 
+// The number of retries must stay within the retry budget if all attempts fail.
 func TestRetriesAreBounded(t *testing.T) {
 	g := newTestGateway(t)
 	g.server.settings.Budget.Slack = 8
@@ -240,7 +242,7 @@
 		g.do("GET", "/safe/1", "")
 	}
 	retries := len(g.requests()) - requests
-	assert.Assert(t, retries > 0 && retries <= requests/5+8, "repeats %d", retries)
+	assert.Assert(t, retries > 0 && retries <= requests/5+8, "%d retries", retries)
 }
 
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
@@ -260,6 +262,7 @@
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable)
 }
 
+// A service without endpoints must refuse requests before the caller's deadline.
 func TestRefusalIsNotDelayed(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -322,6 +325,7 @@
 	}
 }
 
+// A stopping gateway must be unready but serve requests, until it refuses new ones.
 func TestStopping(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -53,6 +53,7 @@
 	}
 }
 
+// compareRank orders ranks; a negative result means that a is served before b.
 func compareRank(a, b rank) int {
 	return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.stage, b.stage), a.responseDue.Compare(b.responseDue))
 }
--- a/ingress/stall_test.go
+++ b/ingress/stall_test.go
@@ -79,6 +79,7 @@
 	}
 }
 
+// stall makes the existing connections transfer nothing more.
 func (p *stallProxy) stall() { p.stalls.Add(1) }
 
 // putBehindProxy replaces an endpoint's address by that of a new stallProxy.
@@ -229,7 +230,7 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-// failureBackoff is longer than an endpoint is avoided after one failure.
+// failureBackoff exceeds the time for which an endpoint gets no requests after a failure.
 const failureBackoff = 600 * time.Millisecond
 
 // If the caller closes its connection, the request must stop at the endpoint within
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -16,6 +16,7 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
+// lastEvent is the ID of the last event of a complete stream; IDs start at 1.
 const lastEvent = 6
 
 // serveInTurn starts two engines. The handler first gets the first request, and later
@@ -82,6 +83,7 @@
 	}
 }
 
+// A caller that sends Last-Event-Id must get only the events after it.
 func TestCallerResumes(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
