--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -27,8 +27,8 @@
 	// that are sent to the endpoint within this time after the crash fail as well, but
 	// the crash is not attributed to them, since they did not run.
 	crashSettleTime = 500 * time.Millisecond
-	// suspectCrashLimit is the number of crashes at which a request is not retried
-	// after another endpoint crashed running it. Its caller may still retry it.
+	// suspectCrashLimit is the number of a request's crashes from which on the gateway
+	// does not retry it after a crash. Its caller may still retry it.
 	suspectCrashLimit = 2
 )
 
