--- a/loadreport/demand.go
+++ b/loadreport/demand.go
@@ -17,34 +17,36 @@
 type subscriber struct {
 	subscribedAt time.Time
 	region       string
-	demand       float64 // requests a second
-	// versionSum is the gateway's Notice.VersionSum.
+	demand       float64 // requests per second that the gateway receives for the service
+	// versionSum is the gateway's Notice.VersionSum: a higher sum means newer records.
 	versionSum int64
 }
 
-// weight returns the subscriber's weight in what is shared by demand, at least
-// minDemand.
+// weight returns the subscriber's weight when the endpoint's free capacity is divided
+// among the gateways: its demand plus minDemand, in requests per second.
 func (s subscriber) weight() float64 { return s.demand + minDemand }
 
-// minDemand is the minimum weight of a gateway, in requests a second.
+// minDemand is the weight of a gateway without demand, in requests per second. It lets
+// such a gateway use some of the free capacity.
 const minDemand = 1.0
 
-// demandPosition is a gateway's position in the order in which gateways may use the
-// free capacity that a report shows.
+// demandPosition is a gateway's position in the order in which the gateways may use
+// the free capacity of the endpoint that a report describes.
 type demandPosition struct {
-	// share is the gateway's fraction of the total demand. ahead is the demand that
-	// may be served before its own, in units of the average gateway's demand.
-	share, ahead float64
+	// share is the gateway's fraction of the sum of all weights.
+	share float64
+	// ahead is the demand of the gateways that come first, in units of the average
+	// gateway's demand.
+	ahead float64
 }
 
-// demandPositionsLocked draws a random order of the subscribers for one report, in
-// which a gateway with more demand is more likely to be ahead. Publisher.mu must be
-// held.
+// demandPositionsLocked returns the positions of all subscribers in a new random order.
+// A gateway with more demand is more likely to come early. Publisher.mu must be held.
 func (p *Publisher) demandPositionsLocked() map[netip.AddrPort]demandPosition {
 	type entry struct {
-		to     netip.AddrPort
-		weight float64
-		key    float64
+		to      netip.AddrPort
+		weight  float64
+		sortKey float64 // the lowest comes first
 	}
 	total := 0.0
 	entries := make([]entry, 0, len(p.subs))
@@ -53,7 +55,7 @@
 		total += w
 		entries = append(entries, entry{to, w, rand.ExpFloat64() / w})
 	}
-	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.key, b.key) })
+	slices.SortFunc(entries, func(a, b entry) int { return cmp.Compare(a.sortKey, b.sortKey) })
 	out := make(map[netip.AddrPort]demandPosition, len(entries))
 	ahead := 0.0
 	for _, e := range entries {
@@ -64,11 +66,11 @@
 	return out
 }
 
-// withDemandPosition returns the report for one gateway.
+// withDemandPosition returns r with the demand position of the gateway that receives it.
 func withDemandPosition(r fleet.Report, position demandPosition) fleet.Report {
 	r.DemandShare, r.DemandAhead = round2(position.share), round2(position.ahead)
 	return r
 }
 
-// round2 rounds to two decimals, which keeps datagrams short.
+// round2 rounds to two decimals, which keeps the JSON encoding short.
 func round2(v float64) float64 { return math.Round(v*100) / 100 }
--- a/loadreport/gateways.go
+++ b/loadreport/gateways.go
@@ -13,13 +13,14 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// ReadersPerRegion is the number of gateways of a region that read the store for the
-// others. The second one covers for a failure of the first.
+// ReadersPerRegion is the number of reader gateways in a region: those that read the
+// store and relay its records to the region's other gateways. The second one covers
+// for a failure of the first.
 const ReadersPerRegion = 2
 
-// SelectReaders returns the gateways, given by IP address, that read the store: the
-// first ones by the hash of the address, so that all processes select the same. It
-// reorders gateways.
+// SelectReaders returns the IP addresses of the reader gateways among the given ones.
+// It takes the lowest hashes of the addresses, so that all processes with the same
+// gateways select the same readers. It reorders gateways.
 func SelectReaders(gateways []string) []string {
 	slices.SortFunc(gateways, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
@@ -28,15 +29,15 @@
 	return gateways[:min(ReadersPerRegion, len(gateways))]
 }
 
-// readersLocked returns the reader gateways among the current subscribers of a
-// region. Publisher.mu must be held.
+// readersLocked returns the IP addresses of the reader gateways among the region's
+// current subscribers. Publisher.mu must be held.
 func (p *Publisher) readersLocked(region string) []string {
 	local, _ := p.gatewaysLocked(region, clock.Now())
 	return SelectReaders(local)
 }
 
-// gatewaysLocked returns the IP addresses of the current subscribers in the region
-// and in other regions. Publisher.mu must be held.
+// gatewaysLocked returns the IP addresses of the gateways whose subscription has not
+// expired, those in the region and those in other regions. Publisher.mu must be held.
 func (p *Publisher) gatewaysLocked(region string, now time.Time) (local, remote []string) {
 	for from, s := range p.subs {
 		switch {
@@ -50,8 +51,10 @@
 	return local, remote
 }
 
-// maxVersionSumLocked returns the highest version sum among the current subscribers,
-// and the IP address of the gateway that reported it. Publisher.mu must be held.
+// maxVersionSumLocked returns the highest Notice.VersionSum among the current
+// subscribers and the IP address of the gateway that sent it. That gateway holds the
+// newest operator's records; a gateway with a lower sum can fetch them from it.
+// Without a subscriber the results are 0 and "". Publisher.mu must be held.
 func (p *Publisher) maxVersionSumLocked(now time.Time) (versionSum int64, gateway string) {
 	for from, s := range p.subs {
 		if now.Sub(s.subscribedAt) <= subscriptionTTL && s.versionSum > versionSum {
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -8,8 +8,12 @@
 // at intervals. Neither side acknowledges: a lost report is superseded by the next
 // one, and a restart on either side is recovered by the next subscription.
 //
-// A subscription carries a Notice with the parts of the operator's records that a
-// sidecar needs, so that it need not read them from the store.
+// A subscription carries a Notice. It holds the parts of the operator's records that a
+// sidecar needs, so that the sidecar does not read them from the store.
+//
+// Sidecars also relay two kinds of state between the gateways that subscribe to them:
+// suspects, which are requests during which endpoints crashed (see package
+// quarantine), and the backpressure signals of endpoints (see package backpressure).
 package loadreport
 
 import (
@@ -46,40 +50,44 @@
 	Model string `json:"model,omitempty"`
 	// Region is the gateway's region.
 	Region string `json:"region,omitempty"`
-	// NamedVersions are the newest named versions of the model, the newest last.
+	// TargetVersions are the model's newest target versions, the newest last.
 	NamedVersions []NamedVersion `json:"named,omitempty"`
 	// Read is the offset up to which the gateway has read the operator's records, or
-	// -1 if it has read none, and Era the era of that offset.
+	// -1 if it has read none. Era is the era of that offset; it increases each time
+	// the store is restored from an older copy.
 	Read int64 `json:"read"`
 	Era  int64 `json:"era,omitempty"`
-	// VersionSum is the sum of the versions of the operator's records that the gateway
-	// holds; see storewatch.Watcher.VersionSum.
+	// VersionSum is the sum of the versions of all operator's records that the gateway
+	// holds. Versions only increase, so a gateway with a higher sum holds newer
+	// records. See storewatch.Watcher.VersionSum.
 	VersionSum int64 `json:"known,omitempty"`
 	// Demand is the gateway's recent rate of requests for the service, per second.
 	Demand float64 `json:"demand"`
 	// Weights describes where and how to load the model's weights. It is nil for
-	// sidecars whose reports have its checksum.
+	// sidecars that have it already, as the checksum in their reports shows.
 	Weights *routing.WeightsConfig `json:"weights,omitempty"`
 	// Suspects are requests during which endpoints crashed. They are sent only to the
-	// sidecars that all gateways subscribe to, which relay them to the gateways.
+	// sidecars that all gateways subscribe to. These sidecars relay them to the
+	// gateways.
 	Suspects []quarantine.Record `json:"suspects,omitempty"`
 }
 
-// NamedVersion is a version that the operator named.
+// TargetVersion is a version of a model that the operator has set to be served.
 type NamedVersion struct {
 	Version int `json:"version"`
-	// AgeMS is the time since the gateway read it, in milliseconds, or UnknownAge if
-	// it was named before the gateway started.
+	// AgeMS is the time in milliseconds since the gateway read that the version was
+	// set, or UnknownAge if it was set before the gateway started.
 	AgeMS int64 `json:"age_ms"`
-	// PastCutoff is set once the gateway sends no requests to older versions.
+	// PastCutoff is set once the version's routing cutoff has passed: the gateway
+	// sends no more requests to older versions.
 	PastCutoff bool `json:"overdue,omitempty"`
 }
 
-// UnknownAge is the age of a version that was named at an unknown time.
+// UnknownAge is the AgeMS of a target version that was set at an unknown time.
 const UnknownAge = -1
 
-// NamedAt returns when the version was named, given that AgeMS is its age at now;
-// zero if the age is unknown.
+// SetAt returns when the target version was set. now is the time at which it had the
+// age AgeMS. SetAt returns the zero time if the age is unknown.
 func (n NamedVersion) NamedAt(now time.Time) time.Time {
 	if n.AgeMS < 0 {
 		return time.Time{}
@@ -107,10 +115,11 @@
 
 // sidecarDatagram is a datagram from a sidecar to a gateway: a report, the response to
 // a subscription or a permit request, or changed Suspects or Endpoints. Address is
-// empty if it has no report.
+// empty if the datagram contains no report.
 type sidecarDatagram struct {
 	fleet.Report
-	// Echo is the stamp of the subscription answered, or 0 if this is no response.
+	// Echo is the stamp of the subscription that this responds to, or 0 if this is no
+	// response to a subscription.
 	Echo int64 `json:"e,omitempty"`
 	// Read, Era and Readers are set in a response; see type Echo.
 	Read    int64    `json:"o,omitempty"`
@@ -124,8 +133,8 @@
 	Suspects []quarantine.Record `json:"x,omitempty"`
 	// Grant is the response to a PermitRequest. It is sent alone.
 	Grant *backpressure.Grant `json:"grant,omitempty"`
-	// Endpoints are the signals of endpoints reported by gateways. They are sent like
-	// Suspects.
+	// Endpoints are the backpressure signals of endpoints that gateways have reported.
+	// They are sent in responses, and alone when they change.
 	Endpoints []backpressure.Record `json:"endpoints,omitempty"`
 }
 
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -18,7 +18,7 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// recorder is a Handler that records what it receives.
+// recorder is a Handler that stores the arguments of its calls.
 type recorder struct {
 	mu      sync.Mutex
 	reports []fleet.Report
@@ -67,7 +67,7 @@
 	}
 }
 
-// await waits up to 10 s until ok returns true.
+// await waits until ok returns true, and fails the test with the message what after 10 s.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -88,6 +88,8 @@
 	return publisher, subscriber
 }
 
+// A running subscriber receives the publisher's reports and the responses to its
+// subscriptions, and the publisher receives its notice.
 func TestSubscriberReceivesReports(t *testing.T) {
 	var mu sync.Mutex
 	var received Notice
@@ -124,6 +126,7 @@
 	assert.Assert(t, time.Since(publisher.LastSubscribed()) < 2*time.Second)
 }
 
+// A changed report is sent at once, and an unchanged one only after the repeat interval.
 func TestUnchangedReportIsRepeated(t *testing.T) {
 	publisher, _ := newPair(t, func(Notice) {})
 	now := time.Now()
@@ -135,7 +138,7 @@
 	publisher.Publish(report, false, now.Add(repeatInterval))
 	assert.Assert(t, publisher.lastSent.After(first))
 	publisher.Publish(report, true, now.Add(repeatInterval+updateRepeatInterval))
-	assert.Equal(t, publisher.lastSent, now.Add(repeatInterval+updateRepeatInterval), "more often while a version changes")
+	assert.Equal(t, publisher.lastSent, now.Add(repeatInterval+updateRepeatInterval), "repeated after the shorter interval during a version update")
 	report.Running = 1
 	publisher.Publish(report, false, now.Add(repeatInterval+updateRepeatInterval+time.Millisecond))
 	assert.Equal(t, publisher.lastSent, now.Add(repeatInterval+updateRepeatInterval+time.Millisecond), "a change is sent at once")
@@ -158,14 +161,14 @@
 	assert.Equal(t, subscribed(), 0)
 }
 
-func TestNamedVersionTime(t *testing.T) {
+func TestTargetVersionSetAt(t *testing.T) {
 	now := time.Now()
 	assert.Assert(t, NamedVersion{AgeMS: UnknownAge}.NamedAt(now).IsZero())
 	assert.Equal(t, NamedVersion{AgeMS: 1500}.NamedAt(now), now.Add(-1500*time.Millisecond))
 }
 
-// A gateway learns from a sidecar up to which position of the operator's records
-// another gateway has read.
+// A sidecar's response carries the furthest position in the operator's records that any
+// of its subscribers has reported.
 func TestEchoCarriesFurthestReadPosition(t *testing.T) {
 	publisher, behind := newPair(t, func(Notice) {})
 	ahead, err := NewSubscriber("127.0.0.1:0")
@@ -187,8 +190,8 @@
 	})
 }
 
-// Gateways with more demand are more often ahead in the order of a report, and their
-// shares follow the demand.
+// A gateway with more demand comes first more often, and its share is proportional to
+// its demand.
 func TestDemandPositionsFollowDemand(t *testing.T) {
 	publisher, _ := newPair(t, func(Notice) {})
 	small, large := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
@@ -211,7 +214,7 @@
 	assert.Assert(t, ahead > rounds*70/100 && ahead < rounds*80/100, "%d of %d", ahead, rounds)
 }
 
-// The age of a subscription includes the time for which the host was suspended.
+// A subscription also expires while the host is suspended.
 func TestSubscriptionsExpireDuringSuspension(t *testing.T) {
 	publisher, subscriber := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/loadreport/publisher.go
+++ b/loadreport/publisher.go
@@ -25,16 +25,19 @@
 	mu   sync.Mutex
 	// lastSubscribed is when the last subscription was received; zero if none was.
 	lastSubscribed time.Time
-	// read is the furthest position up to which any gateway has read the operator's
-	// records.
+	// read is the furthest position that a gateway has reached in reading the
+	// operator's records.
 	read history.Position
+	// subs holds the subscribers by the address that their datagrams came from.
 	subs map[netip.AddrPort]subscriber
-	// suspects are the suspect requests reported by gateways.
+	// suspects holds the requests during which endpoints crashed, as reported by
+	// gateways.
 	suspects *quarantine.Table
 	// suspectsSentAt is when suspects were last sent to all subscribers.
 	suspectsSentAt time.Time
 	// quotas allocates permits under the endpoints' rate limits.
 	quotas   *backpressure.Quotas
+	// last is the last report sent, and lastSent when it was sent.
 	last     fleet.Report
 	lastSent time.Time
 }
@@ -90,8 +93,9 @@
 // to all subscribers. Later changes are sent with the responses to subscriptions.
 const minSuspectInterval = 50 * time.Millisecond
 
-// sendSuspects sends the suspects to all subscribers at once. Sent only with responses
-// to subscriptions, they would arrive after the request has crashed further endpoints.
+// sendSuspects sends the suspects to all subscribers at once, unless it did so less than
+// minSuspectInterval ago. If they were sent only in responses to subscriptions, a
+// suspect request could crash further endpoints before they arrive.
 func (p *Publisher) sendSuspects(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,9 +109,9 @@
 	}
 }
 
-// allocatePermits responds to a permit request. If it brings a new signal of the
-// endpoint, that is sent to all subscribers at once, so that they respect the new
-// limit.
+// allocatePermits responds to a permit request. If the request contains a new
+// backpressure signal of the endpoint, allocatePermits sends the signal to all
+// subscribers at once, so that they respect the new limit.
 func (p *Publisher) allocatePermits(request backpressure.PermitRequest, from netip.AddrPort, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,8 +125,9 @@
 	}
 }
 
-// Publish sends r to the subscribers if it has changed or the repeat interval has
-// passed. updating selects the shorter interval used during a version update.
+// Publish sends r to the subscribers if it differs from the last report sent, or if that
+// was sent longer ago than the repeat interval. updating selects updateRepeatInterval
+// instead of repeatInterval.
 func (p *Publisher) Publish(r fleet.Report, updating bool, now time.Time) {
 	interval := repeatInterval
 	if updating {
--- a/loadreport/subscriber.go
+++ b/loadreport/subscriber.go
@@ -31,29 +31,31 @@
 type Echo struct {
 	// RoundTrip is the time from the subscription to the response.
 	RoundTrip time.Duration
-	// Read is the furthest position up to which a gateway that subscribed there has
-	// read the operator's records.
+	// Read is the furthest position in the operator's records that any gateway has
+	// reported to the sidecar.
 	Read history.Position
-	// VersionSum is the highest Notice.VersionSum of the gateways with a current
-	// subscription there, and VersionSumGateway the IP address of that gateway.
+	// VersionSum is the highest Notice.VersionSum of the sidecar's current
+	// subscribers. VersionSumGateway is the IP address of the gateway that sent it,
+	// which holds the newest operator's records.
 	VersionSum        int64
 	VersionSumGateway string
-	// Readers are the IP addresses of the gateways that read the store for the
-	// subscriber's region, selected by SelectReaders from those with a current
-	// subscription there.
+	// Readers are the IP addresses of the reader gateways of the subscriber's region,
+	// selected by SelectReaders from the sidecar's current subscribers.
 	Readers []string
 }
 
-// Handler receives what sidecars send. Its methods are not called concurrently.
+// Handler handles the datagrams of sidecars. Its methods are not called concurrently.
 type Handler interface {
-	// HandleReport receives a report; e is nil if it is no response to a subscription.
+	// HandleReport receives a report. e is nil unless the report is part of a response
+	// to a subscription.
 	HandleReport(r fleet.Report, e *Echo)
-	// HandleSuspects receives the requests, reported by gateways, during which
-	// endpoints crashed.
+	// HandleSuspects receives the requests during which endpoints crashed, as reported
+	// by gateways.
 	HandleSuspects(suspects []quarantine.Record)
 	// HandleGrant receives the response to Subscriber.RequestPermits.
 	HandleGrant(g backpressure.Grant)
-	// HandleEndpoints receives the signals of endpoints reported by gateways.
+	// HandleEndpoints receives the backpressure signals of endpoints, as reported by
+	// gateways.
 	HandleEndpoints(records []backpressure.Record)
 }
 
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -17,7 +17,8 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// newSuspectTable returns a table with one quarantined request, and its ID.
+// newSuspectTable returns a table with one request that has crashed enough endpoints to
+// be quarantined, and the request's ID.
 func newSuspectTable(now time.Time) (*quarantine.Table, quarantine.ID) {
 	table := quarantine.New()
 	id := quarantine.Identify(quarantine.Request{Target: "/x"})
@@ -28,8 +29,8 @@
 	return table, id
 }
 
-// Suspects that one gateway reports to a sidecar reach all gateways that subscribe
-// there: those that have subscribed at once, and a new one with its first response.
+// A sidecar sends the suspects that one gateway reports to all its subscribers: to
+// current ones at once, and to a new one in the first response.
 func TestSuspectsReachAllSubscribers(t *testing.T) {
 	publisher, reporting := newPair(t, func(Notice) {})
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
@@ -66,8 +67,8 @@
 	await(t, "suspects at a new gateway", hasSuspect(subscribe()))
 }
 
-// The longest delay between a crash and its report at another gateway, with one
-// datagram lost on each of the two hops, is below the limit.
+// Another gateway receives a suspect within the limit, also if one datagram is lost
+// between the reporting gateway and the sidecar and one between the sidecar and it.
 func TestSuspectPropagationIsWithinLimit(t *testing.T) {
 	const limit = 3 * time.Second
 	toSidecar := minRoundInterval + SubscribeInterval // the first subscription is lost
@@ -108,8 +109,7 @@
 	assert.Assert(t, len(response) < maxDatagram, "%d bytes", len(response))
 }
 
-// maxEndpointRecords returns as many and as large records of endpoints as a sidecar
-// sends at most.
+// maxEndpointRecords returns the largest set of endpoint records that a sidecar sends.
 func maxEndpointRecords(now time.Time) []backpressure.Record {
 	quotas := backpressure.NewQuotas()
 	for n := range 100 {
@@ -118,7 +118,7 @@
 	return quotas.Records(now)
 }
 
-// A sidecar evicts suspects that gateways have stopped reporting.
+// A sidecar drops a suspect once no gateway has reported it for quarantine.CrashTTL.
 func TestSuspectsExpireAtSidecar(t *testing.T) {
 	publisher, reporting := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(t.Context())
