--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -3,14 +3,17 @@
 // Package dedup decides whether a non-idempotent request may run, so that it
 // runs at most once.
 //
-// Each idempotency key has one home: a sidecar, selected by rendezvous hashing
-// over the homes recorded in the event log. Only the home grants the request,
-// and it stores the key in a Table. A new home has no record of the keys that
-// its predecessor ran. Admit therefore grants a key that the table does not
-// hold only if the key was created after the predecessor's lease had expired,
-// as shown by the time in a UUIDv7 key, or if the key has no creation time and
-// the change of homes is longer ago than KeyTTL. docs/AT-MOST-ONCE.md compares
-// this design with its alternatives.
+// Each idempotency key has one home: the sidecar process that stores what is
+// known of the key. It is selected by rendezvous hashing over the homes recorded
+// in the event log. A request with the key runs only after the home has granted
+// it; the home then stores the key in a Table.
+//
+// A new home does not know the keys that its predecessor granted. Admit
+// therefore grants a key that the table does not hold in two cases only. If the
+// key is a UUIDv7, which contains its creation time, it must have been created
+// after the predecessor's lease had expired. Any other key is granted if the
+// last change of its home is longer ago than KeyTTL. docs/AT-MOST-ONCE.md
+// compares this design with its alternatives.
 //
 // The package does no I/O; callers pass the current time.
 package dedup
@@ -28,15 +31,16 @@
 	// Lease is how long a home may grant keys after its last contact with the
 	// event log.
 	Lease = 20 * time.Second
-	// MaxClockSkew bounds the difference between the clocks that set creation
-	// times of keys and times of log records.
+	// MaxClockSkew is the assumed bound on the difference between the clocks
+	// that set the creation times of keys and the times of log records.
 	MaxClockSkew = 5 * time.Second
-	// KeyTTL is how long a Table keeps a key. A key that is older is not
-	// granted, nor is a key without a creation time within KeyTTL of a change
-	// of its home.
+	// KeyTTL is how long a Table keeps a key. A key created longer ago is not
+	// granted. A key without a creation time is not granted until KeyTTL after
+	// the last change of its home.
 	KeyTTL = 10 * time.Minute
-	// RefusalTTL is how long a key stays refused after a refused attempt, so
-	// that a delayed attempt cannot run after "not run" was reported.
+	// RefusalTTL is how long a key stays refused after a refused attempt. It
+	// prevents a delayed attempt from running after the caller has received
+	// the outcome "not run".
 	RefusalTTL = 10 * time.Second
 )
 
@@ -57,14 +61,15 @@
 type Verdict int
 
 const (
-	// Run means that no other home can have run the key.
+	// Run means that the request may run: no other home can have granted the
+	// key.
 	Run Verdict = iota
 	// NotHome means that another sidecar is the home of the key.
 	NotHome
-	// Unknown means that a former home may have run the key.
+	// Unknown means that a former home of the key may have granted it.
 	Unknown
 	// LeaseExpired means that the last contact with the event log is longer
-	// ago than Lease, so another home may have been assigned.
+	// ago than Lease, so the key may have another home by now.
 	LeaseExpired
 )
 
@@ -76,8 +81,8 @@
 	Service     string
 }
 
-// Admit decides whether self may run a key that its Table does not hold.
-// contact is the time of the last contact with the event log.
+// Admit decides whether self may grant a key that its Table does not hold.
+// contact is the time of self's last contact with the event log.
 func Admit(key string, self Self, s *state.State, contact, now time.Time) Verdict {
 	home, ok := HomeOf(key, s.HomesOf(self.Service))
 	if !ok || home.Box != self.Box || home.Incarnation != self.Incarnation {
@@ -104,10 +109,10 @@
 }
 
 // lastHomeChange returns the time of the newest change that made self the home
-// of key instead of another sidecar: self was added, or a home with a higher
-// weight for key was removed. Older changes set no stricter condition. It
-// returns false if there was no such change, or if self was among the first
-// homes of the service.
+// of key instead of another sidecar. Such a change added self, or removed a home
+// with a higher weight for key. Older changes need not be checked, since they
+// set no stricter condition. lastHomeChange returns false if there was no such
+// change, or if self was among the first homes of the service.
 func lastHomeChange(key string, self Self, changes []state.HomeChange) (time.Time, bool) {
 	ownWeight := weight(key, self.Box)
 	for i := len(changes) - 1; i >= 0; i-- {
--- a/dedup/table.go
+++ b/dedup/table.go
@@ -26,13 +26,12 @@
 )
 
 const (
-	// DefaultCapacity is the number of keys that a table holds by default:
-	// 300 non-idempotent requests per second over KeyTTL, in about 30 MB with
-	// keys of 36 bytes.
+	// DefaultCapacity is the maximum number of keys in a table by default.
 	DefaultCapacity = 180000
-	// MaxResponseBytes bounds the body of one stored response.
+	// MaxResponseBytes bounds the body of one stored response, in bytes.
 	MaxResponseBytes = 64 << 10
-	// maxTotalResponseBytes bounds the bodies of all stored responses.
+	// maxTotalResponseBytes bounds the bodies of all stored responses together,
+	// in bytes.
 	maxTotalResponseBytes = 16 << 20
 )
 
@@ -45,10 +44,11 @@
 	Body        []byte `json:"body"`
 }
 
-// Entry is the record of one key.
+// Entry holds what a Table stores of one key.
 type Entry struct {
 	Status Status
-	// Attempt is the ID of the attempt to which the key was granted.
+	// Attempt is the request ID of the attempt to which the key was granted
+	// last. An attempt is one request of a caller with the key.
 	Attempt string
 	// Failed is set on a Done entry if the endpoint ran the request and
 	// reported an error.
@@ -73,16 +73,17 @@
 	responseBytes int // sum over the stored bodies
 }
 
+// expiryItem is a key with the time from which its TTL counts.
 type expiryItem struct {
 	key       string
 	createdAt time.Time
 }
 
-// Begin grants the key to the attempt and returns an entry with Status New if
-// the table does not hold the key, or holds it as refused longer ago than
-// RefusalTTL. A repeated call of the same attempt returns New again, since the
-// response to its first call may have been lost. Otherwise Begin returns the
-// entry held, or Full.
+// Begin grants the key to the attempt if the table does not hold the key, or if
+// the key was refused longer ago than RefusalTTL. It then returns an entry with
+// Status New. A repeated call for the same attempt returns New again, since the
+// response to its first call may have been lost. In all other cases Begin grants
+// nothing: it returns the stored entry, or one with Status Full.
 func (t *Table) Begin(key, attempt string, now time.Time) Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,9 +115,9 @@
 	return Entry{}, false
 }
 
-// Finish records that the attempt has ended, with its response, which may be
-// nil. It does nothing unless the key is Running for this attempt. A response
-// beyond the bounds is not stored.
+// Finish records that the attempt has ended, and stores its response unless that
+// is nil or exceeds the size limits. It does nothing unless the key is Running
+// for this attempt.
 func (t *Table) Finish(key, attempt string, failed bool, response *Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -5,10 +5,11 @@
 // agree on, or that must be durable, is written to the log as a Record; the
 // order of offsets is the order of events.
 //
-// Client implements the service's protocol. Gateways serve the read half of
-// it as a relay, so a Client can read from either. Commit appends a record
-// and retries under the same record id until the record has been applied, so
-// that a record takes effect at most once even if a response was lost.
+// Client implements the service's protocol. Gateways relay reads of the log in
+// the same protocol, so a Client can read from the service or from a gateway.
+// Commit appends a record and retries under the same record id until the
+// record has been applied. A record therefore takes effect at most once, even
+// if a response is lost.
 package eventlog
 
 import (
@@ -41,8 +42,8 @@
 	// ErrGone is returned by Client.Read if the requested offset is below the
 	// first retained one.
 	ErrGone = errors.ConstError("log records have been removed")
-	// ErrEraChanged means that the log was restored from an older copy: its
-	// offsets may refer to other records than those that were applied.
+	// ErrEraChanged means that the log was restored from an older copy. Its
+	// offsets may now refer to records other than the ones that were applied.
 	ErrEraChanged = errors.ConstError("log came back from an older copy")
 	// ErrOutcomeUnknown means that the record may or may not be in the log.
 	ErrOutcomeUnknown = errors.ConstError("log did not confirm the record")
@@ -88,12 +89,13 @@
 
 // Page is the response to a read.
 type Page struct {
-	// First is the lowest offset that is retained, Next the offset that the next
-	// appended record gets.
+	// First is the lowest offset that is retained. Next is the offset that the
+	// next appended record gets.
 	First int64 `json:"first"`
 	Next  int64 `json:"next"`
-	// Era is incremented each time the log is restored from an older copy, after
-	// which it assigns some offsets a second time.
+	// Era is incremented each time the log is restored from an older copy. The
+	// restored log assigns some offsets a second time, so an offset is unique only
+	// within an era.
 	Era int64 `json:"era,omitempty"`
 	// AgeMS is the time in milliseconds since a relay last read the log; the log
 	// service omits it.
@@ -123,9 +125,9 @@
 )
 
 // Read returns the records of a stream at offset from and above, at most
-// pageLimit. If there is none, the service waits up to wait for one before it
-// responds with an empty page. If from is below the first retained offset, the
-// error is ErrGone and the page contains First and Next.
+// pageLimit. If there is no such record, the service waits up to wait for one
+// before it responds with an empty page. If from is below the first retained
+// offset, the error is ErrGone and the page contains First and Next.
 func (c *Client) Read(ctx context.Context, stream string, from int64, wait time.Duration) (Page, error) {
 	url := fmt.Sprintf("%s?from=%d&limit=%d&wait_ms=%d", c.url(stream), from, pageLimit, wait.Milliseconds())
 	var p Page
@@ -159,11 +161,11 @@
 }
 
 // Commit appends r and waits until applied reports its id. After a failed
-// append, or a lost response, it appends r again under the same id, with
-// exponential backoff, until ctx ends; the first record with the id takes
+// append or a lost response it appends r again under the same id, with
+// exponential backoff, until ctx ends. Only the first record with an id takes
 // effect. When ctx ends, the error is ErrUnavailable if r is certainly not in
-// the log, and ErrOutcomeUnknown if it may be. Any 4xx response except 429 is
-// returned at once.
+// the log, and ErrOutcomeUnknown if r may be in it. For a 4xx response other
+// than 429, Commit returns an error at once.
 func Commit(ctx context.Context, c *Client, applied AppliedChecker, r Record) error {
 	maybeWritten, backoff := false, retryBackoffMin
 	for {
@@ -199,9 +201,9 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// waitApplied polls until the record with this id is applied. If ctx ends before,
-// it returns ErrOutcomeUnknown: the record is in the log, but its effect is not
-// known.
+// waitApplied polls until the record with this id is applied. The record is in
+// the log already. If ctx ends first, waitApplied returns ErrOutcomeUnknown,
+// since the effect of the record is not known.
 func waitApplied(ctx context.Context, applied AppliedChecker, id string) error {
 	const pollInterval = 5 * time.Millisecond
 	for !applied.Applied(id) {
--- a/loadreport/publisher.go
+++ b/loadreport/publisher.go
@@ -36,7 +36,7 @@
 	// suspectsSentAt is when suspects were last sent to all subscribers.
 	suspectsSentAt time.Time
 	// quotas allocates permits under the endpoints' rate limits.
-	quotas   *backpressure.Quotas
+	quotas *backpressure.Quotas
 	// last is the last report sent, and lastSent when it was sent.
 	last     fleet.Report
 	lastSent time.Time
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -118,7 +118,8 @@
 	return quotas.Records(now)
 }
 
-// A sidecar drops a suspect once no gateway has reported it for quarantine.CrashTTL.
+// A sidecar no longer suspects a request quarantine.CrashTTL after its last crash, if
+// the gateways have stopped reporting it.
 func TestSuspectsExpireAtSidecar(t *testing.T) {
 	publisher, reporting := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/state/follower.go
+++ b/state/follower.go
@@ -21,15 +21,15 @@
 	Read(ctx context.Context, stream string, from int64, wait time.Duration) (eventlog.Page, error)
 }
 
-// Sources selects the source of each read. A Follower calls Next before each read,
-// and Failed with a source after a read from it failed or was out of date, so that
-// Next can return another one.
+// Sources selects the source of each read. A Follower calls Next before each read. It
+// calls Failed after a read that failed or returned outdated data, so that Next can
+// return another source.
 type Sources interface {
 	Next() Source
 	Failed(Source)
 }
 
-// SingleSource is a Sources that always returns the same Source.
+// SingleSource implements Sources and always returns the same Source.
 type SingleSource struct{ Source Source }
 
 // Next implements Sources.
@@ -45,10 +45,11 @@
 	readTimeout  = longPollWait + 1500*time.Millisecond
 	backoffMin   = 100 * time.Millisecond
 	backoffMax   = time.Second
-	// maxRelayAge is the age of a relay's data above which another source is tried.
+	// maxRelayAge is the maximum age of the data that a relay serves. If they are older,
+	// another source is tried.
 	maxRelayAge = 6 * time.Second
-	// startSpread is the upper bound of a random delay before the first request,
-	// which distributes the load of many processes that start at once.
+	// startSpread is the upper bound of the random delay before the first request. The
+	// delay spreads the load of many processes that start at once.
 	startSpread = time.Second
 )
 
@@ -59,17 +60,17 @@
 	Sources Sources
 	// Log is the log service, from which checkpoints are read.
 	Log Source
-	// Peers returns the checkpoint with the highest offset among other processes.
-	// It is used if checkpoints cannot be read from the log. It may be nil.
+	// Peers requests checkpoints from other processes and returns the one with the
+	// highest offset. It is used if checkpoints cannot be read from the log. It may be
+	// nil.
 	Peers func(ctx context.Context) (Checkpoint, error)
-	// PeersFirst requests the initial checkpoint from peers before the log.
-	// Sidecars set it so that many of them that start at once don't all read
-	// checkpoints from the log.
+	// PeersFirst requests the initial checkpoint from peers before the log. Sidecars
+	// set it to limit the load on the log when many of them start at once.
 	PeersFirst bool
 	Logger     logr.Logger
 
 	readSucceeded bool // at least one read succeeded
-	// eraChanged is true if the last page read was of another era than the replica.
+	// eraChanged is set if the era of the last page read differs from the replica's.
 	eraChanged bool
 }
 
@@ -143,10 +144,10 @@
 	return nil
 }
 
-// checkEra returns ErrEraChanged for a page of another era than the replica's: the
-// log was restored from an older copy. The replica then keeps its state and applies
-// no records of the new era, and its contact time stays, so that changes are
-// refused until all processes have been restarted.
+// checkEra returns ErrEraChanged if the page's era differs from the replica's, because
+// the log was restored from an older copy. The replica then keeps its state and applies
+// no records of the new era. Its contact time no longer advances, so changes are refused
+// until all processes have been restarted.
 func (f *Follower) checkEra(page eventlog.Page) error {
 	if f.Replica.MatchesEra(page.Era) {
 		f.eraChanged = false
@@ -159,8 +160,8 @@
 	return errors.WithType(errors.Errorf("log is in era %d", page.Era), eventlog.ErrEraChanged)
 }
 
-// readWait returns how long the next read waits for a record: 0 until a first read
-// has succeeded, so that a starting process is in contact with the log at once.
+// readWait returns how long the next read waits for a record. It is 0 until a first read
+// has succeeded, so that a starting process makes contact with the log at once.
 func (f *Follower) readWait() time.Duration {
 	if !f.readSucceeded {
 		return 0
@@ -229,8 +230,8 @@
 const CheckpointEvery = 200
 
 // Checkpointer writes checkpoints to the log, for processes that start later. Every
-// gateway runs one; a random delay before each write makes it rare that two write
-// a checkpoint for the same records, which is harmless.
+// gateway runs one. A random delay before each write makes it rare that two gateways
+// write a checkpoint for the same records; if they do, it is harmless.
 type Checkpointer struct {
 	Replica *Replica
 	Log     *eventlog.Client
@@ -261,8 +262,8 @@
 	}
 }
 
-// write writes a checkpoint unless the newest one in the log is less than every
-// records behind the replica.
+// write writes a checkpoint. It skips the write if the newest checkpoint in the log is
+// behind the replica by fewer records than every.
 func (c *Checkpointer) write(ctx context.Context, every int64) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/state/record.go
+++ b/state/record.go
@@ -65,8 +65,9 @@
 	Wave int    `json:"wave"`
 }
 
-// Home is an incarnation of a sidecar that may keep the records of requests that
-// run at most once, by idempotency key.
+// Home is a sidecar process, identified by box and incarnation, that stores what is
+// known of some idempotency keys: which requests with the key have run and with what
+// result. Each key has one home among the homes of its service; see package dedup.
 type Home struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
@@ -93,8 +94,8 @@
 	// and Offset its offset.
 	At     int64 `json:"at"`
 	Offset int64 `json:"offset"`
-	// First is true if the service had no home before the change, nor in the
-	// changes retained then.
+	// First is true if the service had no home before the change and the changes
+	// retained at that time contained none of the service.
 	First   bool   `json:"first,omitempty"`
 	Added   []Home `json:"added,omitempty"`
 	Removed []Home `json:"removed,omitempty"`
--- a/state/replica.go
+++ b/state/replica.go
@@ -14,7 +14,7 @@
 )
 
 // maxRelayRecords is the number of records that a Replica retains for relaying. It
-// may hold up to twice as many before it discards the oldest.
+// temporarily holds up to twice as many.
 const maxRelayRecords = 2048
 
 // ErrBadCheckpoint means that a checkpoint does not match its digest or cannot be
@@ -40,6 +40,7 @@
 	records []eventlog.Entry
 	// changed is closed and replaced whenever the state's offset increases.
 	changed chan struct{}
+	// contact is the time of the last contact with the log; see Contact.
 	contact time.Time
 	// era is the era of the log from which the state was built.
 	era int64
@@ -90,16 +91,17 @@
 	return r.changed
 }
 
-// Contact returns the time, by the local clock, of the last successful read of the
-// log, by this process or by the relay that it reads from; zero means none.
+// Contact returns the time of the last contact with the log: of the last successful read
+// by this process or by the relay that it reads from. It is in terms of the local clock;
+// zero means that there was no contact.
 func (r *Replica) Contact() time.Time {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.contact
 }
 
-// MarkContact records that a read which reflects the log at the given time
-// succeeded. An earlier time than the current one has no effect.
+// MarkContact records a successful read that returned the content of the log as of the
+// given time. It has no effect if a later contact is recorded already.
 func (r *Replica) MarkContact(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// decodeRecord decodes an entry. For one that is not a record it returns a record
-// of no kind, which only advances the offset.
+// decodeRecord decodes an entry. For an entry that is not a valid record it returns a
+// record without a kind, which only advances the offset when it is applied.
 func decodeRecord(e eventlog.Entry) eventlog.Record {
 	var rec eventlog.Record
 	if err := json.Unmarshal(e.Data, &rec); err != nil || rec.ID == "" {
@@ -152,8 +154,9 @@
 	}
 }
 
-// Page returns the response to a relayed read: the retained records at offset from
-// and above, at most limit. If from is below First of the page, there are none.
+// Page returns the response to a relayed read: the retained records at offset from and
+// above, at most limit. If from is below the first retained offset, which the page
+// contains as First, the page contains no records.
 func (r *Replica) Page(from int64, limit int) eventlog.Page {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -183,9 +186,9 @@
 	return Checkpoint{Era: r.era, Offset: r.state.Offset, Digest: weights.Sum(b), State: b}
 }
 
-// Restore replaces the state by that of a checkpoint at a higher offset. A
-// checkpoint at the same or a lower offset, or of another era than the replica's if
-// that has applied records, has no effect. An invalid checkpoint is
+// Restore replaces the state by that of the checkpoint. It has no effect if the
+// checkpoint's offset is not higher than the replica's. It also has no effect if the
+// eras differ and the replica has applied records. For an invalid checkpoint it returns
 // ErrBadCheckpoint.
 func (r *Replica) Restore(c Checkpoint) error {
 	if weights.Sum(c.State) != c.Digest {
--- a/state/state.go
+++ b/state/state.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	// maxRecentIDs is the number of record ids retained to detect duplicate
-	// records. It must cover the records appended while a writer retries an append.
+	// maxRecentIDs is the number of record ids retained to detect duplicate records.
+	// It must exceed the number of records that other writers append while one writer
+	// retries an append.
 	maxRecentIDs = 4096
-	// maxInactivePlans is the number of plans without effect that are retained for
-	// operators to see.
+	// maxInactivePlans is the number of plans without effect that are retained, so
+	// that operators can look at them.
 	maxInactivePlans = 64
 	// changeRetention is how long changes of homes are retained. It must be longer
-	// than dedup.KeyTTL, for which a home keeps its keys.
+	// than dedup.KeyTTL, the time for which a home keeps a key.
 	changeRetention = 30 * time.Minute
 )
 
@@ -42,10 +43,11 @@
 	Operators  map[string]workspace.Operator  `json:"operators"`
 	Workspaces map[string]workspace.Workspace `json:"workspaces"`
 	Plans      map[string]*intent.Plan        `json:"plans"`
-	// PlanOrder lists the ids of the plans in the order of their proposals.
-	PlanOrder    []string            `json:"plan_order"`
+	// PlanOrder lists the ids of the plans in the order in which they were proposed.
+	PlanOrder []string `json:"plan_order"`
+	// LastModified is used to detect plans that conflict with later changes.
 	LastModified intent.LastModified `json:"touched"`
-	// Homes holds the homes by box.
+	// Homes holds the homes of idempotency keys, by box; see Home.
 	Homes map[string]Home `json:"homes"`
 	// HomeChanges lists the changes of homes within changeRetention, oldest first.
 	HomeChanges []HomeChange `json:"changes"`
@@ -91,10 +93,10 @@
 	}
 }
 
-// Apply applies r to s. If r is not at s.Offset, it returns ErrOutOfOrder and changes
-// nothing. A duplicate, invalid or conflicting record, or one of a newer schema,
-// advances the offset without an error; a conflicting or late confirmation also ends
-// its plan.
+// Apply applies r to s and advances the offset by one. If r is not at s.Offset, it
+// returns ErrOutOfOrder and changes nothing. Duplicate records, invalid records and
+// records of a newer schema have no other effect and cause no error. A confirmation that
+// is late or conflicts with an earlier record ends its plan, also without an error.
 func (s *State) Apply(r eventlog.Record) error {
 	if r.Offset != s.Offset {
 		return errors.WithType(errors.Errorf("got record at offset %d, expected offset %d", r.Offset, s.Offset), ErrOutOfOrder)
@@ -206,8 +208,8 @@
 	})
 }
 
-// activePlans returns the ids of the plans that are confirmed, or superseded but still
-// the newest one in effect for some box, since a later plan does not include it.
+// activePlans returns the ids of the plans that boxes still follow: the confirmed plans,
+// and the superseded ones that are still the newest plan for the model on some box.
 func (s *State) activePlans() map[string]bool {
 	type target struct{ box, model string }
 	newest := make(map[target]*intent.Plan)
@@ -239,11 +241,12 @@
 	return p.Status == intent.Confirmed || p.Status == intent.Superseded
 }
 
-// confirmPlan confirms a proposed plan, or ends it if it has expired or conflicts with
-// an earlier record. The decision depends only on the log, not on the local clock.
+// confirmPlan confirms a proposed plan. A plan that has expired, or that conflicts with
+// an earlier record, gets the status Expired or Conflicted instead. The decision depends
+// only on the log, not on the local clock.
 //
-// The reasons set here and below are part of the state and its digest, so they must
-// not differ between releases.
+// The texts of Plan.Reason set in this file are part of the state and its digest, so
+// they must not differ between releases.
 func (s *State) confirmPlan(r eventlog.Record, id string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != intent.Proposed {
@@ -268,8 +271,8 @@
 	s.supersede(p)
 }
 
-// supersede sets the status of the other confirmed plans for the model of newPlan to
-// Superseded if no workspace is routed to them first any more.
+// supersede sets the status of the other confirmed plans for newPlan's model to
+// Superseded if they are no longer the first route of any workspace.
 func (s *State) supersede(newPlan *intent.Plan) {
 	for _, id := range s.PlanOrder {
 		p := s.Plans[id]
@@ -282,8 +285,8 @@
 	}
 }
 
-// fullySuperseded reports whether later plans for the same model serve every workspace
-// of p.
+// fullySuperseded reports whether every workspace of p is routed first to a later plan
+// for the same model.
 func (s *State) fullySuperseded(p *intent.Plan) bool {
 	for _, w := range p.Intent.Workspaces {
 		if r := s.Route(w, p.Intent.Model); len(r) > 0 && r[0].ID == p.ID {
@@ -293,8 +296,8 @@
 	return true
 }
 
-// cancelPlan cancels a confirmed plan. If it had superseded others, the newest of them
-// is confirmed again with a new fence.
+// cancelPlan cancels a confirmed plan. If the plan had superseded others, the newest of
+// those is confirmed again with a new fence.
 func (s *State) cancelPlan(r eventlog.Record, id string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != intent.Confirmed {
@@ -325,8 +328,8 @@
 	return nil
 }
 
-// advancePlan advances a confirmed plan to its next wave. Any other wave has no
-// effect, so that duplicate records do not skip one.
+// advancePlan advances a confirmed plan to its next wave. A record for any other wave
+// has no effect, so that duplicate records do not skip a wave.
 func (s *State) advancePlan(b PlanAdvanced) {
 	p, ok := s.Plans[b.Plan]
 	if !ok || p.Status != intent.Confirmed || b.Wave != p.Wave+1 || b.Wave >= p.Waves() {
@@ -335,8 +338,8 @@
 	s.cloneForUpdate(b.Plan).Wave = b.Wave
 }
 
-// setStatus changes the status and reason of a plan whose status is from. If it is
-// another, or there is no such plan, nothing changes.
+// setStatus sets the status of a plan to to, and its reason. It has no effect if there is
+// no such plan or its status is not from.
 func (s *State) setStatus(id string, from, to intent.Status, reason string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != from {
@@ -346,8 +349,8 @@
 	p.Status, p.Reason = to, reason
 }
 
-// cloneForUpdate replaces a plan by a copy and returns the copy. Plans are modified
-// only this way, so that a *Plan which a reader retained does not change.
+// cloneForUpdate replaces a plan by a copy and returns the copy. All changes of plans go
+// through it, so that a *Plan that a reader has retained does not change.
 func (s *State) cloneForUpdate(id string) *intent.Plan {
 	p := *s.Plans[id]
 	s.Plans[id] = &p
@@ -390,14 +393,15 @@
 	s.pruneChanges(r.At)
 }
 
-// noRecentHomes reports whether the service has no home and has had none within
-// changeRetention, so that no home can hold records of its keys.
+// noRecentHomes reports whether the service has no home and had none within
+// changeRetention. No sidecar can then hold keys of the service.
 func (s *State) noRecentHomes(service string) bool {
 	return len(s.HomesOf(service)) == 0 && !slices.ContainsFunc(s.HomeChanges, func(c HomeChange) bool { return c.Service == service })
 }
 
-// pruneChanges removes changes older than changeRetention at now, which is the time of
-// a record in Unix milliseconds: the local clock would make replicas differ.
+// pruneChanges removes the changes of homes that are older than changeRetention. now is
+// the time of the applied record in Unix milliseconds; with the local clock instead,
+// replicas would differ.
 func (s *State) pruneChanges(now int64) {
 	s.HomeChanges = slices.DeleteFunc(slices.Clone(s.HomeChanges), func(c HomeChange) bool {
 		return now-c.At > changeRetention.Milliseconds()
@@ -416,9 +420,8 @@
 	return out
 }
 
-// Route returns the plans in effect by which a workspace uses a model, by descending
-// fence. Requests go to the version of the first plan, or of the next ones until the
-// first has replicas.
+// Route returns the plans in effect that provide a model to a workspace, by descending
+// fence. Requests go to the version of the first plan that has replicas.
 func (s *State) Route(workspace, model string) []*intent.Plan {
 	var out []*intent.Plan
 	for _, id := range s.PlanOrder {
@@ -431,8 +434,9 @@
 	return out
 }
 
-// Desired returns the plans that a box is to carry out, by descending fence: for each
-// model the plan in effect with the highest fence that includes the box.
+// Desired returns the plans that a box must carry out, by descending fence. For each
+// model this is the plan in effect with the highest fence among those that have a step
+// for the box.
 func (s *State) Desired(box string) []*intent.Plan {
 	byModel := make(map[string]*intent.Plan)
 	for _, id := range s.PlanOrder {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -58,9 +58,9 @@
 	return WorkspaceSet{Workspace: workspace.Workspace{Name: name, KeyHash: workspace.HashKey(name), Priority: 10}}
 }
 
-// TestTwoOperatorsOneWinner confirms two plans for the same box: only the one that is
-// confirmed first in the log takes effect.
-func TestTwoOperatorsOneWinner(t *testing.T) {
+// TestSecondConfirmationForBoxConflicts guards against two plans for the same box taking
+// effect: only the one that is confirmed first in the log does.
+func TestSecondConfirmationForBoxConflicts(t *testing.T) {
 	r := NewReplica()
 	assert.NilError(t, r.Apply(setOffsets([]eventlog.Entry{
 		newEntry(t, KindWorkspaceSet, "w", startTime, workspaceSet("a")),
@@ -78,7 +78,9 @@
 	})
 }
 
-func TestWorkspaceChangeConflicts(t *testing.T) {
+// TestPlanConflictsWithWorkspaceChange guards against confirming a plan that was computed
+// before its workspace changed.
+func TestPlanConflictsWithWorkspaceChange(t *testing.T) {
 	r := NewReplica()
 	assert.NilError(t, r.Apply(setOffsets([]eventlog.Entry{
 		newEntry(t, KindWorkspaceSet, "w", startTime, workspaceSet("a")),
@@ -98,9 +100,9 @@
 	r.View(func(s *State) { assert.Equal(t, s.Plans["1"].Status, intent.Expired) })
 }
 
-// TestCancelRestoresPrevious cancels a plan and expects the superseded one to be
-// confirmed again, with a higher fence.
-func TestCancelRestoresPrevious(t *testing.T) {
+// TestCancelRestoresSupersededPlan checks that after a plan is cancelled the plan that it
+// superseded is confirmed again, with a higher fence.
+func TestCancelRestoresSupersededPlan(t *testing.T) {
 	r := NewReplica()
 	assert.NilError(t, r.Apply(setOffsets([]eventlog.Entry{
 		newEntry(t, KindPlanProposed, "p1", startTime, PlanProposed{Plan: newPlan("1", 0, []string{"b1"}, "a")}),
@@ -122,7 +124,9 @@
 	})
 }
 
-func TestOffsetsNeverFallAndGapsAreNotSkipped(t *testing.T) {
+// TestOldEntriesAndGaps guards against applying an entry twice and against skipping a
+// missing entry.
+func TestOldEntriesAndGaps(t *testing.T) {
 	r := NewReplica()
 	entries := setOffsets([]eventlog.Entry{
 		newEntry(t, KindWorkspaceSet, "1", startTime, workspaceSet("a")),
@@ -139,6 +143,8 @@
 	assert.Equal(t, r.Offset(), int64(2))
 }
 
+// TestCheckpoint checks that a valid checkpoint restores the state, and guards against
+// restoring a damaged or an older one.
 func TestCheckpoint(t *testing.T) {
 	r := NewReplica()
 	assert.NilError(t, r.Apply(setOffsets([]eventlog.Entry{newEntry(t, KindWorkspaceSet, "1", startTime, workspaceSet("a")), newEntry(t, KindWorkspaceSet, "2", startTime, workspaceSet("b"))})))
@@ -161,8 +167,8 @@
 	assert.Equal(t, fresh.Offset(), int64(2), "an older checkpoint replaced a newer state")
 }
 
-// drawEntry returns a random entry. It draws names and ids from small sets, so that
-// records conflict and ids repeat.
+// drawEntry returns a random entry. Names and ids come from small sets, so that some
+// records conflict and some ids repeat.
 func drawEntry(t *rapid.T, i int) eventlog.Entry {
 	id := fmt.Sprintf("id-%d", rapid.IntRange(0, i).Draw(t, "id"))
 	pick := func(what string, n int) string { return fmt.Sprintf("%s%d", what, rapid.IntRange(0, n).Draw(t, what)) }
@@ -186,8 +192,8 @@
 	}
 }
 
-// TestApplyIsDeterministic applies random records at once, in overlapping pieces, and
-// after restoring a checkpoint: the digests of the states must be equal.
+// TestApplyIsDeterministic checks that the state has the same digest whether random
+// records are applied at once, in overlapping pieces, or after restoring a checkpoint.
 func TestApplyIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "records")
@@ -229,9 +235,9 @@
 	})
 }
 
-// TestDesiredFenceOnlyFallsOnCancel checks that the fence of the plan desired for a box
-// decreases only when a plan is cancelled.
-func TestDesiredFenceOnlyFallsOnCancel(t *testing.T) {
+// TestDesiredFenceDecreasesOnlyOnCancel guards against a box that returns to an older
+// plan for any other reason than a cancelled plan.
+func TestDesiredFenceDecreasesOnlyOnCancel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
 		last := map[string]int64{"b0": -1, "b1": -1, "b2": -1, "b3": -1}
