--- a/dedup/dedup_test.go
+++ b/dedup/dedup_test.go
@@ -18,7 +18,7 @@
 
 var epoch = time.UnixMilli(1_800_000_000_000)
 
-// keyAt returns the nth UUIDv7 with the given creation time.
+// keyAt returns a UUIDv7 with the given creation time; each n gives a different one.
 func keyAt(at time.Time, n int) string {
 	u := uuid.UUID{}
 	ms := at.UnixMilli()
@@ -59,12 +59,15 @@
 	return out
 }
 
+// home returns the home with the given numbers of box and incarnation.
 func home(box int, incarnation int) state.Home {
 	return state.Home{Box: fmt.Sprintf("b%d", box), Incarnation: fmt.Sprintf("n%d", incarnation)}
 }
 
 func self(h state.Home) Self { return Self{Box: h.Box, Incarnation: h.Incarnation} }
 
+// TestAdmit checks the verdicts for the current home of a key and for other sidecars,
+// before and after the key's home changes.
 func TestAdmit(t *testing.T) {
 	var log logModel
 	log.appendChange(epoch, state.HomesChanged{Add: []state.Home{home(1, 1), home(2, 2)}})
@@ -109,13 +112,14 @@
 	assert.Equal(t, Admit(newKey, self(home(2, 3)), s, afterChange, afterChange), Unknown, "a new incarnation on the same box has no record of the keys")
 }
 
+// homeBox returns the box of a key's home.
 func homeBox(key string, s *state.State) string {
 	h, _ := HomeOf(key, s.HomesOf(""))
 	return h.Box
 }
 
-// processModel is a sidecar: its table of keys and the log offset up to which it
-// has read.
+// processModel is a simulated sidecar with its table of keys. offset is the log offset
+// up to which it has read, and contact the time of that read.
 type processModel struct {
 	home    state.Home
 	table   Table
@@ -124,9 +128,9 @@
 	running bool
 }
 
-// TestAtMostOnce guards against a second run of a key, with random changes of
-// homes, processes that read the log late or not at all, restarts on the same
-// box, and retries through gateways with an outdated state.
+// TestAtMostOnce guards against two runs of a request with the same key. Homes
+// change at random, sidecars restart and read the log late or not at all, and
+// retries reach any sidecar.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log logModel
@@ -209,6 +213,7 @@
 	assert.Equal(t, Admit("opaque", self(home(1, 2)), log.stateAt(3), epoch, epoch), Unknown)
 }
 
+// TestTable checks the results of Begin for keys in each status and for a full table.
 func TestTable(t *testing.T) {
 	table := Table{Capacity: 2}
 	assert.Equal(t, table.Begin("a", "1", epoch).Status, New)
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -20,8 +20,8 @@
 	idle     chan struct{} // closed when active falls to 0; nil unless Drain waits
 }
 
-// Enter counts a request. The caller must call Leave when the request ends, also
-// if draining is true, which means that the request must be refused.
+// Enter counts a request. If draining is true, the caller must refuse the request. In
+// both cases the caller must call Leave when the request ends.
 func (t *Tracker) Enter() (draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,9 +47,9 @@
 	return t.draining
 }
 
-// Drain makes Enter report draining from now on and waits until no request is in
-// flight. It returns an error that wraps ctx's error if ctx ends first. It may
-// be called again.
+// Drain makes Enter report draining from now on, and waits until no request is in
+// flight. If ctx ends first, it returns an error that wraps ctx's error. It may be
+// called again.
 func (t *Tracker) Drain(ctx context.Context) error {
 	t.mu.Lock()
 	t.draining = true
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -12,6 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestDrain checks that Drain waits for requests in flight, that it ends with its context,
+// and that Enter reports draining meanwhile.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var tracker Tracker
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -4,10 +4,13 @@
 // which mintlift computes from them.
 //
 // NewPlan computes a plan from a Snapshot of the cluster without changing
-// anything. A plan contains the log offset of its snapshot, and ConflictReason
+// anything. A plan contains the log offset of its snapshot. ConflictReason
 // compares that offset with the offsets of the last changes to the plan's boxes
-// and workspaces. So of two conflicting plans only the one that is confirmed
-// first in the log takes effect, whichever gateways the operators used.
+// and workspaces. Of two conflicting plans, only the one that is confirmed first
+// in the log takes effect, even if the operators use different gateways.
+//
+// A plan runs in waves: only the boxes of one wave at a time stop serving, so that
+// each workspace keeps its floor, the least number of boxes that must serve it.
 //
 // The package does no I/O.
 package intent
@@ -22,14 +25,15 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Weighing selects which of two costs a plan keeps low.
+// Weighing selects which cost of a rollout a plan minimizes.
 type Weighing string
 
 const (
-	// TimeToReplicas lets boxes read an extra copy from the origin so that all
-	// replicas are ready sooner.
+	// TimeToReplicas minimizes the time until all replicas are ready: boxes may
+	// read an extra copy of the weights from the origin.
 	TimeToReplicas Weighing = "time_to_replicas"
-	// OriginBytes reads each chunk from the origin once.
+	// OriginBytes minimizes the bytes read from the origin: each chunk is read
+	// from it once.
 	OriginBytes Weighing = "origin_bytes"
 )
 
@@ -50,15 +54,15 @@
 	Boxes []string `json:"boxes,omitempty"`
 	// Replicas limits the number of boxes; 0 means no limit.
 	Replicas int `json:"replicas,omitempty"`
-	// Priority, 1 to 100, overrides the highest priority of the workspaces; 0
-	// means that one.
+	// Priority is the plan's priority, 1 to 100. 0 means the highest priority of
+	// the workspaces.
 	Priority int `json:"priority,omitempty"`
 	// Weighing overrides the deployment's setting if it isn't empty.
 	Weighing Weighing `json:"weighing,omitempty"`
 }
 
-// Validate returns a NotValid error for the first field whose value is invalid in
-// any cluster.
+// Validate checks the fields without regard to a cluster. It returns a NotValid error
+// for the first invalid one.
 func (in *Intent) Validate() error {
 	switch {
 	case !in.Valid():
@@ -75,8 +79,7 @@
 	return nil
 }
 
-// Status is the state of a plan in its life cycle. It depends only on the order of
-// records in the log.
+// Status is the state of a plan. It depends only on the order of records in the log.
 type Status string
 
 const (
@@ -99,12 +102,13 @@
 type Step struct {
 	Box  string                      `json:"box"`
 	Zone membership.AvailabilityZone `json:"availability_zone"`
-	// Source is where the box's region reads its first copy of the weights:
-	// FromOrigin or the name of another region. Within a region, boxes send
-	// chunks to each other.
+	// Source is FromOrigin if the box's region reads its first copy of the weights
+	// from the origin, and otherwise the name of the region that it reads the copy
+	// from. Further copies are sent between the boxes of the region.
 	Source string `json:"source"`
-	// Wave is the rollout wave in which the box may stop serving the previous
-	// version. A box of wave 0 may load as soon as it has all chunks.
+	// Wave is the number of the rollout wave in which the box may stop serving the
+	// previous version, counted from 0. A box of wave 0 may load the new version as
+	// soon as it has all chunks.
 	Wave int `json:"wave"`
 	// Evicts lists the versions to unload before this one fits into the memory of
 	// the box's engine.
@@ -114,15 +118,16 @@
 // Forecast is the estimated cost of a plan under one weighing.
 type Forecast struct {
 	Weighing Weighing `json:"weighing"`
-	// TimeToReplicas is the estimated time until all boxes have the version; 0
-	// means that the bandwidths are not known.
+	// TimeToReplicas is the estimated time until all boxes have the version. It is 0
+	// if the bandwidths are not known.
 	TimeToReplicas time.Duration `json:"time_to_replicas_ns"`
 	// OriginBytes is the estimated number of bytes read from the origin.
 	OriginBytes int64 `json:"origin_bytes"`
 }
 
-// Capacity is the number of boxes that serve a workspace: at the time of planning,
-// at the lowest point of the rollout, and the workspace's floor.
+// Capacity holds numbers of boxes that serve a workspace: Now at the time of planning,
+// Lowest at the lowest point of the rollout, and Floor, the least number that must
+// serve it.
 type Capacity struct {
 	Workspace string `json:"workspace"`
 	Now       int    `json:"now"`
@@ -157,9 +162,9 @@
 	// Reason is a text for operators: why the plan is rejected, conflicted,
 	// expired, cancelled or superseded, or that it was restored.
 	Reason string `json:"reason,omitempty"`
-	// Fence is the fencing token of the plan's orders to engines: the offset of
-	// the record that confirmed the plan or, if it was superseded, of the record
-	// that restored it by cancelling the later plan.
+	// Fence is the plan's fencing token: the offset of the record that confirmed
+	// the plan. If the plan was superseded and then restored, it is the offset of the
+	// record that cancelled the later plan. A plan with a higher fence is newer.
 	Fence int64 `json:"fence,omitempty"`
 	// ConfirmID is the id of the record that confirmed the plan.
 	ConfirmID string `json:"confirm_id,omitempty"`
@@ -206,13 +211,13 @@
 	return out
 }
 
-// FromOrigin is the Source of steps whose region reads its first copy from the
+// FromOrigin is the Source of a Step whose region reads its first copy from the
 // origin.
 const FromOrigin = "origin"
 
-// LastModified holds, per box and per workspace, one more than the offset of the
-// last record that can invalidate plans computed before it. A plan whose Base is
-// lower than that conflicts.
+// LastModified holds the offset after the last record that changed a box or a
+// workspace, by name. A plan with a lower Base was computed before that change and
+// conflicts with it.
 type LastModified struct {
 	Boxes      map[string]int64 `json:"boxes"`
 	Workspaces map[string]int64 `json:"workspaces"`
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -22,8 +22,8 @@
 	// ErrUnknownWorkspace means that the intent contains a workspace that does not
 	// exist.
 	ErrUnknownWorkspace = errors.ConstError("workspace does not exist")
-	// ErrFloor means that stopping even one box at a time would leave a workspace
-	// with fewer boxes than its floor.
+	// ErrFloor means that a workspace would have fewer boxes than its floor even if
+	// each wave stopped a single box.
 	ErrFloor = errors.ConstError("plan cannot keep a workspace above its floor")
 	// ErrNoMemory means that the version is larger than the memory of an engine.
 	ErrNoMemory = errors.ConstError("version does not fit into the engine's memory")
@@ -65,9 +65,9 @@
 	// Boxes lists the boxes that are available.
 	Boxes []Candidate
 	Links Links
-	// Weighing is the deployment's default.
+	// Weighing is used for intents that have none.
 	Weighing Weighing
-	// TTL is how long after Now a plan can be confirmed.
+	// TTL is the time after Now during which the plan can be confirmed.
 	TTL time.Duration
 }
 
@@ -125,8 +125,8 @@
 	return highest, nil
 }
 
-// matchingBoxes returns the boxes that an intent selects, at most in.Replicas if
-// that isn't 0, spread evenly over the zones.
+// matchingBoxes returns the boxes that an intent selects, spread evenly over the
+// zones. It returns at most in.Replicas boxes, or all if that is 0.
 func matchingBoxes(in Intent, all []Candidate) []Candidate {
 	byZone := make(map[membership.AvailabilityZone][]Candidate)
 	var zones []membership.AvailabilityZone
@@ -148,9 +148,9 @@
 	return interleave(in.Replicas, zones, byZone)
 }
 
-// interleave returns the boxes of all zones in round-robin order of the zones, at
-// most limit if that isn't 0. It sorts its arguments, so that the result does not
-// depend on their order.
+// interleave returns the boxes of all zones in round-robin order of the zones: at most
+// limit boxes, or all if limit is 0. It sorts its arguments, so that the result does
+// not depend on their order.
 func interleave(limit int, zones []membership.AvailabilityZone, byZone map[membership.AvailabilityZone][]Candidate) []Candidate {
 	slices.SortFunc(zones, func(a, b membership.AvailabilityZone) int { return cmp.Compare(a.String(), b.String()) })
 	for _, z := range zones {
@@ -193,8 +193,8 @@
 	return p.addWaves(evicting, boxes, snap)
 }
 
-// originRegion returns the region that reads from the origin, the first by name;
-// the other regions read their first copy from it.
+// originRegion returns the region that reads its first copy from the origin: the first
+// one by name. The other regions read their first copy from that region.
 func originRegion(boxes []Candidate) string {
 	region := boxes[0].Zone.Region
 	for _, c := range boxes {
@@ -231,7 +231,7 @@
 	return out
 }
 
-// boolOrder returns a sort key by which false comes before true.
+// boolOrder returns the sort key of b: false comes before true.
 func boolOrder(b bool) int {
 	if b {
 		return 1
@@ -239,10 +239,10 @@
 	return 0
 }
 
-// addWaves assigns the steps that evict a version to waves, each small enough that
-// every affected workspace keeps its floor while the boxes of one wave do not
-// serve. evicting holds the indices of those steps, which are also those of their
-// boxes.
+// addWaves assigns the steps that evict a version to waves of equal size. The size is
+// the largest at which every affected workspace keeps its floor while the boxes of one
+// wave do not serve. evicting holds the indices of these steps in p.Steps; boxes has the
+// same indices.
 func (p *Plan) addWaves(evicting []int, boxes []Candidate, snap Snapshot) error {
 	serving := servingBoxes(snap.Boxes)
 	size := len(evicting)
@@ -272,7 +272,7 @@
 	return n
 }
 
-// servedWorkspaces returns the set of workspaces that the loaded versions serve.
+// servedWorkspaces returns the set of workspaces that are routed to the loaded versions.
 func servedWorkspaces(c Candidate, loaded []LoadedVersion) map[string]bool {
 	names := make(map[string]bool)
 	for _, l := range loaded {
@@ -283,7 +283,7 @@
 	return names
 }
 
-// affectedWorkspaces returns the workspaces served by versions that the plan
+// affectedWorkspaces returns the workspaces that are routed to versions that the plan
 // evicts, sorted.
 func affectedWorkspaces(evicting []int, p *Plan, boxes []Candidate, snap Snapshot) []string {
 	names := make(map[string]bool)
@@ -307,8 +307,8 @@
 	return out
 }
 
-// addCapacities adds the capacity of each affected workspace and of each workspace
-// of the intent. waveSize is the largest number of boxes in a wave.
+// addCapacities sets p.Capacities: the capacity of each affected workspace and of each
+// workspace of the intent. waveSize is the largest number of boxes in a wave.
 func (p *Plan) addCapacities(evicting []int, boxes []Candidate, waveSize int, serving map[string]int, snap Snapshot) {
 	names := affectedWorkspaces(evicting, p, boxes, snap)
 	for _, name := range p.Intent.Workspaces {
@@ -343,21 +343,21 @@
 
 // Parameters of forecasts for a transfer without faults.
 const (
-	// timeOverhead is the expected time relative to its lower bound, and
-	// timeOverheadExtraCopy the same with an extra copy from the origin.
+	// timeOverhead is the ratio of the expected time to its lower bound.
+	// timeOverheadExtraCopy is the ratio with an extra copy from the origin.
 	timeOverhead          = 1.10
 	timeOverheadExtraCopy = 1.03
-	// copyOverhead is the expected number of copies read from the origin without an
-	// extra copy.
+	// copyOverhead is the expected number of copies read from the origin if no extra
+	// copy is permitted.
 	copyOverhead = 1.03
 	// maxBoxesExtraCopy is the largest number of boxes for which an extra copy is
 	// expected to shorten the transfer.
 	maxBoxesExtraCopy = 15
 )
 
-// forecast estimates time and origin bytes of a plan. The lower bound on the time
-// is max(M/u, M/o, N·M/(o + N·u)) for M bytes to N boxes of bandwidth u from an
-// origin of bandwidth o.
+// forecast estimates the time and the origin bytes of a plan. For M bytes to N boxes,
+// a bandwidth u of each box and a bandwidth o of the origin, the lower bound on the
+// time is max(M/u, M/o, N·M/(o + N·u)).
 func forecast(weighing Weighing, boxes []Candidate, m *weights.Manifest, l Links) Forecast {
 	size, n := float64(m.Bytes), float64(len(boxes))
 	overhead, copies := timeOverhead, copyOverhead
@@ -373,8 +373,8 @@
 	return f
 }
 
-// NextWaveKeepsFloor reports whether every workspace keeps its floor if the boxes
-// of p's next wave stop serving now. boxes lists the boxes that are available.
+// NextWaveKeepsFloor reports whether every workspace keeps its floor if the boxes of
+// p's next wave stop serving now. boxes lists the boxes that are available now.
 func NextWaveKeepsFloor(p *Plan, boxes []Candidate, workspaces map[string]workspace.Workspace) bool {
 	serving := servingBoxes(boxes)
 	leaving := make(map[string]int)
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -21,8 +21,10 @@
 	v2 = weights.Ref{Model: "m", Version: "v2"}
 )
 
+// size is the size of a version in bytes.
 const size = 1000
 
+// manifest returns a manifest of 10 chunks for a version.
 func manifest(ref weights.Ref) *weights.Manifest {
 	m := &weights.Manifest{Ref: ref, Bytes: size, ChunkBytes: 100}
 	for range 10 {
@@ -32,7 +34,7 @@
 }
 
 // testSnapshot returns a snapshot of n boxes in two regions that serve v1 to
-// workspace a, whose floor is given. memory is the size of each engine's memory in
+// workspace a. floor is the floor of a, and memory the size of each engine's memory in
 // bytes; 0 means no limit.
 func testSnapshot(n int, memory int64, floor int) Snapshot {
 	snap := Snapshot{
@@ -95,6 +97,8 @@
 	assert.DeepEqual(t, zones, map[string]int{"z0": 2, "z1": 2})
 }
 
+// TestEvictionsAndWavesDependOnMemory checks that a plan has evictions and several waves
+// only if the engines cannot hold both versions, and the errors if there is no plan.
 func TestEvictionsAndWavesDependOnMemory(t *testing.T) {
 	in := Intent{Ref: v2, Workspaces: []string{"a"}}
 	large, err := NewPlan(in, manifest(v2), testSnapshot(6, 2*size, 2))
@@ -111,8 +115,8 @@
 	assert.Assert(t, errors.Is(err, ErrFloor))
 }
 
-// TestWavesKeepTheFloor checks for random numbers of boxes and floors that no wave
-// takes a workspace below its floor and that every box has a step.
+// TestWavesKeepTheFloor guards against a wave that takes a workspace below its floor
+// and against boxes without a step, with random numbers of boxes and floors.
 func TestWavesKeepTheFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "boxes")
@@ -143,8 +147,8 @@
 	})
 }
 
-// TestNextWaveKeepsFloor checks that the next wave may not start if too many boxes
-// became unavailable since the plan was computed.
+// TestNextWaveKeepsFloor guards against starting a wave after boxes have become
+// unavailable, if a workspace would fall below its floor.
 func TestNextWaveKeepsFloor(t *testing.T) {
 	snap := testSnapshot(6, size*3/2, 2)
 	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), snap)
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -24,18 +24,19 @@
 // Source is a topic to follow, and the callbacks that receive its records.
 type Source struct {
 	Topic string
-	// Budget, if not nil, bounds the age of the records: it limits how long a read
-	// waits for new records and sets when a hedged read is made beside it. Without
-	// it reads do not wait, and are hedged only on Wake.
+	// Budget, if not nil, bounds the age of the records. It limits how long a read
+	// waits for new records, and determines when a hedged read is made in addition.
+	// Without a Budget reads do not wait, and are hedged only on Wake.
 	Budget *freshness.Budget
-	// Pause is the delay between the end of a successful read and the next one.
-	// After a slow read it gives a gateway time to find another gateway to follow,
-	// so that gateways that start together do not all keep reading the store.
+	// Pause is the delay between a successful read and the next one. It gives a
+	// gateway time to find another gateway to follow, so that gateways that start
+	// together do not all keep reading the store.
 	Pause time.Duration
-	// OnSnapshot receives the newest record of each key and their era; it replaces
-	// everything received before. OnRecord receives each later record.
+	// OnSnapshot receives the newest record of each key and their era. They replace
+	// all records received before.
 	OnSnapshot func(records []Record, era int64)
-	OnRecord   func(Record)
+	// OnRecord receives each later record.
+	OnRecord func(Record)
 	// Wake makes a hedged read at once for each value. It is set for the operator's
 	// topic and nil for others.
 	Wake <-chan struct{}
@@ -43,32 +44,34 @@
 	// returns true and the position to continue from if another process has
 	// delivered the records, so that the store need not be read.
 	FromRelay func(ctx context.Context, next history.Position) (history.Position, bool)
-	// OnConfirmed, if not nil, is called after each successful read with the time
-	// as of which the records are complete.
+	// OnConfirmed, if not nil, is called after each successful read. The records
+	// received are complete as of the time confirmed.
 	OnConfirmed func(confirmed time.Time)
 
-	// confirmed is the time as of which the records are complete.
+	// confirmed is the time as of which the received records are complete.
 	confirmed time.Time
-	// appliedOffsets are the offsets of the last applied record of each key.
-	// Dropped keys are absent.
+	// appliedOffsets holds the offset of the last applied record of each key.
+	// Deleted keys are absent.
 	appliedOffsets map[string]int64
 	// listedEnd is the end of the topic as reported with the newest records.
 	listedEnd int64
-	// checkedAt is when the newest records were last read for a recheck, and
-	// recheckUntil when rechecks end; zero means that none are due.
-	checkedAt, recheckUntil time.Time
+	// checkedAt is the time of the last recheck, or of the event that made rechecks
+	// necessary.
+	checkedAt time.Time
+	// recheckUntil is when rechecks end; zero means that there are none.
+	recheckUntil time.Time
 }
 
-// After newest records that may lag behind the position from which reading
-// continues, they are read again every RecheckInterval for recheckDuration: the
-// records between the two would be missed otherwise.
+// Timing of rechecks. The newest records that the store returns may lag behind the
+// position from which reading continues; the records in between would be missed. The
+// newest records are therefore read again every RecheckInterval for recheckDuration.
 const (
 	RecheckInterval = 1200 * time.Millisecond
 	recheckDuration = 8 * time.Second
 )
 
-// reset replaces everything applied before by the newest records, and returns
-// the position to read from next.
+// reset replaces all records applied before by the newest records, and returns the
+// position to read from next.
 func (s *Source) reset(n *Newest, now time.Time) history.Position {
 	s.appliedOffsets = make(map[string]int64, len(n.Records))
 	for _, r := range n.Records {
@@ -83,7 +86,7 @@
 	return n.NextPosition()
 }
 
-// scheduleRechecks makes rechecks due for recheckDuration from now.
+// scheduleRechecks schedules rechecks from now until recheckDuration has passed.
 func (s *Source) scheduleRechecks(now time.Time) {
 	s.checkedAt, s.recheckUntil = now, now.Add(recheckDuration)
 }
@@ -98,7 +101,8 @@
 	s.OnRecord(r)
 }
 
-// applyNew applies the records that are newer than the last applied of their key.
+// applyNew applies the records that are newer than the last applied record of the same
+// key.
 func (s *Source) applyNew(records []Record) {
 	for _, r := range records {
 		if offset, known := s.appliedOffsets[r.Key]; known && r.Offset <= offset {
@@ -113,9 +117,9 @@
 	return now.Before(s.recheckUntil) && now.Sub(s.checkedAt) >= RecheckInterval
 }
 
-// reconcile applies the newest records that have not been applied, and drops the
-// keys that they lack. It ignores records older than the applied ones, and keeps
-// keys that are newer than all of records.
+// reconcile compares the newest records of a recheck with the applied ones. It applies
+// those that are newer, and deletes the applied keys that are not among them. It keeps
+// keys that were applied at a higher offset than all of records.
 func (s *Source) reconcile(records []Record, now time.Time) {
 	s.checkedAt = now
 	listed := make(map[string]bool, len(records))
@@ -143,9 +147,9 @@
 	return highest
 }
 
-// Follow reads the newest records of a topic, and then those that follow, until
-// ctx ends. It retries failed reads after a delay. After a gap or a new era it
-// starts over with the newest records.
+// Follow reads the newest records of a topic, and then those that follow, until ctx
+// ends. It retries failed reads after a delay. It starts over with the newest records
+// if the next ones are no longer retained or the store has a new era.
 func (w *Watcher) Follow(ctx context.Context, s *Source) {
 	next := history.Unread
 	failures := 0
@@ -197,17 +201,18 @@
 	}
 }
 
-// topicUnresponsive reports whether a read from a known position stalled while
-// calls for other topics were answered in time: the topic alone does not respond.
+// topicUnresponsive reports whether the store does not respond for this topic alone: a
+// read from a known position stalled while calls for other topics were answered in
+// time.
 func (w *Watcher) topicUnresponsive(topic string, next history.Position, err error) bool {
 	return next.Known() && errors.Is(err, stall.ErrStalled) && !w.store.OthersLate(topic, clock.Now())
 }
 
-// retryDelay returns the delay after the given number of consecutive failed
-// reads: exponential up to maxRetryDelay, plus jitter, since all processes lose
-// the store at once and saturated links need time to drain. If only the topic is
-// unresponsive the delay is the jitter alone: the read has already taken the
-// stall timeout, and a longer delay would exceed the bound of changes.
+// retryDelay returns the delay after the given number of consecutive failed reads. It
+// is exponential up to maxRetryDelay, plus jitter, to spread the retries of the
+// processes, which all lose the store at once. If only the topic is unresponsive, the
+// delay is the jitter alone: the read has already taken the stall timeout, and changes
+// would take effect too late after a longer delay.
 func retryDelay(failures int, topicUnresponsive bool) time.Duration {
 	jitter := time.Duration(rand.Int64N(int64(minRetryDelay)))
 	if topicUnresponsive {
@@ -216,8 +221,8 @@
 	return min(minRetryDelay<<min(failures, 3), maxRetryDelay) + jitter
 }
 
-// wakeAfterOutage makes the reader of the operator's topic read at once when the
-// store responds again for s, another topic.
+// wakeAfterOutage requests a read of the operator's topic when the store responds again
+// for another topic, s.
 func (w *Watcher) wakeAfterOutage(s *Source) {
 	if s.Wake == nil {
 		w.wakeOperatorReader()
--- a/storewatch/follow_test.go
+++ b/storewatch/follow_test.go
@@ -26,8 +26,9 @@
 func (l *fakeStore) OthersLate(string, time.Time) bool { return l.othersLate }
 func (l *fakeStore) Era() int64                        { return 0 }
 
-// After an outage in which reads were refused, or one topic was unresponsive, the
-// retry delay and the next read take less than the bound of changes.
+// Guards against changes that take effect too late after an outage: the retry delay and
+// the next read together must take less than the bound. That also holds if only one
+// topic was unresponsive.
 func TestRetryDelaysAreUnderTheBound(t *testing.T) {
 	const manyFailures = 9
 	budget := freshness.New(2 * time.Second)
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -38,8 +38,8 @@
 	readGone     = "gone"   // the records are no longer retained
 	readStalled  = "silent" // no byte was received within the stall timeout
 	readFailed   = "failed" // refused, or the connection broke
-	// readOtherEra: the store was restored from an older copy after the position
-	// was read, or after the response was given.
+	// readOtherEra means that the store was restored from an older copy after the
+	// position was read, or after the response was sent.
 	readOtherEra = "other era"
 )
 
@@ -93,20 +93,19 @@
 // readResult is the result of a read of the store.
 type readResult struct {
 	records []Record
-	// nextPosition is the position to read from next, and confirmed the time as of
-	// which there are no further records.
+	// nextPosition is the position to read from next. confirmed is the time at which
+	// the store had no records beyond it.
 	nextPosition history.Position
 	confirmed    time.Time
 }
 
-// maxConcurrentReads bounds the reads of a topic in flight. A stalled read fails
-// about two hedging intervals after its wait, so more are not needed.
+// maxConcurrentReads bounds the number of reads of a topic in flight.
 const maxConcurrentReads = 3
 
 // readFrom reads a topic from a position on. If there is no response within the
-// budget it makes a hedged read, which does not wait: a read that the store
-// accepted during an outage may never get a response, though its connection stays
-// open.
+// budget, it makes a hedged read, which does not wait for new records. Hedging is
+// needed because the store may never respond to a read that it accepted during an
+// outage, although the connection stays open.
 func (w *Watcher) readFrom(ctx context.Context, s *Source, next history.Position) (readResult, error) {
 	wait := s.readWait(clock.Now())
 	plan := hedge.Plan{
@@ -139,8 +138,9 @@
 	if ctx.Err() == nil { // otherwise another read was answered first
 		w.countRead(topic, err)
 	}
-	// The response may have been in transit for a while: that there are no further
-	// records holds for the end of the wait or, without a wait, for the request.
+	// The response may have been in transit for a while. It is only certain that there
+	// were no further records at the end of the wait or, without a wait, when the read
+	// began.
 	return readResult{records, position, began.Add(min(clock.Since(began), wait))}, err
 }
 
--- a/storewatch/reader.go
+++ b/storewatch/reader.go
@@ -22,8 +22,9 @@
 	return &Reader{watcher: w, source: s, next: history.Unread}
 }
 
-// Read reads the topic once: the newest records at first, and only later ones from
-// then on. After ErrGone or ErrNewEra the next Read starts over.
+// Read reads the topic once. The first call reads the newest record of each key, and
+// later calls only the records after those. After ErrGone or ErrNewEra the next call
+// starts over with the newest records.
 func (r *Reader) Read(ctx context.Context) error {
 	next, err := r.watcher.step(ctx, r.source, r.next)
 	if errors.Is(err, ErrGone) || errors.Is(err, ErrNewEra) {
--- a/storewatch/relay.go
+++ b/storewatch/relay.go
@@ -10,23 +10,25 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// RelayedRecords are the operator's records that another process has read.
+// RelayedRecords are operator's records received from another process, which has read
+// them from the store.
 type RelayedRecords struct {
 	Records []Record
-	// Next and Confirmed are Read and Confirmed of that process's Progress.
+	// Next is Progress.Read of the other process: the position to read from next.
+	// Confirmed is its Progress.Confirmed.
 	Next      history.Position
 	Confirmed time.Time
 }
 
-// Relay requests the operator's records from another process: those from a
-// position on, or all if that is of another era. age is the age of the records
-// held here; it limits how long the other process waits for new ones. Relay
-// returns nil if the store must be read instead.
+// Relay requests the operator's records from a position on from another process. If
+// the position is of another era than that process's, it gets all records. age is the
+// age of the records held here; it limits how long the other process may wait for new
+// ones. Relay returns nil if the store must be read instead.
 type Relay func(ctx context.Context, from history.Position, age time.Duration) *RelayedRecords
 
-// ReadRelayed applies the operator's records obtained through relay, and returns
-// the position to read from next. It returns false if the store must be read
-// instead, as it always must while this process is behind another one.
+// ReadRelayed applies the operator's records obtained through relay, and returns the
+// position to read from next. It returns false if the store must be read instead. That
+// is always so while this process is behind another one; see Progress.Behind.
 func (w *Watcher) ReadRelayed(ctx context.Context, s *Source, relay Relay, next history.Position) (history.Position, bool) {
 	if w.Progress().Behind {
 		return next, false
--- a/storewatch/store.go
+++ b/storewatch/store.go
@@ -15,31 +15,35 @@
 const (
 	// ErrGone means that the requested records are no longer retained.
 	ErrGone = errors.ConstError("records no longer retained by the store")
-	// ErrNewEra means that the store was restored from an older copy since the
-	// position was read: the position belongs to an earlier era.
+	// ErrNewEra means that the store was restored from an older copy after the
+	// position was read, so the position belongs to an earlier era.
 	ErrNewEra = errors.ConstError("store restored from an older copy")
-	// ErrPastEra means that a response was given before the store was restored.
+	// ErrPastEra means that the store sent the response before it was restored
+	// from an older copy.
 	ErrPastEra = errors.ConstError("answer from before the store was restored from an older copy")
 )
 
-// Store is the platform's store.
+// Store is the platform's store: topics of records with keys and consecutive offsets.
+// Its era increases each time it is restored from an older copy; offsets of different
+// eras are not comparable.
 type Store interface {
 	// Newest returns the newest record of each key of a topic.
 	Newest(ctx context.Context, topic string) (*Newest, error)
-	// Read returns the records from a position on, waiting up to wait for the
-	// first, and the position to read from next. It returns ErrNewEra if the
-	// position is of an earlier era, also if the topic has since grown past its
-	// offset.
+	// Read returns the records from a position on, and the position to read from
+	// next. If there is no record, it waits up to wait for one. It returns ErrNewEra
+	// if the position is of an earlier era, even if the topic has since grown past
+	// its offset.
 	Read(ctx context.Context, topic string, from history.Position, wait time.Duration) ([]Record, history.Position, error)
-	// Era returns the highest era seen. ObserveEra records an era reported by
-	// another process; it returns false if that is an earlier one.
+	// Era returns the highest era observed.
 	Era() int64
+	// ObserveEra records an era that another process has reported. It returns false
+	// if that era is lower than Era.
 	ObserveEra(era int64) bool
-	// OthersLate reports whether calls for other topics are late as well.
+	// OthersLate reports whether calls for topics other than this one are late, too.
 	OthersLate(topic string, now time.Time) bool
 }
 
-// Record is a record of a topic. Value is nil if the key is dropped.
+// Record is a record of a topic. Value is nil if the record deletes the key.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -50,16 +54,17 @@
 type Newest struct {
 	// Records are in the order in which they were written.
 	Records []Record
-	// Era is the era of all pages, and End the topic's end as reported with the
-	// first page.
+	// Era is the era of all pages. End is the end of the topic, the offset after its
+	// last record, as reported with the first page.
 	Era, End int64
-	// Pages is the number of calls; several pages are no consistent snapshot.
+	// Pages is the number of calls that returned the records. Records from several
+	// calls are no consistent snapshot.
 	Pages int
 }
 
 // NextPosition returns the position to read from next: the one after the newest
-// record, or End if that is lower. The store may return records that lag behind
-// the End that it reports.
+// record, or End if that is lower. The position after the newest record can be below
+// End, since the records that the store returns may lag behind the End that it reports.
 func (n *Newest) NextPosition() history.Position {
 	from := int64(0)
 	if len(n.Records) > 0 {
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -3,9 +3,15 @@
 // Package storewatch follows topics of the platform's store, directly or through
 // another process, and delivers changed records.
 //
-// It starts with the newest record of each key and continues from there. It starts
-// over after a gap and after the store was restored from an older copy, which
-// begins a new era. It does not interpret the records' values.
+// It starts with the newest record of each key and then reads the records that follow.
+// It starts over if the store no longer retains the next records. It also starts over
+// after the store was restored from an older copy; each restore begins a new era of
+// the store. The package does not interpret the records' values.
+//
+// Processes exchange the positions up to which they have read the operator's topic,
+// which holds the records that the operator writes, and their version sums. A version
+// sum is the sum of the versions of all operator's records that a process holds.
+// Versions only increase, so a process with a higher sum holds newer records.
 package storewatch
 
 import (
@@ -34,36 +40,38 @@
 	wake chan struct{}
 
 	mu sync.Mutex
-	// read is the next position of the operator's topic, and confirmed the time as
-	// of which there were no records beyond it.
+	// read is the position to read the operator's topic from next. confirmed is the
+	// time at which the store had no records beyond it.
 	read      history.Position
 	confirmed time.Time
-	// stale is set once the records are older than the bound of changes.
+	// stale is set while the operator's records are older than the bound within which
+	// a change must take effect.
 	stale bool
-	// peerPosition is the furthest position that another process has reported, and
-	// wokenAt the time of the last read made because of it.
+	// peerPosition is the furthest position that another process has reported. wokenAt
+	// is the time of the last read made because of it.
 	peerPosition history.Position
 	wokenAt      time.Time
 	// newest holds the operator's record of the highest version for each key.
+	newest map[string]versionedRecord
 	// advanced is closed and replaced when read changes.
-	newest   map[string]versionedRecord
 	advanced chan struct{}
 	// peerVersionSum is the version sum last reported for another process, and
-	// peerVersionSumAt when; see VersionSum.
+	// peerVersionSumAt the time of the report.
 	peerVersionSum   int64
 	peerVersionSumAt time.Time
 }
 
-// peerVersionSumTTL is how long a reported version sum counts. Running processes
-// report theirs twice a second.
+// peerVersionSumTTL is the age above which a reported version sum is ignored.
 const peerVersionSumTTL = 4 * time.Second
 
 // versionedRecord is a record that the operator wrote.
 type versionedRecord struct {
 	Record
-	// era is the era of the offset. version is the version of the content; it rises
-	// with each record that the operator writes for a key.
-	era, version int64
+	// era is the era of Record.Offset.
+	era int64
+	// version is the version of the record's content. It increases with each record
+	// that the operator writes for a key.
+	version int64
 }
 
 // New returns a watcher of a store, and registers its gauges with m.
@@ -79,15 +87,15 @@
 
 // Progress describes how far the operator's records have been read.
 type Progress struct {
-	// Read is the position of the next record.
+	// Read is the position to read from next.
 	Read history.Position
-	// Confirmed is the time as of which there were no further records; zero if none
-	// have been read.
+	// Confirmed is the time at which the store had no records beyond Read. It is zero
+	// if nothing has been read.
 	Confirmed time.Time
 	// Behind is set if another process has read further.
 	Behind bool
-	// Incomplete is set if another process holds newer versions: the store may have
-	// been restored from a copy without them.
+	// Incomplete is set if another process holds newer versions of records. The store
+	// may have been restored from a copy without them.
 	Incomplete bool
 }
 
@@ -116,9 +124,9 @@
 	return w.peerVersionSum > w.versionSumLocked() && clock.Since(w.peerVersionSumAt) < peerVersionSumTTL
 }
 
-// VersionSum returns the sum of the versions of the operator's records held here.
-// Held versions never decrease, so a process with a higher sum than another one
-// holds a newer version of some record.
+// VersionSum returns the sum of the versions of all operator's records held here. The
+// version held for a key never decreases. A process with a higher sum therefore holds a
+// newer version of at least one record.
 func (w *Watcher) VersionSum() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,9 +142,8 @@
 	return sum
 }
 
-// ObserveVersionSum records the highest version sum reported for other processes,
-// and reports whether it is above the one here. It returns false before the first
-// read.
+// ObserveVersionSum records the highest version sum reported for other processes. It
+// returns true if that sum is higher than VersionSum, and false before the first read.
 func (w *Watcher) ObserveVersionSum(sum int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,8 +151,8 @@
 	return w.read.Known() && w.incompleteLocked()
 }
 
-// advance records a successful read of the operator's topic: the next position,
-// and the time as of which there were no further records.
+// advance records a successful read of the operator's topic. next is the position to
+// read from next, and confirmed the time at which there were no records beyond it.
 func (w *Watcher) advance(next history.Position, confirmed time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,8 +165,8 @@
 	w.confirmed = confirmed
 }
 
-// checkAge logs that the operator's records are older than the bound of changes,
-// once until they are confirmed again.
+// checkAge logs when the operator's records have become older than the budget's bound.
+// It logs this only once until the records are confirmed again.
 func (w *Watcher) checkAge(budget freshness.Budget, now time.Time) {
 	w.mu.Lock()
 	age := w.progressLocked().Age(now)
@@ -171,9 +178,9 @@
 	}
 }
 
-// Keep stores an operator's record of the store's current era, to be returned by
-// Since. It returns false, and keeps the record held, if that has a higher version,
-// as it may after the store was restored from an older copy.
+// Keep stores an operator's record of the store's current era, for Since to return. If
+// a record with a higher version is held for the key, Keep leaves it in place and
+// returns false. That happens after the store was restored from an older copy.
 func (w *Watcher) Keep(r Record, version int64) bool {
 	era := w.store.Era()
 	w.mu.Lock()
@@ -185,11 +192,11 @@
 	return true
 }
 
-// Since returns the newest operator's record of each key from a position on, by
-// offset, the progress, and a channel that is closed when that advances. For an
-// unknown position or one of another era it returns all records, including those
-// that the store has lost, which have offset -1. It returns false before the first
-// read.
+// Since returns the newest operator's record of each key from a position on, sorted by
+// offset. It also returns the progress, and a channel that is closed when the progress
+// advances. For an unknown position or one of another era it returns all records.
+// Records that were read in an earlier era have the offset -1. Since returns false
+// before the first read.
 func (w *Watcher) Since(from history.Position) ([]Record, Progress, <-chan struct{}, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -207,15 +214,15 @@
 	return out, w.progressLocked(), w.advanced, w.read.Known()
 }
 
-// MinWakeInterval is the minimum time between two reads made because another
-// process has read further: the store may return less than it has returned to
-// others.
+// MinWakeInterval is the minimum time between two reads made because another process
+// has read further. Such reads can be repeated, since the store may return fewer
+// records to one process than to another.
 const MinWakeInterval = 300 * time.Millisecond
 
-// ObservePosition records that another process has read the operator's records up
-// to a position. If that is further than here, it makes another read beside the
-// one that waits, at most once every MinWakeInterval: the store's response to the
-// waiting read may have been lost.
+// ObservePosition records that another process has read the operator's records up to a
+// position. If this process has read less, the store's response to its waiting read may
+// have been lost. ObservePosition then requests an additional read, at most once every
+// MinWakeInterval.
 func (w *Watcher) ObservePosition(position history.Position, now time.Time) {
 	w.mu.Lock()
 	w.peerPosition = history.Later(w.peerPosition, position)
@@ -232,8 +239,8 @@
 	w.wakeOperatorReader()
 }
 
-// WatchAge logs, until ctx ends, when the operator's records become older than the
-// bound of changes.
+// WatchAge checks the age of the operator's records until ctx ends. It logs when they
+// become older than the budget's bound.
 func (w *Watcher) WatchAge(ctx context.Context, budget freshness.Budget) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, budget.Interval())
@@ -241,7 +248,7 @@
 	}
 }
 
-// Wakeups returns the channel for Source.Wake of the operator's topic: each value
+// Wakeups returns the channel for Source.Wake of the operator's topic. Each value in it
 // requests a read at once.
 func (w *Watcher) Wakeups() <-chan struct{} { return w.wake }
 
