--- a/loadreport/demand.go
+++ b/loadreport/demand.go
@@ -33,11 +33,9 @@
 // demandPosition is a gateway's position in the order in which the gateways may use
 // the free capacity of the endpoint that a report describes.
 type demandPosition struct {
-	// share is the gateway's fraction of the sum of all weights.
-	share float64
-	// ahead is the demand of the gateways that come first, in units of the average
-	// gateway's demand.
-	ahead float64
+	// share is the gateway's fraction of the sum of all weights. ahead is the demand
+	// of the gateways that come first, in units of the average gateway's demand.
+	share, ahead float64
 }
 
 // demandPositionsLocked returns the positions of all subscribers in a new random order.
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -56,10 +56,8 @@
 	// listedEnd is the end of the topic as reported with the newest records.
 	listedEnd int64
 	// checkedAt is the time of the last recheck, or of the event that made rechecks
-	// necessary.
-	checkedAt time.Time
-	// recheckUntil is when rechecks end; zero means that there are none.
-	recheckUntil time.Time
+	// necessary. recheckUntil is when rechecks end; zero means that there are none.
+	checkedAt, recheckUntil time.Time
 }
 
 // Timing of rechecks. The newest records that the store returns may lag behind the
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -67,11 +67,9 @@
 // versionedRecord is a record that the operator wrote.
 type versionedRecord struct {
 	Record
-	// era is the era of Record.Offset.
-	era int64
-	// version is the version of the record's content. It increases with each record
-	// that the operator writes for a key.
-	version int64
+	// era is the era of Record.Offset. version is the version of the record's
+	// content; it increases with each record that the operator writes for a key.
+	era, version int64
 }
 
 // New returns a watcher of a store, and registers its gauges with m.
