--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package relay supplies a process with the box list and with a source of the
-// log, without every process reading them from the platform. Gateways, which are
-// few, read both directly and serve them to sidecars. A sidecar reads from one
-// gateway, chosen by rendezvous hashing so that the gateways share the sidecars
-// evenly, and from the platform only when no gateway responds.
+// event log. It limits the load on the platform: gateways, which are few, read
+// both from the platform and serve them to sidecars. A sidecar reads from one
+// gateway, and from the platform only when no gateway responds. It chooses the
+// gateway by rendezvous hashing, which distributes the sidecars evenly.
 package relay
 
 import (
@@ -37,20 +37,22 @@
 	// or stale.
 	staleRefreshInterval = 300 * time.Millisecond
 	// relayedRefreshInterval is the mean time between two reads of the box list
-	// from a gateway, unless the gateway's log pages announce a change.
+	// from a gateway. The list is read earlier if the tag in the gateway's log
+	// pages shows that it has changed.
 	relayedRefreshInterval = 15 * time.Second
 	// staleCheckInterval is how often a waiting refresh loop checks whether the
 	// list has become stale.
 	staleCheckInterval = 250 * time.Millisecond
-	// requestTimeout bounds a refresh of the box list, and the requests for
-	// checkpoints together.
+	// requestTimeout bounds a refresh of the box list. It also bounds the time for
+	// requesting checkpoints from all peers.
 	requestTimeout = 3 * time.Second
 	// startJitter spreads the first refresh of sidecars that start
 	// simultaneously.
 	startJitter = time.Second
-	// gatewayBackoff is how long a gateway is backed off after a failure.
+	// gatewayBackoff is how long a gateway is backed off, that is not chosen, after
+	// a failure.
 	gatewayBackoff = 5 * time.Second
-	// directFallbackInterval is the least time between two reads from the
+	// directFallbackInterval is the minimum time between two reads from the
 	// platform by a sidecar whose gateways are all backed off.
 	directFallbackInterval = 30 * time.Second
 	// maxCheckpointPeers is how many peers are queried for a checkpoint.
@@ -76,16 +78,16 @@
 	mu                sync.Mutex
 	boxes             []membership.Box
 	version           int                  // incremented with each change of boxes
-	sourceTag         string               // tag of boxes as returned by the source that served them
+	sourceTag         string               // entity tag of boxes, as returned by the source that served them
 	backedOffUntil    map[string]time.Time // by gateway ID
 	lastDirect        time.Time            // when the platform was last chosen because all gateways were backed off
 	stale             bool                 // a refresh is due soon
-	contentTag        string               // tag computed from boxes at contentTagVersion
-	contentTagVersion int
+	contentTag        string               // entity tag computed here from boxes
+	contentTagVersion int                  // value of version for which contentTag was computed
 }
 
-// RequestRefresh causes the box list to be read again soon. It is called when a
-// box that should be in the list is not.
+// RequestRefresh causes the box list to be read again soon. It is called when an
+// expected box is missing from the list.
 func (d *Directory) RequestRefresh() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,8 +101,8 @@
 	return d.stale
 }
 
-// compareTag marks the box list as stale if tag, the tag of a gateway's box
-// list, differs from the tag of the list held. An empty tag is ignored.
+// compareTag marks the box list as stale if tag, the entity tag of a gateway's
+// box list, differs from the tag of the list held here. An empty tag is ignored.
 func (d *Directory) compareTag(tag string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,7 +111,7 @@
 	}
 }
 
-// Tagged returns the box list and a tag computed from its content.
+// Tagged returns the box list and an entity tag computed from its content.
 func (d *Directory) Tagged() ([]membership.Box, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,7 +137,7 @@
 	return interval/2 + rand.N(interval)
 }
 
-// Boxes returns the box list as last read, and its version, which grows with
+// Boxes returns the box list as last read, and its version, which increases with
 // each change.
 func (d *Directory) Boxes() ([]membership.Box, int) {
 	d.mu.Lock()
@@ -159,9 +161,9 @@
 	}
 }
 
-// refresh reads the box list from a gateway or, if this process reads directly,
-// no gateway is available or the gateway's response is not usable, from the
-// platform.
+// refresh reads the box list from a gateway. It reads it from the platform if
+// this process is Direct, if no gateway is available, or if the gateway's
+// response is not usable.
 func (d *Directory) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -210,7 +212,8 @@
 // if it should read from the platform.
 func (d *Directory) Gateway() (membership.Box, bool) { return d.chooseGateway(time.Now()) }
 
-// ListedPeers returns the listed boxes among ids, without the process's own.
+// ListedPeers returns the boxes of the list whose IDs are in ids, without the
+// process's own box.
 func (d *Directory) ListedPeers(ids []string) []membership.Box {
 	boxes, _ := d.Boxes()
 	return slices.DeleteFunc(boxes, func(b membership.Box) bool {
@@ -219,11 +222,12 @@
 }
 
 // chooseGateway returns the preferred gateway among those that are not backed
-// off. If all are, it returns the preferred one regardless, but false once per
-// directFallbackInterval, so that the caller reads from the platform. The
-// interval keeps hundreds of sidecars from reading from the log simultaneously
-// while the log or all gateways are impaired. Without a listed gateway it always
-// returns false.
+// off, or false if the caller should read from the platform.
+//
+// If all gateways are backed off, it returns false once per
+// directFallbackInterval, and the preferred gateway otherwise. The interval
+// limits the load on the platform while all gateways fail. If no gateway is
+// listed, it always returns false.
 func (d *Directory) chooseGateway(now time.Time) (membership.Box, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -239,7 +243,7 @@
 }
 
 // preferredGateway returns the gateway with the highest rendezvous weight among
-// those accepted by the filter. The caller holds the lock.
+// those for which accept returns true. The caller holds the lock.
 func (d *Directory) preferredGateway(accept func(membership.Box) bool) (best membership.Box, found bool) {
 	var bestWeight uint64
 	for _, b := range d.boxes {
@@ -266,7 +270,8 @@
 // Sources returns the sources of the log for a state.Follower.
 func (d *Directory) Sources() state.Sources { return directorySources{d} }
 
-// directorySources implements state.Sources with the choice of a Directory.
+// directorySources implements state.Sources with the gateways that a Directory
+// chooses.
 type directorySources struct{ d *Directory }
 
 // gatewaySource is a gateway as a source of the log.
--- a/relay/scale_test.go
+++ b/relay/scale_test.go
@@ -21,18 +21,17 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// The largest supported size, the time within which a change must reach every
-// process, and the delay of each simulated read.
+// Parameters of the simulated cluster, which has the largest supported size.
 const (
 	gateways         = 10
 	sidecars         = 1020
-	propagationLimit = 7 * time.Second
-	networkDelay     = 5 * time.Millisecond
+	propagationLimit = 7 * time.Second      // time within which a change must reach every process
+	networkDelay     = 5 * time.Millisecond // delay of each read
 )
 
 var errUnavailable = errors.New("log service unavailable")
 
-// fakeLog is the log service; changed is closed and replaced at each append.
+// fakeLog simulates the log service. changed is closed and replaced at each append.
 type fakeLog struct {
 	mu              sync.Mutex
 	entries         []eventlog.Entry
@@ -122,8 +121,8 @@
 	return peak
 }
 
-// fakeGateway serves the log from a replica, like package gateway. While frozen,
-// it does not answer reads.
+// fakeGateway serves the log from a replica, like package gateway. While frozen is
+// set, it does not respond to reads.
 type fakeGateway struct {
 	replica *state.Replica
 	mu      sync.Mutex
@@ -187,8 +186,8 @@
 	}
 }
 
-// cluster is all gateways and sidecars at the largest size. The gateways come
-// first in replicas.
+// cluster is a simulated cluster of the largest supported size. replicas holds the
+// replicas of all gateways, followed by those of all sidecars.
 type cluster struct {
 	log         *fakeLog
 	gatewayByID map[string]*fakeGateway
@@ -258,15 +257,16 @@
 	}
 }
 
-// workspaceChange returns the i-th change of the tests.
+// workspaceChange returns a different change of a workspace for each i.
 func workspaceChange(i int) state.WorkspaceSet {
 	return state.WorkspaceSet{Workspace: workspace.Workspace{Name: fmt.Sprintf("w%d", i%10), KeyHash: "k", Priority: 1 + i%90}}
 }
 
-// TestInForceEverywhere fails if a change takes longer than propagationLimit to
-// reach all 1,030 processes: normally, with an unresponsive gateway, and after
-// an outage of the log. It also bounds the load on the idle log.
-func TestInForceEverywhere(t *testing.T) {
+// TestChangeReachesAllProcessesInTime guards against changes that take longer than
+// propagationLimit to reach all processes: in normal operation, with an
+// unresponsive gateway, and after an outage of the log. It also bounds the load on
+// the log while nothing changes.
+func TestChangeReachesAllProcessesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		c := newCluster(log)
@@ -316,9 +316,9 @@
 	})
 }
 
-// TestStartUpHerd fails if a simultaneous start of all processes, with or
-// without the log, overloads the log service or delays the state.
-func TestStartUpHerd(t *testing.T) {
+// TestSimultaneousStart guards against a start of all processes at once that
+// overloads the log service or takes too long, with the log available and not.
+func TestSimultaneousStart(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprintf("log down %v", down), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -17,16 +17,16 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// maxWait bounds how long a gateway holds a request until a change.
+// maxWait bounds how long a gateway holds a long-poll request until there is a change.
 const maxWait = 2 * time.Second
 
-// waitField is the query parameter with the time, in milliseconds, that the client
-// can wait for a change: its data must be confirmed, or read from the store, before
-// they are stale.
+// waitField is the query parameter of a long poll with the time, in milliseconds, for
+// which the gateway may hold the request until there is a change. The client limits it
+// so that its own data does not become stale meanwhile.
 const waitField = "hold_ms"
 
-// requestedWait returns how long a request may be held, at most maxWait; zero if it
-// does not say.
+// requestedWait returns how long the request may be held, at most maxWait. It is zero if
+// the request has no waitField.
 func requestedWait(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.URL.Query().Get(waitField), 10, 64)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return min(time.Duration(ms)*time.Millisecond, maxWait)
 }
 
-// waitForChange waits until changed is closed or end has passed. It returns false
-// if ctx ended first, because the client disconnected.
+// waitForChange waits until changed is closed or the time end has passed. It returns
+// false if ctx ended first, because the client disconnected.
 func waitForChange(ctx context.Context, changed <-chan struct{}, end time.Time) bool {
 	select {
 	case <-changed:
@@ -49,18 +49,19 @@
 
 // listResponse is the endpoint list as one gateway sends it to another.
 type listResponse struct {
-	// State identifies the state of the list; see ingress.List.
+	// State identifies the content of the list; see ingress.List.
 	State string `json:"state"`
-	// Era is the era of the store in which the list was read.
+	// Era is the store's era in which the list was read. It increases each time the
+	// store is restored from an older copy.
 	Era int64 `json:"era,omitempty"`
-	// AgeMS is the time since the store was read, in milliseconds.
+	// AgeMS is the time since the store last confirmed the list, in milliseconds.
 	AgeMS int64 `json:"age_ms"`
-	// Records are omitted if the client has this state already.
+	// Records are omitted if the client has a list of this state already.
 	Records []fleet.Record `json:"records,omitempty"`
 }
 
-// serveList is a long poll: it responds once the list differs from the state in the
-// query, or when the requested wait has passed.
+// serveList serves a long poll for the list. It responds as soon as the state of the list
+// differs from the one in the query, or when the requested wait has passed.
 func serveList(w http.ResponseWriter, r *http.Request, source Source) {
 	clientState := r.URL.Query().Get("had")
 	end := clock.Now().Add(requestedWait(r))
@@ -86,8 +87,8 @@
 
 // Target receives the endpoint list from a Follower.
 type Target interface {
-	// SetEra sets the store's era in which the next list was read, as in
-	// platform.EndpointHandler. It returns false for an earlier era than the current one.
+	// SetEra sets the store's era in which the next list was read. It returns false if
+	// a list of a later era was received before. See platform.EndpointHandler.
 	SetEra(era int64) bool
 	// SetEndpoints replaces the list.
 	SetEndpoints(records []fleet.Record)
@@ -97,8 +98,8 @@
 
 var _ Target = (*ingress.Server)(nil)
 
-// Follower receives the endpoint list from a gateway of the region that reads it
-// from the store for the others. It is not safe for concurrent use.
+// Follower receives the endpoint list from a reader gateway: one of the gateways of the
+// region that read the store for the others. It is not safe for concurrent use.
 type Follower struct {
 	readers *Readers
 	target  Target
@@ -106,8 +107,8 @@
 	log     logr.Logger
 	// confirmed is the time as of which the last list received is complete.
 	confirmed time.Time
-	// state is the state of the last list received, and source the IP address of the
-	// gateway that sent it; both are empty while the store is read instead.
+	// state is the state of the last list received; see listResponse. source is the IP
+	// address of the gateway that sent it. Both are empty while the store is read.
 	state, source string
 }
 
@@ -118,9 +119,9 @@
 	return &Follower{readers: readers, target: target, budget: budget, log: log}
 }
 
-// Poll makes one long poll for the list at the reader gateways, for as long as the
-// age of the list allows. It returns false if this gateway must read the store
-// itself.
+// Poll makes one long poll for the list at the reader gateways. Its duration is limited
+// so that the list does not become stale. It returns false if this process must read the
+// store itself.
 func (f *Follower) Poll(ctx context.Context) bool {
 	if f.state == "" {
 		f.confirmed = clock.Now() // there is no list yet that could be stale
@@ -136,9 +137,10 @@
 	return false
 }
 
-// fetch requests the list from the gateway ip, which may hold the request for wait,
-// and passes it to the target. It returns false, and backs off from the gateway, if
-// that does not respond or its list is stale or of an earlier era.
+// fetch requests the list from the gateway with the address ip, which may hold the
+// request for the duration wait, and passes the list to the target. If the gateway does
+// not respond, or if its list is stale or of an earlier era, fetch backs off from the
+// gateway and returns false.
 func (f *Follower) fetch(ctx context.Context, ip string, wait time.Duration) bool {
 	var got listResponse
 	if !f.readers.fetch(ctx, ip, pathList, url.Values{"had": {f.state}}, wait, f.budget.RelayTimeout(), &got) {
--- a/storerelay/list.go
+++ b/storerelay/list.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package storerelay distributes what a few gateways of a region read from the
-// store, the endpoint list and the operator's records, to the other processes of
-// the region.
+// Package storerelay distributes the endpoint list and the operator's records within a
+// region. A few gateways, the readers, read them from the store; the other processes
+// of the region receive them from the readers.
 //
-// This limits the load on the store and on the links between regions: all sidecars
-// need the endpoint list at the moment a version is named, when its weights cross
-// the same links, and every gateway needs each change within seconds.
+// This limits the load on the store and on the links between regions. The load would be
+// highest when the operator sets a new target version, the version of a model to be
+// served: all sidecars then need the endpoint list, while the weights are transferred
+// over the same links.
 //
-// A process that gets no response, or a stale one, reads the store itself.
+// A process that gets no response from a reader, or stale data, reads the store itself.
 package storerelay
 
 import (
@@ -26,12 +27,11 @@
 	"github.com/mintlift/mintlift/internal/tcpconn"
 )
 
-// Paths of a Handler: the endpoints of the service in the query, the whole list, and
-// the operator's records.
+// Paths of a Handler.
 const (
-	pathService = "/endpoints"
-	pathList    = "/list"
-	pathRecords = "/records"
+	pathService = "/endpoints" // the endpoints of the service in the query
+	pathList    = "/list"      // the whole endpoint list
+	pathRecords = "/records"   // the operator's records
 )
 
 // Limits of the client.
@@ -43,7 +43,7 @@
 	maxResponseBytes = 4 << 20
 )
 
-// Endpoint is an endpoint of a service.
+// Endpoint is an endpoint of a service as listed by a gateway.
 type Endpoint struct {
 	Address string `json:"address"` // IP:PORT
 	Zone    string `json:"zone"`
@@ -89,9 +89,10 @@
 	_ = json.NewEncoder(w).Encode(v) // the client has disconnected, and will request it again
 }
 
-// Client queries gateways.
+// Client sends requests to the Handlers of gateways. It is safe for concurrent use.
 type Client struct{ client *http.Client }
 
+// NewClient returns a client. The caller must call Close.
 func NewClient() *Client {
 	dialer := tcpconn.Dialer(callTimeout, tcpconn.ProbeLater)
 	return &Client{client: &http.Client{Transport: &http.Transport{
@@ -102,8 +103,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// Service returns the endpoints of a service as reported by the first of the
-// gateways, given by IP:PORT, that responds. It returns the last error if none does.
+// Service returns the endpoints of a service. It queries the gateways, given by IP:PORT,
+// in order until one responds. If none does, it returns the last error.
 func (c *Client) Service(ctx context.Context, gateways []string, service string) ([]Endpoint, error) {
 	err := error(errors.NotFoundf("gateway"))
 	for _, address := range gateways {
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -25,12 +25,12 @@
 // budget is the freshness budget in tests.
 var budget = freshness.New(2 * time.Second)
 
-// prompt bounds the time of a response that must not wait; it is less than the
-// wait of a long poll.
+// prompt is the maximum time of a response that must not wait for a change. It is less
+// than the wait of a long poll.
 const prompt = 700 * time.Millisecond
 
-// startGateway serves records, or no list if they are nil, and returns the server
-// and the address of its Handler.
+// startGateway starts a gateway with the endpoint list records, or without a list if
+// records is nil. It returns the server and the address of its Handler.
 func startGateway(t *testing.T, records []fleet.Record) (*ingress.Server, string) {
 	t.Helper()
 	server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
@@ -49,7 +49,7 @@
 	{ID: "c", Service: "plain", Address: "127.0.0.3:9", Zone: "b"},
 }
 
-// Service skips gateways that do not respond or have no list.
+// Service tries the next gateway if one does not respond or has no list.
 func TestClientService(t *testing.T) {
 	closed := httptest.NewServer(nil)
 	closed.Close()
@@ -72,13 +72,13 @@
 	assert.ErrorContains(t, err, "not found")
 }
 
-// newTestFollower returns a follower whose reader gateways all have the address.
+// newTestFollower returns a follower that finds each reader gateway at the given address.
 func newTestFollower(address string, list *fakeTarget) (*Readers, *Follower) {
 	readers := NewReaders("self", func(string) string { return address }, logr.Discard())
 	return readers, NewFollower(readers, list, budget, logr.Discard())
 }
 
-// fakeTarget records what a follower passes on.
+// fakeTarget is a Target that stores the lists that it receives.
 type fakeTarget struct {
 	mu        sync.Mutex
 	lists     [][]fleet.Record
@@ -117,8 +117,8 @@
 	return out
 }
 
-// A follower receives a change as soon as the reader gateway has it, and the list
-// only when it has changed.
+// A follower receives a change as soon as the reader gateway has it. It does not receive
+// the list again while that is unchanged.
 func TestFollowerReceivesChangesPromptly(t *testing.T) {
 	leader, address := startGateway(t, records)
 	var list fakeTarget
@@ -167,8 +167,8 @@
 	assert.Assert(t, !f.Poll(context.Background()), "it has no list")
 }
 
-// A gateway among the region's first reads the store itself; reports of sidecars
-// with few subscribers do not change which gateways are first, and reports expire.
+// Exactly two gateways of a region read the store themselves, even if sidecars report
+// different readers. Reports expire.
 func TestReaderGatewaysHaveNoCandidates(t *testing.T) {
 	all := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5"}
 	now := time.Now()
@@ -186,8 +186,8 @@
 	assert.Equal(t, reading, 2)
 }
 
-// A follower gives up on unresponsive gateways, however many there are, in time to
-// read the store before its list is stale.
+// A follower gives up on unresponsive gateways early enough to read the store before its
+// list is stale, even if all reader gateways are unresponsive.
 func TestUnresponsiveGatewaysAreSkippedWithinBound(t *testing.T) {
 	leader, address := startGateway(t, records)
 	unresponsive := unresponsiveGateway(t)
@@ -204,8 +204,8 @@
 	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter()+100*time.Millisecond, "gave up after %s", time.Since(confirmed))
 }
 
-// An unresponsive gateway leaves time to query the next one: the failure of one
-// reader must not send all its followers to the store.
+// Guards against followers that read the store because one reader gateway is
+// unresponsive: there must be time left to query the other one.
 func TestSecondGatewayIsTriedAfterUnresponsiveOne(t *testing.T) {
 	leader, address := startGateway(t, records)
 	unresponsive := unresponsiveGateway(t)
@@ -246,8 +246,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// The age of a list includes the time for which the host was suspended, at the
-// gateway that serves it and at its follower.
+// A list also ages while the host is suspended, both at the gateway that serves it and at
+// the follower.
 func TestListAgeIncludesSuspension(t *testing.T) {
 	server, address := startGateway(t, records)
 	readers := NewReaders("127.0.0.9", func(string) string { return address }, logr.Discard())
@@ -261,7 +261,7 @@
 	assert.Assert(t, clock.Since(follower.confirmed) >= budget.Bound())
 }
 
-// A follower rejects a list of an earlier era, however recent.
+// A follower rejects a list of an earlier era, even if it was confirmed recently.
 func TestListOfEarlierEraIsRejected(t *testing.T) {
 	leader, address := startGateway(t, records)
 	var list fakeTarget
--- a/storerelay/readers.go
+++ b/storerelay/readers.go
@@ -20,24 +20,24 @@
 const (
 	// backoff is how long a gateway is not queried after a failure or stale data.
 	backoff = 2 * time.Second
-	// readerTTL is how long a gateway that a sidecar reported as a reader counts as
-	// one.
+	// readerTTL is how long a gateway counts as a reader after a sidecar has reported
+	// it as one.
 	readerTTL = 2 * time.Second
 )
 
-// Readers tracks the gateways of a region that read the store for the others. Each
-// gateway has its own. It is safe for concurrent use.
+// Readers holds one gateway's view of the reader gateways of its region: those that
+// read the store for the others. It is safe for concurrent use.
 type Readers struct {
-	// own is this gateway's IP address; address returns the IP:PORT of another
-	// gateway's Handler.
-	own     string
+	// own is this gateway's IP address.
+	own string
+	// address returns the IP:PORT of the Handler of the gateway with an IP address.
 	address func(ip string) string
 	client  *Client
 	log     logr.Logger
 
 	mu           sync.Mutex
-	reported     map[string]time.Time // when sidecars last reported a gateway as a reader
-	backoffUntil map[string]time.Time // until when a gateway is not queried
+	reported     map[string]time.Time // by IP address: when a sidecar last reported the gateway as a reader
+	backoffUntil map[string]time.Time // by IP address: the time until which the gateway is not queried
 }
 
 // NewReaders returns the Readers of the gateway with the IP address own. address
@@ -49,9 +49,10 @@
 	}
 }
 
-// Add records the gateways that a sidecar reports as the region's readers. A sidecar
-// reports the first of the gateways that subscribe to it, so reports differ; the
-// first of all reported gateways are used.
+// Add records the gateways that a sidecar reports as the region's readers. Sidecars
+// select them from the gateways that subscribe to them, so their reports can differ.
+// The readers are selected in the same way from all reported gateways; see
+// loadreport.SelectReaders.
 func (r *Readers) Add(ips []string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// candidates returns the reader gateways to query now, without those backed off
-// from; none if this gateway is a reader itself.
+// candidates returns the reader gateways to query now, without those that are backed
+// off. It returns none if this gateway is a reader itself.
 func (r *Readers) candidates(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,10 +92,10 @@
 // in a tight loop while its own data are about to be refreshed.
 const minWait = 50 * time.Millisecond
 
-// tryEach calls fetch for each candidate until one succeeds. Each may hold the
-// request until data confirmed at confirmed are about to be stale, less the time
-// that querying the remaining candidates takes. tryEach returns false if the store
-// must be read instead.
+// tryEach calls fetch for each candidate until one call succeeds. confirmed is the time
+// at which the data held here was last confirmed. The wait passed to fetch ends before
+// that data becomes stale, and leaves time to query the remaining candidates. tryEach
+// returns false if the store must be read instead.
 func (r *Readers) tryEach(budget freshness.Budget, confirmed time.Time, fetch func(ip string, wait time.Duration) bool) bool {
 	ips := r.candidates(clock.Now())
 	for n, ip := range ips {
@@ -110,10 +111,10 @@
 	return false
 }
 
-// fetch sends a request to the gateway ip and decodes the response into out. The
-// gateway may hold the request for wait, and take slack longer to respond. If the
-// request fails, fetch returns false and, unless ctx has ended, backs off from the
-// gateway.
+// fetch sends a request to the gateway with the address ip and decodes the response into
+// out. The gateway may hold the request for the duration wait; the request times out
+// after wait plus slack. If the request fails, fetch returns false. It then also backs
+// off from the gateway, unless ctx has ended.
 func (r *Readers) fetch(ctx context.Context, ip, path string, query url.Values, wait, slack time.Duration, out any) bool {
 	query.Set(waitField, strconv.FormatInt(wait.Milliseconds(), 10))
 	err := r.client.get(ctx, r.address(ip), path, query, wait+slack, out)
--- a/storerelay/records.go
+++ b/storerelay/records.go
@@ -16,7 +16,7 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Record is the newest of the operator's records of a key; see storewatch.Record.
+// Record is the newest operator's record of a key; see storewatch.Record.
 type Record struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value"`
@@ -25,17 +25,18 @@
 
 // Records are the operator's records that a process holds, from a position on.
 type Records struct {
-	// Newest holds the newest record of each key, by offset: those from the requested
-	// position on, or all if that is of another era.
+	// Newest holds the newest record of each key, sorted by offset. It contains the
+	// records from the requested position on, or all records if that position is of
+	// another era.
 	Newest []Record
 	// Next is the position to read from next.
 	Next history.Position
-	// Confirmed is the time as of which there were no further records.
+	// Confirmed is the time at which the store had no records beyond Next.
 	Confirmed time.Time
-	// Behind is set if another process is known to have read further.
+	// Behind is set if another process has reported that it has read further.
 	Behind bool
-	// Changed is closed when the process has read further. It is nil in records
-	// received from another process.
+	// Changed is closed when the process that holds the records has read further. It is
+	// nil in records received from another process.
 	Changed <-chan struct{}
 }
 
@@ -56,9 +57,10 @@
 	Behind bool     `json:"behind,omitempty"`
 }
 
-// serveRecords is a long poll: it responds once the position read differs from the
-// one in the query, at once if this gateway is behind another, or when the requested
-// wait has passed.
+// serveRecords serves a long poll for the operator's records. It responds when the
+// position up to which this gateway has read differs from the one in the query, or when
+// the requested wait has passed. If this gateway is behind another process, it responds
+// at once.
 func serveRecords(w http.ResponseWriter, r *http.Request, source RecordSource) {
 	from, err := requestedPosition(r.URL.Query())
 	if err != nil {
@@ -83,8 +85,9 @@
 	}
 }
 
-// RecordFollower receives the operator's records from a gateway of the region that
-// reads them from the store for the others. It is not safe for concurrent use.
+// RecordFollower receives the operator's records from a reader gateway: one of the
+// gateways of the region that read the store for the others. It is not safe for
+// concurrent use.
 type RecordFollower struct {
 	readers *Readers
 	budget  freshness.Budget
@@ -98,9 +101,10 @@
 	return &RecordFollower{readers: readers, budget: budget, log: log}
 }
 
-// Since makes one long poll for the records from a position on, history.Unread for
-// all, at the reader gateways. age is the age of the records held by the caller; it
-// bounds the wait. Since returns false if the store must be read instead.
+// Since makes one long poll at the reader gateways for the records from a position on.
+// With history.Unread it requests all records. age is the age of the records that the
+// caller holds; it bounds the wait. Since returns false if the store must be read
+// instead.
 func (f *RecordFollower) Since(ctx context.Context, from history.Position, age time.Duration) (Records, bool) {
 	var got Records
 	received := f.readers.tryEach(f.budget, clock.Now().Add(-age), func(ip string, wait time.Duration) (ok bool) {
@@ -117,9 +121,10 @@
 	return Records{}, false
 }
 
-// fetch requests the records from the gateway ip, which may hold the request for
-// wait. It returns false, and backs off from the gateway, if that does not respond or
-// its records are stale or behind from.
+// fetch requests the records from the gateway with the address ip, which may hold the
+// request for the duration wait. If the gateway does not respond, or if its records are
+// stale or end before the position from, fetch backs off from the gateway and returns
+// false.
 func (f *RecordFollower) fetch(ctx context.Context, ip string, from history.Position, wait time.Duration) (Records, bool) {
 	var got recordsResponse
 	if !f.readers.fetch(ctx, ip, pathRecords, positionQuery(from), wait, f.budget.RelayTimeout(), &got) {
@@ -139,8 +144,8 @@
 	return Records{Newest: got.Newest, Next: next, Confirmed: clock.Now().Add(-age)}, true
 }
 
-// FetchRecords requests all operator's records that the gateway with an IP address
-// holds. It returns false if the request fails, which it logs.
+// FetchRecords requests all operator's records from the gateway with the address ip. If
+// the request fails, it logs the error and returns false.
 func (r *Readers) FetchRecords(ctx context.Context, ip string) ([]Record, bool) {
 	var got recordsResponse
 	ok := r.fetch(ctx, ip, pathRecords, positionQuery(history.Unread), 0, callTimeout, &got)
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -16,7 +16,7 @@
 	"github.com/mintlift/mintlift/history"
 )
 
-// fakeRecordSource is a RecordSource with offsets that count its records.
+// fakeRecordSource is a RecordSource whose records have the offsets 0, 1, 2 and so on.
 type fakeRecordSource struct {
 	mu        sync.Mutex
 	records   []Record
@@ -42,14 +42,15 @@
 	l.changed = make(chan struct{})
 }
 
-// confirm records that the store has confirmed that there are no more records.
+// confirm sets the time as of which the records are complete to now.
 func (l *fakeRecordSource) confirm() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.confirmed = time.Now()
 }
 
-// rollBack keeps the first n records, in a new era.
+// rollBack simulates a store restored from an older copy: it keeps the first n records
+// and starts a new era.
 func (l *fakeRecordSource) rollBack(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,6 +61,7 @@
 	l.changed = make(chan struct{})
 }
 
+// position returns the position at an offset of era 0.
 func position(offset int64) history.Position { return history.Position{Offset: offset} }
 
 func (l *fakeRecordSource) Since(from history.Position) (Records, bool) {
@@ -72,6 +74,7 @@
 	return Records{Newest: l.records[min(max(from.Offset, 0), n):], Next: history.Position{Era: l.era, Offset: n}, Confirmed: l.confirmed, Behind: l.behind, Changed: l.changed}, n > 0
 }
 
+// newTestRecordFollower returns a follower of a gateway that serves l.
 func newTestRecordFollower(t *testing.T, l *fakeRecordSource) *RecordFollower {
 	t.Helper()
 	s := httptest.NewServer(Handler(nil, l))
@@ -81,7 +84,8 @@
 	return NewRecordFollower(readers, budget, logr.Discard())
 }
 
-// A follower receives new records at once, and a confirmation when the wait ends.
+// A follower receives new records at once. Without new records it receives a response
+// when the wait ends, with the time at which the store was last read.
 func TestRecordFollowerReceivesChangesPromptly(t *testing.T) {
 	l := newFakeRecordSource("config", "version")
 	f := newTestRecordFollower(t, l)
@@ -104,8 +108,8 @@
 	assert.Assert(t, time.Since(got.Confirmed) >= budget.Hold(0)-400*time.Millisecond, "Confirmed is when the store was read, not when the gateway responded")
 }
 
-// A follower rejects records of a gateway that is behind, or whose records are
-// stale, in time to read the store before its own are stale.
+// A follower rejects records of a gateway that is behind or whose records are stale. It
+// does so early enough to read the store before its own records are stale.
 func TestStaleRecordsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*fakeRecordSource){
 		"not confirmed":          func(l *fakeRecordSource) { l.confirmed = time.Now().Add(-time.Second) },
@@ -142,9 +146,9 @@
 	assert.Assert(t, time.Since(began) < 100*time.Millisecond, "records that are stale already are not requested")
 }
 
-// Positions of different eras compare by era. If the reader is in a later era, the
-// follower receives all records, though their offsets are lower; if it is in an
-// earlier one, the follower rejects them, though their offsets are higher.
+// Guards against comparing offsets of different eras. A follower receives all records
+// of a gateway in a later era although their offsets are lower. It rejects records of a
+// gateway in an earlier era although their offsets are higher.
 func TestRecordFollowerInAnotherEra(t *testing.T) {
 	l := newFakeRecordSource("config", "version", "config")
 	f := newTestRecordFollower(t, l)
