--- a/gateway/accept.go
+++ b/gateway/accept.go
@@ -20,7 +20,7 @@
 )
 
 // accept authenticates the caller and reads the request's body. The returned
-// request is never nil, so that a failure can be reported under its ID.
+// request is never nil, so that the response to a failure can contain its ID.
 func (d *Daemon) accept(w http.ResponseWriter, r *http.Request) (*request, *failure) {
 	q := &request{id: uuid.NewString(), method: r.Method, path: r.URL.Path, query: r.URL.RawQuery, header: r.Header, key: r.Header.Get(headerKey), ctx: r.Context()}
 	if d.Requests.Draining() {
@@ -42,9 +42,9 @@
 	return q, nil
 }
 
-// unknownIfKeyed changes the outcome NotRun to Unknown for a request with an
-// idempotency key: an earlier attempt with the same key may have run, and this
-// gateway has no record of it.
+// unknownIfKeyed changes the outcome of fail from NotRun to Unknown if the request
+// has an idempotency key. An earlier attempt with the same key may have run, and
+// the gateway has not yet queried the sidecar that would know of it.
 func (q *request) unknownIfKeyed(fail *failure) *failure {
 	if q.key != "" && fail.outcome == outcome.NotRun {
 		fail.outcome = outcome.Unknown
@@ -53,8 +53,7 @@
 	return fail
 }
 
-// authenticate returns the workspace whose key the request carries as a bearer
-// token.
+// authenticate returns the workspace whose key is the request's bearer token.
 func (d *Daemon) authenticate(r *http.Request) (workspace.Workspace, *failure) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
@@ -134,8 +133,8 @@
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
-	// Version is the preferred one of the versions that take requests; empty if
-	// there is none.
+	// Version is the version that the workspace's requests for the model prefer. It
+	// is empty if there is none.
 	Version string `json:"version"`
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -27,7 +27,7 @@
 	failure         *failure        // nil when the caller has received the whole response
 	responseStarted bool            // part of the response has reached the caller
 	healthy         bool            // the attempt does not count as a failure of the endpoint
-	staleRoute      bool            // refused: the box serves other versions now, or takes no requests for a while
+	staleRoute      bool            // the box refused: the routing table was outdated about its versions or its load
 	response        *dedup.Response // nil unless the whole response was buffered
 }
 
@@ -70,7 +70,8 @@
 
 // noResponse returns the result of an attempt that ended before the response
 // header arrived. If the request's context has ended, because its deadline has
-// passed or the caller has disconnected, it also cancels the run.
+// passed or the caller has disconnected, it also cancels the request at the
+// endpoint.
 func (d *Daemon) noResponse(q *request, ep route.Endpoint, err error) attemptResult {
 	stage := outcome.Sending
 	if errors.Is(err, call.ErrNotSent) {
@@ -88,9 +89,9 @@
 	return attemptResult{failure: fail, healthy: ctxDone}
 }
 
-// refusal returns the result of an attempt that the sidecar refused at
-// admission, so that nothing has run. It updates the routing table according to
-// the reason.
+// refusal returns the result of an attempt that the sidecar refused before the
+// request reached the endpoint. It updates the routing table according to the
+// reason of the refusal.
 func (d *Daemon) refusal(ep route.Endpoint, resp *http.Response) attemptResult {
 	reason := peer.Reason(resp.Header.Get(peer.HeaderReason))
 	fail := &failure{status: resp.StatusCode, code: string(reason), outcome: outcome.Outcome(resp.Header.Get(peer.HeaderOutcome)), message: "refused by the endpoint"}
@@ -207,8 +208,9 @@
 	return ""
 }
 
-// relayBody copies the rest of a response through one buffer, so that a slow
-// caller slows the endpoint down and takes no more memory here.
+// relayBody copies the rest of a response through one buffer of fixed size. If the
+// caller reads slowly, the endpoint has to wait, and the gateway needs no more
+// memory.
 func relayBody(w http.ResponseWriter, body io.Reader) error {
 	rc := http.NewResponseController(w)
 	buf := make([]byte, 64<<10)
@@ -242,8 +244,8 @@
 	}
 }
 
-// cancelRun requests the sidecar of ep, in the background, to cancel the request's
-// run on the engine. It does nothing for plain services.
+// cancelRun sends, in the background, a request to the sidecar of ep to cancel the
+// caller's request on the engine. It does nothing for plain services.
 func (d *Daemon) cancelRun(q *request, ep route.Endpoint) {
 	if q.service != "" {
 		return
--- a/gateway/cluster_tasks.go
+++ b/gateway/cluster_tasks.go
@@ -17,25 +17,26 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Timing of the cluster tasks. Any gateway may run them. The random interval
-// makes it rare that two gateways write the same change, and applying a change
-// twice has the same effect as once.
+// Timing of the cluster tasks, which every gateway runs for the whole cluster. The
+// random interval makes it rare that two gateways write the same change. If they
+// do, it does no harm, since a change applied twice has the same effect as once.
 const (
 	// taskInterval is the mean time between two runs of the tasks.
 	taskInterval = time.Second
-	// taskTimeout bounds each commit. The tasks do not run while the replica's last
-	// contact with the log is longer ago.
+	// taskTimeout bounds each commit. The tasks do not run if the replica's last
+	// contact with the log is longer ago than taskTimeout.
 	taskTimeout = 20 * time.Second
-	// initialHomesTimeout is the time after a gateway's start during which the
-	// first homes of a service wait for each other.
+	// initialHomesTimeout bounds the time after a gateway's start during which the
+	// first homes of a service are not recorded until all of them are ready.
 	initialHomesTimeout = 5 * time.Second
 	// recordHomesInterval is the time between two comparisons of the recorded
 	// homes with the sidecars.
 	recordHomesInterval = 2 * time.Second
 )
 
-// runClusterTasks runs the tasks that one gateway does for all: it advances
-// rollouts and records the homes of idempotency keys.
+// runClusterTasks runs the cluster tasks until ctx ends: it advances rollouts and
+// records the homes of idempotency keys. The home of a key is the sidecar process
+// that stores what is known of the key; see package dedup.
 func (d *Daemon) runClusterTasks(ctx context.Context) {
 	var lastRecorded time.Time
 	for ctx.Err() == nil {
@@ -51,10 +52,11 @@
 	}
 }
 
-// recordHomes writes the difference between the homes in the log and the
-// sidecars' current state: new incarnations that are ready, and boxes removed
-// from the box list. An unresponsive box that is still listed keeps its home,
-// because its region may only be partitioned.
+// recordHomes compares the homes in the log with the sidecars and writes the
+// changes to the log. It adds new incarnations of sidecars that are ready, and
+// removes the homes of boxes that are no longer in the box list. An unresponsive
+// box that is still listed keeps its home, because there may only be a network
+// partition.
 func (d *Daemon) recordHomes(ctx context.Context) {
 	listed, _ := d.endpoints()
 	if len(listed) == 0 {
@@ -74,10 +76,10 @@
 	d.commit(ctx, state.KindHomesChanged, change)
 }
 
-// delayInitialHomes removes a service's first homes from add until all its
-// listed boxes are ready, or initialHomesTimeout has passed. Each later addition
-// moves keys to another home, and keys that have just moved cannot be run for a
-// while.
+// delayInitialHomes delays the first homes of a service, by removing them from
+// add, until all listed boxes of the service are ready or initialHomesTimeout has
+// passed. If they were added one after the other, each addition would give keys a
+// new home, and requests with these keys would be refused for a while.
 func (d *Daemon) delayInitialHomes(add []state.Home, listed []membership.Box, known map[string]state.Home) []state.Home {
 	missing := make(map[string]int) // by service: number of listed boxes that are not ready
 	for _, b := range listed {
@@ -93,8 +95,9 @@
 	return slices.DeleteFunc(add, func(h state.Home) bool { return missing[h.Service] > 0 && !timedOut })
 }
 
-// homeChanges compares the recorded homes with the statuses of the listed boxes.
-// It fetches the status of boxes that have neither a status nor a recorded home.
+// homeChanges returns the changes that bring the recorded homes, known, in line with
+// the statuses of the listed boxes. It fetches the status of boxes for which the
+// gateway has neither a status nor a recorded home.
 func (d *Daemon) homeChanges(ctx context.Context, listed []membership.Box, known map[string]state.Home) state.HomesChanged {
 	var change state.HomesChanged
 	present := make(map[string]bool, len(listed))
@@ -124,8 +127,9 @@
 	return change
 }
 
-// advanceWaves starts the next wave of each plan if all listed boxes of its
-// started waves serve the plan's version and the workspaces keep their floors.
+// advanceWaves starts the next wave of each confirmed plan if two conditions hold:
+// all listed boxes of the waves started so far serve the plan's version, and the
+// workspaces keep their floors, the least numbers of boxes that must serve them.
 func (d *Daemon) advanceWaves(ctx context.Context) {
 	var rolling []*intent.Plan
 	d.Replica.View(func(s *state.State) {
@@ -146,9 +150,8 @@
 	}
 }
 
-// wavesDone reports whether every box of the started waves serves the plan's
-// version. An unresponsive box counts as not done, because its capacity is
-// missing, unless it has been removed from the box list.
+// wavesDone reports whether every listed box of the waves started so far serves
+// the plan's version. An unresponsive box counts as not serving it.
 func (d *Daemon) wavesDone(p *intent.Plan, boxes []admin.BoxStatus) bool {
 	byID := make(map[string]admin.BoxStatus, len(boxes))
 	for _, b := range boxes {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,21 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package gateway is the process on each entry box. It connects the decision
-// packages to the network:
+// Package gateway implements the gateway process, which receives callers' requests
+// and forwards them to the sidecars of endpoints. It does the network I/O for the
+// packages that decide, such as route, dedup and intent:
 //
 //   - requests.go serves callers' requests: authentication (accept.go), choice
 //     of an endpoint, attempts (attempt.go) and outcome. idempotency.go adds
 //     requests with an idempotency key, stream.go streamed responses.
-//   - probe.go polls the boxes for their status; cluster_tasks.go runs the tasks
-//     that any gateway may do for all: recording homes and advancing rollouts.
+//   - probe.go polls the boxes for their status. cluster_tasks.go runs the tasks
+//     that any gateway does for the whole cluster: recording the homes of
+//     idempotency keys and advancing rollouts.
 //   - relay.go serves the log and the box list to sidecars, manifest.go the
 //     manifests.
 //   - The administration API is package admin.
 //
 // A gateway keeps no durable state and does not depend on other gateways.
 //
-// Locks: boxView.mu is acquired before route.Table's; no other lock is acquired
-// while one of the remaining locks is held.
+// Lock order: boxView.mu is acquired before the lock of route.Table. While any other
+// lock is held, no further lock is acquired.
 package gateway
 
 import (
@@ -124,14 +126,14 @@
 // PeerAddress returns the address that sidecars use.
 func (d *Daemon) PeerAddress() string { return d.peerServer.Address() }
 
-// Stop drains the gateway: the health check fails, new requests are refused and
-// those in progress may complete. It returns nil once they have, or an error
-// when the drain timeout of the settings has passed.
+// Stop drains the gateway and stops it. While it drains, the health check fails,
+// new requests are refused, and requests in progress may complete. Stop returns an
+// error if requests are still in progress after the drain timeout of the settings.
 func (d *Daemon) Stop(ctx context.Context) error {
 	return d.Process.Stop(ctx, d.settings.DrainTimeout, d.callerServer, d.adminServer, d.peerServer)
 }
 
-// Kill stops the gateway without draining, like a crash. It is for tests.
+// Kill stops the gateway without draining, to simulate a crash in tests.
 func (d *Daemon) Kill() { d.Process.Kill(d.callerServer, d.adminServer, d.peerServer) }
 
 // callerRoutes returns the routes of the callers' port.
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -14,19 +14,21 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Bounds of calls to a key's home.
+// Bounds of calls to a key's home. The home of an idempotency key is the sidecar
+// process that stores what is known of the key; see package dedup.
 const (
 	maxClaimAttempts = 3
 	claimTimeout     = 2 * time.Second
-	// grantTTL is how long a grant may be used. It is far shorter than the time
-	// for which homes keep keys, so that a gateway that was paused does not
-	// run a request whose key its home has evicted.
+	// grantTTL is how long a grant may be used. It must be shorter than
+	// dedup.KeyTTL, so that a gateway that was paused does not run a request whose
+	// key has expired at its home.
 	grantTTL          = 30 * time.Second
 	maxFinishAttempts = 3
 )
 
-// serveKeyed runs a request with an idempotency key: the key's home must grant
-// it first, and receives the outcome afterwards.
+// serveKeyed runs a request with an idempotency key if the key's home grants it, and
+// reports the outcome to the home afterwards. If the home does not grant it,
+// serveKeyed responds with what the home knows of an earlier attempt.
 func (d *Daemon) serveKeyed(w http.ResponseWriter, q *request) *failure {
 	claimedAt := time.Now()
 	home, claimed, fail := d.claimKey(q)
@@ -54,8 +56,9 @@
 	return fail
 }
 
-// claimKey requests a grant from the key's home. If no response arrives, it
-// retries with the same request ID. The result may be a denial.
+// claimKey requests a grant for the key from its home. It retries, with the same
+// request ID, if no response arrives or if the sidecar is not the key's home. The
+// result may be a denial. The failure is not nil if there is no result.
 func (d *Daemon) claimKey(q *request) (state.Home, peer.ClaimResult, *failure) {
 	var lastError string
 	for attempt := range maxClaimAttempts {
@@ -127,8 +130,8 @@
 	}
 }
 
-// respondNotGranted writes the stored response of an earlier attempt, if the
-// home has one; otherwise it returns the home's reason as a failure.
+// respondNotGranted writes the response of an earlier attempt with the key if the
+// home has stored one. Otherwise it returns the home's reason as a failure.
 func (d *Daemon) respondNotGranted(w http.ResponseWriter, q *request, claim peer.ClaimResult) *failure {
 	if claim.Response != nil {
 		ref, _ := weights.ParseRef(claim.Response.Version) // empty for services
@@ -146,8 +149,9 @@
 	return fail
 }
 
-// reportFinish reports the outcome of a granted attempt to the key's home.
-// Without a report, the home keeps answering that the key may have run.
+// reportFinish reports the outcome of a granted attempt to the key's home. It reports
+// nothing if the outcome is Unknown. Without a report, the home responds to later
+// attempts that an earlier one may have run.
 func (d *Daemon) reportFinish(q *request, home state.Home, result outcome.Outcome, response *dedup.Response) {
 	if result == outcome.Unknown {
 		return
--- a/gateway/manifest.go
+++ b/gateway/manifest.go
@@ -22,16 +22,15 @@
 	maxCachedManifests = 8
 )
 
-// manifestCache holds the manifests last read from the weight store, the oldest
-// first in order. Sidecars read manifests through a gateway, so that the many
-// boxes of a plan do not exceed the store's request rate. No other lock is
-// acquired while mu is held.
+// manifestCache holds the manifests last read from the weight store. Sidecars read
+// manifests through a gateway, so that the many boxes of a plan do not exceed the
+// store's request rate. No other lock is acquired while mu is held.
 type manifestCache struct {
 	fetches singleflight.Group
 
 	mu    sync.Mutex
-	raw   map[weights.Ref][]byte
-	order []weights.Ref
+	raw   map[weights.Ref][]byte // the encoded manifests
+	order []weights.Ref          // the keys of raw, the oldest first
 }
 
 func (m *manifestCache) get(ref weights.Ref) ([]byte, bool) {
@@ -94,8 +93,8 @@
 	return m, nil
 }
 
-// handleManifest serves a manifest to a sidecar, from the cache if the cached
-// one has the requested digest. The sidecar verifies the digest of what it
+// handleManifest serves a manifest to a sidecar. It serves the cached manifest if that
+// has the requested digest. The sidecar verifies the digest of the manifest that it
 // receives.
 func (d *Daemon) handleManifest(w http.ResponseWriter, r *http.Request) {
 	vars := pathvar.Vars(r)
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -25,16 +25,16 @@
 // Timing of probes.
 const (
 	// probeCycleFactor times n² is the length of a probe cycle over n endpoints,
-	// so that a few endpoints are probed twice a second and 128 endpoints cost 5
-	// probes a second (3 KB/s). Between probes, refusals and probeNow update the
-	// view.
+	// between minProbeCycle and maxProbeCycle. The rate of probes therefore
+	// decreases as the number of endpoints increases. Between probes, refusals and
+	// probeNow update the routing table.
 	probeCycleFactor  = 1600 * time.Microsecond
 	minProbeCycle     = 500 * time.Millisecond
 	maxProbeCycle     = 30 * time.Second
 	probeTimeout      = 2 * time.Second
 	maxParallelProbes = 32
 
-	// probeNowInterval is the least time between the end of one probeNow and the
+	// probeNowInterval is the minimum time between the end of one probeNow and the
 	// start of the next.
 	probeNowInterval = 100 * time.Millisecond
 	probeNowTimeout  = 300 * time.Millisecond
@@ -45,11 +45,11 @@
 	mu          sync.Mutex
 	members     membership.View
 	statuses    map[string]peer.Status // by box ID
-	etags       map[string]string      // of the last status, by box address
-	listVersion int                    // of the box list in members
+	etags       map[string]string      // entity tag of the last status, by box address
+	listVersion int                    // version of the box list in members
 }
 
-// runProbes polls the endpoints of this gateway's subset until ctx ends.
+// runProbes polls the status of the boxes in this gateway's subset until ctx ends.
 func (d *Daemon) runProbes(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.updateMembers()
@@ -62,10 +62,10 @@
 	}
 }
 
-// probeNow probes the subset outside of the regular cycle. It is used when a
-// request finds no endpoint: during a rollout the view of the last cycle may
-// contain none. Concurrent calls share one probe, which starts at least
-// probeNowInterval after the previous one.
+// probeNow probes the subset outside of the regular cycle. It is used when a request
+// finds no endpoint, since the statuses of the last cycle may be outdated during a
+// rollout. Concurrent calls share one probe, which starts at least probeNowInterval
+// after the previous one.
 func (d *Daemon) probeNow(ctx context.Context) {
 	_, _, _ = d.probeGroup.Do("now", func() (any, error) {
 		clock.Sleep(ctx, probeNowInterval-time.Since(d.lastProbeNow))
@@ -78,8 +78,8 @@
 	})
 }
 
-// setStatusTimeout makes a box unresponsive after three probe cycles without a
-// status, but not before membership.DefaultReportTimeout.
+// setStatusTimeout sets the time without a status after which a box counts as
+// unresponsive: three probe cycles, but at least membership.DefaultReportTimeout.
 func (v *boxView) setStatusTimeout(cycle time.Duration) {
 	const cycles = 3
 	v.mu.Lock()
@@ -111,8 +111,8 @@
 	return endpoints, gateways
 }
 
-// subset returns the endpoints that this gateway sends requests to: route.Subset
-// of each plan in force and of each service.
+// subset returns the endpoints to which this gateway sends requests. It selects them
+// with route.Subset from the boxes of each plan in effect and of each service.
 func (d *Daemon) subset() []membership.Box {
 	endpoints, gateways := d.endpoints()
 	groups := make(map[string][]string)
@@ -154,9 +154,9 @@
 	_ = group.Wait() // every function returns nil
 }
 
-// probeBox fetches the status of one box if it has changed since the last probe,
-// and records it. Errors are ignored: the box becomes unresponsive after a few
-// missed probes.
+// probeBox fetches the status of one box, unless it is unchanged since the last
+// probe, and records it. Errors are ignored; after a few failed probes the box counts
+// as unresponsive.
 func (d *Daemon) probeBox(ctx context.Context, b membership.Box) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -31,8 +31,8 @@
 }
 
 // handleRecords serves the configuration stream from the replica, in the log
-// service's protocol. The page also carries the time since the replica's last
-// contact with the log and the tag of the box list.
+// service's protocol. The page also contains the time since the replica's last
+// contact with the log, and the entity tag of the box list.
 func (d *Daemon) handleRecords(w http.ResponseWriter, r *http.Request) {
 	if pathvar.Vars(r)["stream"] != eventlog.ConfigStream {
 		http.Error(w, "only the configuration stream is relayed", http.StatusNotFound)
@@ -55,8 +55,8 @@
 	httpserve.WriteJSON(w, http.StatusOK, page)
 }
 
-// awaitRecords returns the page at offset from. If the replica has no record
-// there, it waits for one until wait has passed or ctx ends.
+// awaitRecords returns the page that starts at offset from. If the replica has no
+// record there, awaitRecords waits for one until wait has passed or ctx ends.
 func (d *Daemon) awaitRecords(ctx context.Context, from int64, wait time.Duration) eventlog.Page {
 	deadline := time.After(wait)
 	for {
@@ -75,7 +75,8 @@
 	}
 }
 
-// handleBoxes serves the box list as last read, tagged for conditional requests.
+// handleBoxes serves the box list as last read, with an entity tag for conditional
+// requests.
 func (d *Daemon) handleBoxes(w http.ResponseWriter, r *http.Request) {
 	boxes, tag := d.Directory.Tagged()
 	httpserve.WriteWithETag(w, r, tag, boxes)
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -21,34 +21,35 @@
 
 // Headers of callers' requests.
 const (
-	// headerKey carries the caller's idempotency key. A request with a key is treated as
-	// not idempotent.
+	// headerKey contains the caller's idempotency key. A request with a key is
+	// treated as non-idempotent: it must run at most once.
 	headerKey = "Idempotency-Key"
-	// headerRepeatable is "true" if the request may run more than once, or
-	// "false".
+	// headerRepeatable is "true" if the request may run more than once, and "false"
+	// if it must not.
 	headerRepeatable = "Mintlift-Repeatable"
 )
 
 // Bounds of the handling of a request.
 const (
-	// maxAttempts is how often a request may be sent to an endpoint.
+	// maxAttempts is the maximum number of endpoints that a request is sent to.
 	maxAttempts = 4
-	// maxProbesPerChoice is how often a request that finds no endpoint waits for
-	// a probe. It is more than one, because the first probe may have started
-	// before the request arrived.
+	// maxProbesPerChoice is the maximum number of probes for which a request waits
+	// if it finds no endpoint. The first one may have started before the request
+	// arrived.
 	maxProbesPerChoice = 2
-	// maxStaleRoutes is how often a request may be refused because of a stale
-	// route. Such a refusal does not count as an attempt.
+	// maxStaleRoutes is the maximum number of refusals of a request because of a
+	// stale route, an outdated entry of the routing table. Such a refusal does not
+	// count as an attempt.
 	maxStaleRoutes = 16
-	// promptPrefixBytes is the length of the prompt prefix that selects an
-	// endpoint by affinity.
+	// promptPrefixBytes is the maximum length of the prompt prefix, in bytes.
+	// Requests with the same prefix prefer the same endpoint.
 	promptPrefixBytes = 256
-	// maxBufferedBytes is how much of a response is buffered before any of it is
-	// sent to the caller, so that another attempt is possible if the response is
-	// interrupted.
+	// maxBufferedBytes is how many bytes of a response are buffered before any of
+	// them are sent to the caller. Until then another attempt is possible if the
+	// response is interrupted.
 	maxBufferedBytes = 1 << 20
-	// shedRetryAfter is when the caller may retry a request that was refused
-	// because of load or draining.
+	// shedRetryAfter is the time after which the caller may retry a request that
+	// was refused because of load or draining.
 	shedRetryAfter = time.Second
 	// writeTimeout bounds each write of a response to the caller.
 	writeTimeout = 30 * time.Second
@@ -63,10 +64,12 @@
 	query     string
 	header    http.Header
 	body      []byte
-	// versions are those that may serve a model request, in order of preference;
-	// service is set instead for plain services.
-	versions     []weights.Ref
-	service      string
+	// versions are the versions that may serve a model request, in order of
+	// preference. A request to a plain service has none.
+	versions []weights.Ref
+	// service is the name of the plain service, empty for a model request.
+	service string
+	// promptPrefix is the start of the prompt; see promptPrefixBytes.
 	promptPrefix string
 	// nonIdempotent is set for a request that must run at most once; key is the
 	// caller's idempotency key, empty if there is none.
@@ -81,15 +84,17 @@
 	code    string
 	outcome outcome.Outcome
 	message string
-	// retryAfter is when the caller may retry; 0 sends no Retry-After header.
+	// retryAfter is the time after which the caller may retry. 0 sends no
+	// Retry-After header.
 	retryAfter time.Duration
-	// written is set when the failure has already been written, as an event of a
-	// stream.
+	// written is set if the failure has already been sent to the caller, as an event
+	// of a stream.
 	written bool
 }
 
-// combine returns the failure to report after this attempt and a later one: once
-// an attempt may have run, a later refusal does not change that.
+// combine returns the failure to report after an attempt that ended with fail and a
+// later attempt that ended with later. If the earlier attempt may have run and the
+// later one did not, it returns fail.
 func (fail *failure) combine(later *failure) *failure {
 	if fail.outcome == outcome.Unknown && later.outcome == outcome.NotRun {
 		return fail
@@ -110,8 +115,8 @@
 	})
 }
 
-// handleService serves a request to a plain service. Unless the caller specifies
-// otherwise, only reads count as idempotent.
+// handleService serves a request to a plain service. GET and HEAD requests count as
+// idempotent and others do not, unless the caller specifies it in headerRepeatable.
 func (d *Daemon) handleService(w http.ResponseWriter, r *http.Request) {
 	d.handle(w, r, func(q *request) *failure {
 		q.service = pathvar.Vars(r)["service"]
@@ -158,9 +163,9 @@
 	return fail
 }
 
-// admitAndRun admits the request within the limits of its workspace and of this
-// gateway, and runs it. The second result is the response if it was buffered
-// whole.
+// admitAndRun runs the request if the limits of its workspace and of this gateway
+// permit it. The second result is the response if it was small enough to be buffered
+// as a whole, and otherwise nil.
 func (d *Daemon) admitAndRun(w http.ResponseWriter, q *request) (*failure, *dedup.Response) {
 	if !d.workspaceLimits.Acquire(q.workspace.Name, q.workspace.MaxInFlight) {
 		fail := notRun(http.StatusTooManyRequests, "workspace_limit", "the workspace has as many requests in progress as it may")
@@ -178,7 +183,8 @@
 	return d.run(w, q)
 }
 
-// run tries endpoints until one has responded or no further attempt is allowed.
+// run sends the request to one endpoint after the other until one has responded or no
+// further attempt is allowed. The results are those of admitAndRun.
 func (d *Daemon) run(w http.ResponseWriter, q *request) (*failure, *dedup.Response) {
 	var tried []string
 	fail := notRun(http.StatusServiceUnavailable, "no_endpoint", "no endpoint can take the request now")
@@ -211,8 +217,8 @@
 	return fail, nil
 }
 
-// findEndpoint chooses an endpoint. If there is none, it probes the boxes, up to
-// maxProbesPerChoice times, and chooses again.
+// findEndpoint chooses an endpoint that is not in tried. If there is none, it probes
+// the boxes and chooses again, up to maxProbesPerChoice times.
 func (d *Daemon) findEndpoint(q *request, tried []string) (route.Endpoint, weights.Ref, bool) {
 	ep, ref, ok := d.chooseEndpoint(q, tried)
 	for probes := 0; !ok && probes < maxProbesPerChoice && q.ctx.Err() == nil; probes++ {
@@ -222,8 +228,8 @@
 	return ep, ref, ok
 }
 
-// chooseEndpoint chooses an endpoint for the first version in order of
-// preference that has one. The version is zero for plain services.
+// chooseEndpoint chooses an endpoint for the most preferred version that has one
+// available. For plain services the returned version is zero.
 func (d *Daemon) chooseEndpoint(q *request, tried []string) (route.Endpoint, weights.Ref, bool) {
 	now := time.Now()
 	want := route.Criteria{Service: q.service, Zone: d.settings.Node.Zone, Prefix: q.promptPrefix, Exclude: tried}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -52,9 +52,9 @@
 	headerSent bool
 }
 
-// relayStream relays a streamed response event by event. If the connection to
-// the sidecar or the engine is interrupted, it resumes after the last event, so
-// that the caller receives no event twice.
+// relayStream relays a streamed response event by event. If the connection to the
+// sidecar or the engine is interrupted, it resumes the stream after the last event
+// that was sent to the caller, so that the caller receives no event twice.
 func (d *Daemon) relayStream(w http.ResponseWriter, q *request, ep route.Endpoint, ref weights.Ref, resp *http.Response) attemptResult {
 	d.setResponseHeaders(w, q, ref, resp.Header.Get("Content-Type"))
 	w.Header().Set("Cache-Control", "no-store")
@@ -83,9 +83,9 @@
 	}
 }
 
-// abort ends a stream with fail. Once the header has been sent, it writes fail
-// as an error event; before that, the caller can still receive an ordinary
-// response or another attempt can follow.
+// abort ends a stream with fail. If the response header has been sent to the caller,
+// it writes fail as an error event. Otherwise it writes nothing, so that another
+// attempt or an ordinary error response can follow.
 func (s *streamRelay) abort(fail *failure, healthy bool) attemptResult {
 	if !s.headerSent {
 		return attemptResult{failure: fail, healthy: healthy}
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// write sends b to the caller at once, after the response header if that has not
-// been sent.
+// write sends b to the caller without delay. It sends the response header first if
+// that has not been sent yet.
 func (s *streamRelay) write(b []byte) error {
 	if !s.headerSent {
 		s.w.WriteHeader(http.StatusOK)
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReadEvent checks the fields and raw bytes of events, and that an
-// incomplete event at the end of the stream is an error.
+// TestReadEvent checks the fields and raw bytes of events, and guards against accepting
+// an incomplete event at the end of a stream.
 func TestReadEvent(t *testing.T) {
 	r := bufio.NewReader(strings.NewReader("id: 7\ndata: {\"id\":\"x\"}\n\ndata: [DONE]\r\n\r\nid: 8\ndata: cut"))
 	e, raw, err := readEvent(r)
@@ -27,8 +27,8 @@
 	assert.Assert(t, err != nil, "incomplete event accepted")
 }
 
-// FuzzReadEvent checks that the raw events are a prefix of the input, so that
-// relaying does not change a stream.
+// FuzzReadEvent guards against events whose bytes are changed when they are relayed: the
+// raw events together must be a prefix of the input.
 func FuzzReadEvent(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: {}\n\n"))
 	f.Add([]byte(":\n\n"))
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -88,7 +88,7 @@
 // Target receives the endpoint list from a Follower.
 type Target interface {
 	// SetEra sets the store's era in which the next list was read. It returns false if
-	// a list of a later era was received before. See platform.EndpointHandler.
+	// that era is earlier than the current one. See platform.EndpointHandler.
 	SetEra(era int64) bool
 	// SetEndpoints replaces the list.
 	SetEndpoints(records []fleet.Record)
--- a/storerelay/list.go
+++ b/storerelay/list.go
@@ -92,7 +92,7 @@
 // Client sends requests to the Handlers of gateways. It is safe for concurrent use.
 type Client struct{ client *http.Client }
 
-// NewClient returns a client. The caller must call Close.
+// NewClient returns a client with timeouts for requests within a region.
 func NewClient() *Client {
 	dialer := tcpconn.Dialer(callTimeout, tcpconn.ProbeLater)
 	return &Client{client: &http.Client{Transport: &http.Transport{
