--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -27,7 +27,7 @@
 	failure         *failure        // nil when the caller has received the whole response
 	responseStarted bool            // part of the response has reached the caller
 	healthy         bool            // the attempt does not count as a failure of the endpoint
-	staleRoute      bool            // the box refused: the routing table was outdated about its versions or its load
+	staleRoute      bool            // refused, since the box serves other versions now or accepts no requests for a while
 	response        *dedup.Response // nil unless the whole response was buffered
 }
 
--- a/sidecar/claims.go
+++ b/sidecar/claims.go
@@ -14,11 +14,12 @@
 	"github.com/mintlift/mintlift/state"
 )
 
-// scopedKey returns the table key of a workspace's idempotency key.
+// scopedKey returns the key under which the table stores a workspace's idempotency key,
+// so that equal keys of different workspaces do not collide.
 func scopedKey(workspace, key string) string { return workspace + "\x00" + key }
 
-// handleClaim serves a gateway's claim of a key: whether the gateway may run a
-// non-idempotent request whose key has this sidecar as its home.
+// handleClaim responds to a gateway's claim: a request for permission to run the request
+// with an idempotency key whose home is this sidecar.
 func (d *Daemon) handleClaim(w http.ResponseWriter, r *http.Request) {
 	var claim peer.Claim
 	if err := httpserve.ReadJSON(r, &claim); err != nil {
@@ -31,7 +32,7 @@
 	httpserve.WriteJSON(w, http.StatusOK, claimed)
 }
 
-// claimKey grants the key to the attempt, or returns why the attempt must not run.
+// claimKey grants the key to the attempt, or returns the reason why it must not run.
 func (d *Daemon) claimKey(claim peer.Claim, now time.Time) peer.ClaimResult {
 	key := scopedKey(claim.Workspace, claim.Key)
 	if e, ok := d.keys.Lookup(key, now); ok && e.Status != dedup.Refused && e.Attempt != claim.Request {
@@ -50,9 +51,9 @@
 	return peer.ClaimResult{Granted: true}
 }
 
-// admitKey applies dedup.Admit to a key that the table does not hold. It returns nil
-// if the key may run. The outcome of a denial is Unknown, since an earlier attempt
-// may have run elsewhere.
+// admitKey applies dedup.Admit to a key that the table does not hold. It returns nil if
+// the key may be granted, and otherwise a denial. The outcome of a denial is Unknown,
+// since an earlier attempt may have run elsewhere.
 func (d *Daemon) admitKey(key string, now time.Time) *peer.ClaimResult {
 	verdict := dedup.Run
 	self := dedup.Self{Box: d.settings.Node.Box, Incarnation: d.Incarnation, Service: d.settings.Service}
@@ -73,8 +74,8 @@
 	return denied
 }
 
-// lastContact returns the time of the last contact with the event log, or the zero
-// time if this process was paused after it.
+// lastContact returns the time of the last contact with the event log. It returns the
+// zero time if this process was paused after that contact; see fencing.
 func (d *Daemon) lastContact(now time.Time) time.Time {
 	contact := d.Replica.Contact()
 	d.orders.mu.Lock()
@@ -86,8 +87,8 @@
 	return contact
 }
 
-// awaitOffset waits until the replica has reached the state offset want, for at most
-// 1 s: the gateway that sent it may have read further in the event log.
+// awaitOffset waits, for at most 1 s, until the replica has reached the offset want. It
+// is called with the offset of a gateway that may have read further in the event log.
 func (d *Daemon) awaitOffset(ctx context.Context, want int64) {
 	const timeout = time.Second
 	deadline := time.After(timeout)
@@ -106,8 +107,8 @@
 	}
 }
 
-// claimedFromEntry returns the response to a claim that Table.Begin or Lookup did not
-// grant.
+// claimedFromEntry returns the response to a claim that is denied because of e, the
+// table's entry for the key.
 func claimedFromEntry(e dedup.Entry) peer.ClaimResult {
 	claimed := peer.ClaimResult{Reason: peer.ReasonSeen, Response: e.Response}
 	switch {
@@ -127,8 +128,8 @@
 	return claimed
 }
 
-// handleFinish serves a gateway's report of how a granted attempt ended. Outcome
-// Unknown leaves the key as it is.
+// handleFinish processes a gateway's report of the outcome of a granted attempt. With
+// the outcome Unknown the key's entry stays as it is.
 func (d *Daemon) handleFinish(w http.ResponseWriter, r *http.Request) {
 	var finish peer.Finish
 	if err := httpserve.ReadJSON(r, &finish); err != nil {
--- a/sidecar/copies.go
+++ b/sidecar/copies.go
@@ -23,7 +23,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Timing and bounds of the work on copies.
+// Timing of jobs and the bound of a manifest's size.
 const (
 	reconcileInterval = time.Second
 	stepRetryInterval = 300 * time.Millisecond
@@ -31,42 +31,44 @@
 	maxManifestBytes  = 4 << 20
 )
 
-// copies holds the copies of weights on this box. mu is taken before a job's mu.
+// copies holds the copies of weights on this box: one job for each version. mu is taken
+// before a job's mu.
 type copies struct {
 	mu            sync.Mutex
 	jobs          map[weights.Ref]*job
-	memoryBytes   int64 // of the engine; 0 means unbounded
-	stateReported bool  // the engine has reported what it holds
+	memoryBytes   int64 // size of the engine's memory; 0 means no limit
+	stateReported bool  // the engine has reported which versions it has loaded
 }
 
-// engineKnown reports whether the engine has reported what it holds.
+// engineKnown reports whether the engine has reported which versions it has loaded.
 func (c *copies) engineKnown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stateReported
 }
 
-// job brings one copy from absent to serving. cancel and done belong to its goroutine;
-// cancel is nil while none runs. Both are guarded by copies.mu.
+// job brings the copy of one version from the state Absent to Serving. cancel and done
+// belong to the job's goroutine; cancel is nil while no goroutine runs. Both are guarded
+// by copies.mu.
 type job struct {
 	ref    weights.Ref
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	originBytes, peerBytes, crossRegionBytes, badChunks atomic.Int64
-	inFlight                                            atomic.Int64
+	originBytes, peerBytes, crossRegionBytes, badChunks atomic.Int64 // received so far; badChunks had a wrong digest
+	inFlight                                            atomic.Int64 // requests at the version
 
 	mu            sync.Mutex
-	plan          *intent.Plan
-	copy          *weights.Copy // nil until the manifest is known
-	swarm         *transfer.Swarm
-	picker        *transfer.Picker
-	manifest      []byte
-	blockedReason string
+	plan          *intent.Plan     // the newest plan for the version
+	copy          *weights.Copy    // nil until the manifest is known
+	swarm         *transfer.Swarm  // decides which chunks to pull
+	picker        *transfer.Picker // selects chunks to send
+	manifest      []byte           // encoded
+	blockedReason string           // why the current step has not succeeded, or empty
 }
 
-// report returns the copies, the versions that the engine has loaded and the engine's
-// memory in bytes, for peer.Status.
+// report returns, for peer.Status, the copies, the versions that the engine has loaded,
+// and the size of the engine's memory in bytes.
 func (c *copies) report() (held []peer.CopyStatus, loaded []peer.LoadedVersion, memoryBytes int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,8 +106,8 @@
 	return r
 }
 
-// loadedBytes returns the size of the version if the engine has loaded it, or may
-// have, else 0.
+// loadedBytes returns the size of the version in bytes if the engine has loaded it or may
+// have loaded it, and 0 otherwise.
 func (j *job) loadedBytes() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -130,16 +132,16 @@
 	return j.copy.State()
 }
 
-// setBlockedReason sets why the current step has not succeeded; empty means that it
-// has.
+// setBlockedReason sets the reason why the current step has not succeeded. It is empty
+// if the step has succeeded.
 func (j *job) setBlockedReason(reason string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.blockedReason = reason
 }
 
-// acquireServing returns the job of a version that is serving and counts a request
-// as in flight there; the caller must call j.inFlight.Add(-1) when it ends. It
+// acquireServing returns the job of a version that is serving, and counts a request in
+// flight at it. The caller must call j.inFlight.Add(-1) when the request ends. It
 // returns false if the version is not serving.
 func (c *copies) acquireServing(ref weights.Ref) (*job, bool) {
 	c.mu.Lock()
@@ -164,8 +166,8 @@
 	return c.jobs[ref]
 }
 
-// runCopies adopts what the engine has loaded and then reconciles the copies with
-// the plans, at each change of the state and each reconcileInterval, until ctx ends.
+// runCopies adopts the versions that the engine has loaded. It then reconciles the copies
+// with the plans at each change of the state and every reconcileInterval, until ctx ends.
 func (d *Daemon) runCopies(ctx context.Context) {
 	d.copies.mu.Lock()
 	d.copies.jobs = make(map[weights.Ref]*job)
@@ -213,10 +215,10 @@
 	}
 }
 
-// adopt takes over the versions that the engine has already loaded, as after a
-// restart of the sidecar alone. It claims the engine first, so that an engine that
-// checks epochs rejects later orders of a former sidecar. It returns false if it must
-// be tried again.
+// adopt adds jobs for the versions that the engine has already loaded, which happens when
+// the sidecar restarts and the engine does not. It claims the engine first, so that an
+// engine that checks epochs rejects later orders of a former sidecar. It returns false if
+// it must be called again.
 func (d *Daemon) adopt(ctx context.Context) bool {
 	if d.Replica.Contact().IsZero() && d.Replica.Offset() == 0 {
 		return false // no state of the event log yet, so no fence
@@ -244,8 +246,8 @@
 	return true
 }
 
-// adoptLoaded adds a job in state serving for a version that the engine has loaded,
-// if a plan in force has its manifest digest.
+// adoptLoaded adds a job in the state Serving for a version that the engine has loaded.
+// It does nothing if no confirmed plan has the same manifest digest.
 func (d *Daemon) adoptLoaded(ctx context.Context, l engine.Loaded) {
 	var plan *intent.Plan
 	d.Replica.View(func(s *state.State) {
@@ -275,8 +277,8 @@
 	d.Log.Info("copies: adopted", "version", l.Ref.String())
 }
 
-// reconcile starts a job for each version that a plan in force requires on this box
-// and drops the other versions, except loaded ones.
+// reconcile starts a job for each version that a plan in effect requires on this box. It
+// drops the jobs of other versions, except those that the engine has loaded.
 func (d *Daemon) reconcile(ctx context.Context) {
 	var desired []*intent.Plan
 	d.Replica.View(func(s *state.State) { desired = s.Desired(d.settings.Node.Box) })
@@ -300,8 +302,8 @@
 	}
 }
 
-// dropJob removes a job whose version no plan requires here any more and frees its
-// staged chunks, unless the version has been loaded meanwhile.
+// dropJob removes a job whose version no plan requires on this box any more, and frees
+// its staged chunks. It does nothing if the version has been loaded meanwhile.
 func (d *Daemon) dropJob(ctx context.Context, j *job) {
 	d.copies.stop(j)
 	d.copies.mu.Lock()
@@ -319,8 +321,9 @@
 	}
 }
 
-// ensureJob gives the job of the plan's version its current plan and starts the job's
-// goroutine unless it runs already or the version is serving.
+// ensureJob sets the plan of the job for the plan's version, which it creates if
+// necessary. It starts the job's goroutine unless that runs already or the version is
+// serving.
 func (d *Daemon) ensureJob(ctx context.Context, p *intent.Plan) {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -23,7 +23,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Errors of a pull that brought no chunk.
+// Errors of a pull, a request for a chunk, that did not bring one.
 const (
 	errNoUsefulChunk  = errors.ConstError("peer has nothing of use")
 	errSenderBusy     = errors.ConstError("sender is busy")
@@ -35,8 +35,8 @@
 // the rate of the origin's link.
 const defaultChunkTime = 10 * time.Millisecond
 
-// newSwarm returns the transfer state of one copy: the Swarm that decides which chunks
-// to pull, and the Picker that selects chunks to send.
+// newSwarm returns the transfer state of one copy. The Swarm decides which chunks to
+// pull, and the Picker selects chunks to send.
 func (d *Daemon) newSwarm(plan *intent.Plan, manifest *weights.Manifest, c *weights.Copy) (*transfer.Swarm, *transfer.Picker) {
 	params := transfer.Params{
 		Chunks:        len(manifest.Chunks),
@@ -61,8 +61,8 @@
 	return swarm, transfer.NewPicker(len(manifest.Chunks), xxhash.Sum64String(box))
 }
 
-// fetch pulls chunks, several at once, until the copy leaves the fetching state, which is
-// when all chunks are verified. It returns an error only if ctx ends first.
+// fetch pulls chunks, several at once, until all are verified and the copy leaves the
+// state Fetching. It returns an error only if ctx ends first.
 func (d *Daemon) fetch(ctx context.Context, j *job) error {
 	pullEnded := make(chan struct{}, 1)
 	for ctx.Err() == nil {
@@ -119,9 +119,9 @@
 	}
 }
 
-// transferChunk sends the pull and streams the chunk of the response into staging. It
-// sets p.Chunk to the chunk that a peer chose. The availability is the zero value if
-// the sender did not respond or refused.
+// transferChunk sends the pull and streams the chunk in the response into the engine's
+// staging memory. If a peer has chosen the chunk, it sets p.Chunk to that one. The
+// availability is the zero value if the sender did not respond or refused.
 func (d *Daemon) transferChunk(ctx context.Context, j *job, p *transfer.Pull, has *bitset.BitSet) (transfer.Availability, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -167,9 +167,9 @@
 	return err
 }
 
-// sendPull sends the pull to the origin or to a peer. The error is errSenderBusy if
-// the sender responded 429 or 503, or if the peer's address is unknown. The caller
-// closes the body.
+// sendPull sends the pull to the origin or to a peer. The error is errSenderBusy if the
+// sender responded with status 429 or 503, or if the peer's address is unknown. The
+// caller must close the response's body.
 func (d *Daemon) sendPull(ctx context.Context, j *job, p transfer.Pull, has *bitset.BitSet) (*http.Response, error) {
 	client, req, err := d.pullRequest(ctx, j, p, has)
 	if err != nil {
@@ -190,7 +190,7 @@
 	return nil, statusErr
 }
 
-// pullRequest returns the request of a pull and the client to send it with.
+// pullRequest returns the HTTP request for a pull, and the client to send it with.
 func (d *Daemon) pullRequest(ctx context.Context, j *job, p transfer.Pull, has *bitset.BitSet) (*call.Client, *http.Request, error) {
 	if p.Kind == transfer.FromOrigin {
 		path := fmt.Sprintf("/origin/%s/%s/chunks/%d", j.ref.Model, j.ref.Version, p.Chunk)
@@ -210,7 +210,7 @@
 	return d.Peers, req, err
 }
 
-// peerAddress returns the address of a box, or false if the box list does not have it.
+// peerAddress returns the address of a box, or false if the box is not in the box list.
 func (d *Daemon) peerAddress(box string) (string, bool) {
 	boxes, _ := d.Directory.Boxes()
 	for _, b := range boxes {
@@ -221,9 +221,9 @@
 	return "", false
 }
 
-// stageChunk streams a chunk into the engine's staging memory and verifies its digest.
-// A chunk that fails remains staged until it is pulled again, but the copy does not
-// count it as held, so it is neither sent to peers nor loaded.
+// stageChunk streams a chunk into the engine's staging memory and verifies its digest. If
+// the digest is wrong, the bytes stay in staging memory until the chunk is pulled again.
+// The copy does not count such a chunk as held, so it is neither sent to peers nor loaded.
 func (d *Daemon) stageChunk(ctx context.Context, j *job, p transfer.Pull, body io.Reader) error {
 	manifest := j.copy.Manifest()
 	size := manifest.Size(p.Chunk)
@@ -259,8 +259,8 @@
 	}
 }
 
-// countBytes adds n bytes received to the counters of the pull's source. Bytes from
-// another region count as bytes from a peer, too.
+// countBytes adds n received bytes to the counters of the pull's source. Bytes from
+// another region also count as bytes from a peer.
 func (j *job) countBytes(p transfer.Pull, n int64) {
 	switch p.Kind {
 	case transfer.FromOrigin:
@@ -273,7 +273,7 @@
 	}
 }
 
-// watchdog calls a function when it has not been reset for limit.
+// watchdog calls a function once limit has passed since its start or its last reset.
 type watchdog struct {
 	limit time.Duration
 	timer *time.Timer
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -14,12 +14,14 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Errors of an order that is not sent.
+// Errors of an order to the engine that was not sent. An order makes the engine load or
+// unload a version.
 const (
-	// errStaleFence means that the order has a lower fence than an earlier one,
-	// or that no plan wants it any more.
+	// errStaleFence means that the order has a lower fence than an earlier order, or
+	// that no plan requires it any more.
 	errStaleFence = errors.ConstError("order carries an older fence than the highest known")
-	// errReplaced means that the event log removed this incarnation from the homes.
+	// errReplaced means that this incarnation of the sidecar is no longer among the
+	// homes in the event log (see state.Home).
 	errReplaced = errors.ConstError("another sidecar has taken this box over")
 	// errPaused means that this process was paused and has not contacted the
 	// event log since.
@@ -28,23 +30,26 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// pauseThreshold is the time between two ticks above which the process
-	// counts as paused.
+	// pauseThreshold is the time between two ticks above which the process is assumed
+	// to have been paused meanwhile.
 	pauseThreshold = time.Second
-	orderTimeout   = time.Minute
+	// orderTimeout bounds an order, including the claim of the engine.
+	orderTimeout = time.Minute
 )
 
-// fencing decides whether an order to the engine may be sent. It does no I/O and
-// is not safe for concurrent use. The zero value is ready for use.
+// fencing decides whether an order to the engine may be sent. Its purpose is that a
+// sidecar that was paused, or replaced, does not send outdated orders: orders need a
+// contact with the event log after the last pause, and fences that do not decrease. It
+// does no I/O and is not safe for concurrent use. The zero value is ready for use.
 type fencing struct {
-	epoch        int64     // of this sidecar's claim of the engine
-	highestFence int64     // of an order sent, or reported by the engine
-	lastTick     time.Time // last call of recordTick
+	epoch        int64     // epoch of this sidecar's claim of the engine
+	highestFence int64     // highest fence of the orders sent and of the claims' results
+	lastTick     time.Time // time of the last call of recordTick
 	resumedAt    time.Time // end of the last pause; zero if there was none
 }
 
-// recordTick records that the process runs at now, and a pause if the last tick is
-// longer ago than pauseThreshold.
+// recordTick records that the process is running at the time now. If the last tick is
+// longer ago than pauseThreshold, it records a pause that ends now.
 func (f *fencing) recordTick(now time.Time) {
 	if !f.lastTick.IsZero() && now.Sub(f.lastTick) > pauseThreshold {
 		f.resumedAt = now
@@ -52,15 +57,15 @@
 	f.lastTick = now
 }
 
-// applyClaim records the result of a claim. The fence in it is a lower bound for the
-// fences of later orders.
+// applyClaim records the result of a claim of the engine. Later orders must not have a
+// lower fence than the claim.
 func (f *fencing) applyClaim(claim engine.Claim) {
 	f.epoch = claim.Epoch
 	f.highestFence = max(f.highestFence, claim.Fence)
 }
 
-// check returns an error if an order with the given fence must not be sent.
-// contact is the time of the last contact with the event log.
+// check returns an error if an order with the given fence must not be sent, and records
+// the fence otherwise. contact is the time of the last contact with the event log.
 func (f *fencing) check(fence int64, contact, now time.Time) error {
 	f.recordTick(now)
 	if !f.resumedAt.IsZero() && !contact.After(f.resumedAt) {
@@ -73,12 +78,12 @@
 	return nil
 }
 
-// orders is the state of the engine's claim and orders. mu is held while an order is
-// sent, so that there is one at a time.
+// orders holds the state of the claim of the engine and of the orders to it. mu is held
+// while an order is sent, so that only one order is in flight.
 type orders struct {
 	mu      sync.Mutex
 	fencing fencing
-	claimed bool // a claim succeeded, and no order was rejected as stale since
+	claimed bool // a claim succeeded, and the engine has rejected no order as stale since
 }
 
 // detectPauses records a tick every tickInterval until ctx ends.
@@ -94,8 +99,8 @@
 	}
 }
 
-// replaced reports whether the event log removed this incarnation from the homes
-// after it had last added it.
+// replaced reports whether the last change of this incarnation's home in the event log
+// removed it. It returns false if the incarnation was never added.
 func (d *Daemon) replaced() bool {
 	removed := false
 	d.Replica.View(func(s *state.State) {
@@ -115,9 +120,10 @@
 	return removed
 }
 
-// sendOrder sends one order for ref if wanted returns true for the current state;
-// the order's fence is the offset of that state. It claims the engine first if
-// necessary. Errors are errStaleFence, errReplaced, errPaused, and those of send.
+// sendOrder sends one order for the version ref by calling send. It sends none and returns
+// errStaleFence if wanted returns false for the current state. The order's fence is the
+// offset of that state. sendOrder claims the engine first if necessary. Further errors are
+// errReplaced, errPaused, and those of the claim and of send.
 func (d *Daemon) sendOrder(ctx context.Context, ref weights.Ref, wanted func(*state.State) bool, send func(context.Context, engine.Order) error) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -147,9 +153,9 @@
 	return err
 }
 
-// claimEngine claims the engine unless this sidecar holds it already. It returns
-// errReplaced if the event log removed this incarnation from the homes. The caller
-// holds orders.mu.
+// claimEngine claims the engine for this sidecar unless it has claimed it already. The
+// engine's response contains the epoch of the claim, which orders must have. claimEngine
+// returns errReplaced if this sidecar was replaced. The caller holds orders.mu.
 func (d *Daemon) claimEngine(ctx context.Context) error {
 	if d.orders.claimed {
 		return nil
--- a/sidecar/orders_test.go
+++ b/sidecar/orders_test.go
@@ -14,6 +14,8 @@
 
 var epoch = time.Unix(1000, 0)
 
+// TestOlderFenceRejected guards against orders with a lower fence than an earlier order or
+// than the claim of the engine.
 func TestOlderFenceRejected(t *testing.T) {
 	var f fencing
 	f.applyClaim(engine.Claim{Epoch: 3, Fence: 10})
@@ -23,6 +25,8 @@
 	assert.NilError(t, f.check(12, epoch, epoch))
 }
 
+// TestNoOrderAfterPauseWithoutContact guards against orders of a process that was paused
+// and has not contacted the event log since.
 func TestNoOrderAfterPauseWithoutContact(t *testing.T) {
 	var f fencing
 	f.recordTick(epoch)
--- a/sidecar/pulls.go
+++ b/sidecar/pulls.go
@@ -21,9 +21,10 @@
 	return weights.Ref{Model: v["model"], Version: v["version"]}
 }
 
-// handlePull sends a verified chunk to a peer: the requested one, or the missing one
-// that this box has sent the fewest times. It responds 204 if there is none. Upload
-// slots are assigned by the priority in the request.
+// handlePull serves a peer's pull with a verified chunk. If the peer requests no specific
+// chunk, it sends the one that this box has sent the fewest times among those that the
+// peer lacks. It responds with status 204 if there is no such chunk. The number of
+// concurrent uploads is limited; waiting pulls are served by the priority in the request.
 func (d *Daemon) handlePull(w http.ResponseWriter, r *http.Request) {
 	var req peer.PullRequest
 	if err := httpserve.ReadJSON(r, &req); err != nil {
@@ -53,8 +54,9 @@
 	d.sendChunk(w, r, j, chunk)
 }
 
-// pickChunk returns the chunk to send for a pull, or -1, and the availability for the
-// response. The error means that the request's bitmap is invalid.
+// pickChunk returns the chunk to send for a pull, or -1 if there is none, and the
+// availability to send in the response. It returns an error if the request's bitmap is
+// invalid.
 func (j *job) pickChunk(req peer.PullRequest) (int, transfer.Availability, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/sidecar/requests.go
+++ b/sidecar/requests.go
@@ -24,7 +24,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// busyRetryAfter is the retry delay in refusals for lack of capacity.
+// busyRetryAfter is the retry delay in refusals because of missing capacity.
 const busyRetryAfter = time.Second
 
 // admitted is a request that may be sent to the endpoint.
@@ -35,11 +35,11 @@
 	priority       int
 	idempotencyKey string          // empty for an idempotent request
 	ctx            context.Context // ends at the request's deadline, if it has one
-	release        func()          // frees the slot and the version
+	release        func()          // must be called when the request ends; frees its slot at the endpoint
 }
 
-// refusal is the response to a request that was refused before anything of it reached
-// the endpoint.
+// refusal is the response to a request that was refused before any part of it reached the
+// endpoint.
 type refusal struct {
 	status     int
 	reason     peer.Reason
@@ -54,7 +54,8 @@
 }
 
 // handleRun serves a caller's request that a gateway forwards. A non-idempotent request
-// carries its idempotency key, which the key's home has granted.
+// has an idempotency key in a header. If the key is the caller's, its home has granted it
+// before.
 func (d *Daemon) handleRun(w http.ResponseWriter, r *http.Request) {
 	d.Requests.Enter()
 	defer d.Requests.Leave()
@@ -67,8 +68,8 @@
 	d.forward(w, r, a)
 }
 
-// admit waits for a slot at the endpoint and returns the admitted request, whose
-// release the caller must call, or a refusal.
+// admit waits until the endpoint has a free slot, room for one more request in flight. It
+// returns the admitted request, whose release the caller must call, or a refusal.
 func (d *Daemon) admit(r *http.Request) (*admitted, *refusal) {
 	switch {
 	case d.Requests.Draining():
@@ -112,8 +113,9 @@
 	return a, nil
 }
 
-// admitVersion checks that the request is for this service or a serving version, and
-// counts it as in flight at the version. The caller must call release when it ends.
+// admitVersion checks that the request is for this box's service or for a version that is
+// serving. It counts the request as in flight at the version. The caller must call
+// release when the request ends.
 func (d *Daemon) admitVersion(r *http.Request, a *admitted) (release func(), refused *refusal) {
 	if d.settings.Service != "" {
 		if pathvar.Vars(r)["service"] != d.settings.Service {
@@ -133,8 +135,8 @@
 	return func() { j.inFlight.Add(-1) }, nil
 }
 
-// writeRefusal responds with a refusal, and with what this box serves and its state
-// offset in the headers.
+// writeRefusal responds with a refusal. The headers also contain the versions that this
+// box serves and the offset of its replica.
 func (d *Daemon) writeRefusal(w http.ResponseWriter, r *http.Request, refused *refusal) {
 	d.Metrics.Counter("mintlift_requests_refused_total", "reason", string(refused.reason)).Inc()
 	h := w.Header()
@@ -154,8 +156,9 @@
 	}})
 }
 
-// forward sends the request to the endpoint and the response back. If the request may
-// have run without a usable response, it aborts the connection to the gateway.
+// forward sends the request to the endpoint and relays the response to the gateway. If the
+// request may have run but there is no usable response, it aborts the connection to the
+// gateway.
 func (d *Daemon) forward(w http.ResponseWriter, r *http.Request, a *admitted) {
 	req, err := d.endpointRequest(r, a)
 	if err != nil {
@@ -194,8 +197,8 @@
 	}
 }
 
-// responseMatches reports whether a response has the request's ID and version. Headers
-// that the endpoint does not set are not compared.
+// responseMatches reports whether the headers of a response have the request's ID and
+// version. A header that the endpoint does not set counts as matching.
 func (d *Daemon) responseMatches(a *admitted, resp *http.Response) bool {
 	if got := resp.Header.Get(engine.HeaderRequest); got != "" && got != a.id {
 		d.Log.Error(nil, "requests: endpoint response has the ID of another request", "want", a.id, "got", got)
@@ -268,8 +271,8 @@
 	}
 }
 
-// copyFlushing copies body to w and flushes after each read, so that the tokens of a
-// stream are not delayed. It buffers at most 16 KiB.
+// copyFlushing copies body to w and flushes w after each read, so that the tokens of a
+// stream are not delayed.
 func copyFlushing(w http.ResponseWriter, body io.Reader) error {
 	rc := http.NewResponseController(w)
 	buf := make([]byte, 16<<10)
@@ -292,8 +295,8 @@
 	}
 }
 
-// handleResume resumes a stream, after the position in the query, whose connection to
-// the gateway was lost.
+// handleResume resumes a stream whose connection to the gateway was lost. It starts after
+// the event whose ID is in the query.
 func (d *Daemon) handleResume(w http.ResponseWriter, r *http.Request) {
 	d.Requests.Enter()
 	defer d.Requests.Leave()
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -1,23 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package sidecar is the process that runs beside each endpoint. It connects the
-// decision packages to the network:
+// Package sidecar implements the process that runs beside each endpoint. It does the
+// network I/O for the packages that decide, such as transfer, dedup and weights:
 //
-//   - copies.go and steps.go execute the plans that name this box: fetch,
+//   - copies.go and steps.go execute the plans that have a step for this box: fetch,
 //     verify, load, serve, drain.
 //   - fetch.go pulls chunks as package transfer decides; pulls.go sends chunks
 //     to other boxes.
 //   - orders.go sends fenced orders to the engine.
 //   - requests.go is the only path to the endpoint: it admits, refuses and
 //     forwards requests. signals.go enforces the endpoint's backpressure.
-//   - claims.go grants the idempotency keys whose home is this sidecar.
+//   - claims.go grants the idempotency keys whose home is this sidecar. The home of a
+//     key is the sidecar process that stores what is known of the key.
 //
-// Weights are stored in the engine's staging memory only: a chunk is streamed
-// through the sidecar into it, and read from it to be sent to a peer. The
-// sidecar's memory use therefore does not grow with the model.
+// Weights are stored only in the engine's staging memory. The sidecar streams
+// received chunks into it, and reads the chunks that it sends to peers from it. The
+// sidecar's memory use therefore does not depend on the size of the model.
 //
-// Lock order: copies.mu, then job.mu, then the locks of state.Replica,
-// prio.Gate and dedup.Table, which are held while no other lock is taken.
+// Lock order: copies.mu, then job.mu, then the locks of state.Replica, prio.Gate and
+// dedup.Table. While one of the last three is held, no other lock is taken.
 package sidecar
 
 import (
@@ -87,9 +88,9 @@
 	return d, nil
 }
 
-// reservedSlots returns how many of an endpoint's slots a single workspace cannot
-// occupy, so that slots remain for other workspaces: an eighth, rounded up, but not
-// all.
+// reservedSlots returns how many of an endpoint's slots are kept free for other
+// workspaces if one workspace has many requests. A slot is room for one request in
+// flight. The result is an eighth of the slots, rounded up, but never all of them.
 func reservedSlots(slots int) int {
 	const share = 8
 	return (slots + share - 1) / share % slots
--- a/sidecar/signals.go
+++ b/sidecar/signals.go
@@ -13,22 +13,24 @@
 	"github.com/mintlift/mintlift/peer"
 )
 
-// drainProbeDelay is the time after the last draining signal of an endpoint until one
-// request is sent as a probe. A new incarnation of the endpoint responds to it without the
-// signal; its start time is not available here.
+// drainProbeDelay is the time from the last draining signal of an endpoint until one
+// request is sent as a probe. If the endpoint was restarted, its response has no draining
+// signal.
 const drainProbeDelay = 10 * time.Second
 
-// endpointState holds the backpressure signals of the endpoint on this box: rate
-// limit, backoff and draining. All requests to the endpoint pass through its sidecar,
-// so the sidecar alone enforces the limit. It is safe for concurrent use; no other
-// lock is taken while its lock is held.
+// endpointState holds the backpressure signals of the endpoint on this box: rate limit,
+// backoff and draining. All requests to the endpoint pass through this sidecar, so it can
+// enforce the limit without coordination. endpointState is safe for concurrent use; no
+// other lock is taken while its lock is held.
 type endpointState struct {
 	mu    sync.Mutex
 	state *backpressure.State
-	// drainedAt is the time of the last draining signal, or of the last probe after it.
+	// drainedAt is the time of the last draining signal, or of the last probe sent
+	// after it.
 	drainedAt time.Time
 }
 
+// newEndpointState returns the state of an endpoint that has sent no signals.
 func newEndpointState() *endpointState {
 	s := &endpointState{}
 	s.reset()
@@ -42,14 +44,15 @@
 	s.state.SetNoAllocator(clock.Now()) // no permit allocator: this sidecar is the only sender
 }
 
-// draining reports whether the endpoint drains and no probe is due yet.
+// draining reports whether the endpoint is draining and no probe is due yet.
 func (s *endpointState) draining(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Draining() && now.Sub(s.drainedAt) < drainProbeDelay
 }
 
-// admit counts a request to the endpoint, or returns a refusal.
+// admit returns nil and counts a request if the endpoint's signals permit one now.
+// Otherwise it returns a refusal.
 func (s *endpointState) admit(now time.Time) *refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +71,8 @@
 	return nil
 }
 
-// observe records the signals in the headers and status of a response and returns the
-// changes; sent is when the request was sent.
+// observe records the signals in the headers and the status of a response, and returns the
+// signals that have changed. sent is the time at which the request was sent.
 func (s *endpointState) observe(resp *http.Response, sent, now time.Time) []backpressure.Change {
 	signal := engine.Signal(resp.StatusCode, resp.Header)
 	s.mu.Lock()
--- a/sidecar/signals_test.go
+++ b/sidecar/signals_test.go
@@ -13,7 +13,8 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// responseWithLimit returns a response of an endpoint that announces a rate limit, or none if limit is empty.
+// responseWithLimit returns a response of an endpoint with a rate limit in its header, or
+// without one if limit is empty.
 func responseWithLimit(limit string) *http.Response {
 	r := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
 	if limit != "" {
@@ -22,7 +23,8 @@
 	return r
 }
 
-// TestLimitAnnouncedRepeatedly guards against refusing all requests once a limit is announced again after one has ended.
+// TestLimitAnnouncedRepeatedly guards against refusing all requests when an endpoint
+// announces a rate limit again after an earlier limit has ended.
 func TestLimitAnnouncedRepeatedly(t *testing.T) {
 	s := newEndpointState()
 	now := clock.Now()
--- a/sidecar/steps.go
+++ b/sidecar/steps.go
@@ -19,8 +19,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// runJob brings one copy from absent to serving. It retries each step until the step
-// succeeds or ctx ends.
+// runJob executes the steps that bring one copy from the state Absent to Serving. It
+// retries each step until the step succeeds or ctx ends.
 func (d *Daemon) runJob(ctx context.Context, j *job) {
 	steps := []func(context.Context, *job) error{d.prepare, d.fetch, d.awaitWave, d.freeMemory, d.load}
 	for _, step := range steps {
@@ -40,7 +40,7 @@
 	}
 }
 
-// prepare fetches the manifest and lets the engine allocate staging memory.
+// prepare fetches the manifest and makes the engine allocate staging memory.
 func (d *Daemon) prepare(ctx context.Context, j *job) error {
 	if j.state() != weights.Absent {
 		return nil
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// fetchManifest fetches the manifest from this sidecar's gateway, else the weight
-// store, else a peer of the plan, and verifies it against the plan's digest. It
-// returns the manifest parsed and raw.
+// fetchManifest fetches the manifest and verifies it against the plan's digest. It tries
+// this sidecar's gateway first, then the weight store, then the other boxes of the plan.
+// It returns the parsed manifest and its encoding.
 func (d *Daemon) fetchManifest(ctx context.Context, p *intent.Plan) (*weights.Manifest, []byte, error) {
 	ref := p.Intent.Ref
 	var lastErr error
@@ -100,7 +100,8 @@
 	return nil, nil, errors.Annotate(lastErr, "no manifest from a gateway, the store or a peer")
 }
 
-// awaitWave returns an error until the event log has opened the wave of this box.
+// awaitWave returns an error as long as the rollout has not reached the wave of this box.
+// runJob retries it.
 func (d *Daemon) awaitWave(ctx context.Context, j *job) error {
 	plan := j.currentPlan()
 	step, ok := plan.Step(d.settings.Node.Box)
@@ -144,8 +145,9 @@
 	return max(used-d.copies.memoryBytes, 0)
 }
 
-// evictionCandidate returns the next loaded version to evict, or nil: one that the
-// plan step names, else one that is no workspace's first route.
+// evictionCandidate returns the job of the next loaded version to evict, or nil if there
+// is none. It prefers the versions in the plan step's Evicts; after those it takes
+// versions that are not the first route of any workspace.
 func (d *Daemon) evictionCandidate(j *job, step intent.Step) *job {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
@@ -164,7 +166,8 @@
 	return fallback
 }
 
-// routedFirst reports whether the version is the first route of a workspace.
+// routedFirst reports whether the version is the first route of any workspace, the one
+// that its requests prefer.
 func (d *Daemon) routedFirst(ref weights.Ref) bool {
 	first := false
 	d.Replica.View(func(s *state.State) {
@@ -204,9 +207,10 @@
 	return j.copy.Unload()
 }
 
-// load orders the engine to load the verified copy and marks it as serving; a draining
-// copy resumes serving instead. After a failed order, whose response may have been
-// lost, the engine's state decides whether the copy is loaded.
+// load orders the engine to load the verified copy and marks the copy as serving. A
+// draining copy is still loaded and only resumes serving. If the order fails, its response
+// may have been lost, so load queries the engine's state to find out whether the copy is
+// loaded.
 func (d *Daemon) load(ctx context.Context, j *job) error {
 	j.mu.Lock()
 	plan := j.plan
@@ -235,8 +239,8 @@
 	return j.copy.Serve()
 }
 
-// engineHasLoaded reports whether the engine's state has the copy as loaded. It returns
-// false if the state cannot be read.
+// engineHasLoaded reports whether the engine has loaded the copy, according to the
+// engine's state. It returns false if that cannot be read.
 func (d *Daemon) engineHasLoaded(ctx context.Context, j *job) bool {
 	s, err := d.engine.State(ctx)
 	if err != nil {
