--- a/gateway/cluster_tasks.go
+++ b/gateway/cluster_tasks.go
@@ -62,14 +62,14 @@
 	if len(listed) == 0 {
 		return
 	}
-	known := make(map[string]state.Home)
+	recorded := make(map[string]state.Home)
 	d.Replica.View(func(s *state.State) {
 		for box, h := range s.Homes {
-			known[box] = h
+			recorded[box] = h
 		}
 	})
-	change := d.homeChanges(ctx, listed, known)
-	change.Add = d.delayInitialHomes(change.Add, listed, known)
+	change := d.homeChanges(ctx, listed, recorded)
+	change.Add = d.delayInitialHomes(change.Add, listed, recorded)
 	if len(change.Add)+len(change.Remove) == 0 {
 		return
 	}
@@ -80,25 +80,25 @@
 // add, until all listed boxes of the service are ready or initialHomesTimeout has
 // passed. If they were added one after the other, each addition would give keys a
 // new home, and requests with these keys would be refused for a while.
-func (d *Daemon) delayInitialHomes(add []state.Home, listed []membership.Box, known map[string]state.Home) []state.Home {
-	missing := make(map[string]int) // by service: number of listed boxes that are not ready
+func (d *Daemon) delayInitialHomes(add []state.Home, listed []membership.Box, recorded map[string]state.Home) []state.Home {
+	missing := make(map[string]int) // number of listed boxes that are not ready, by service
 	for _, b := range listed {
 		missing[b.Service]++
 	}
 	for _, h := range add {
 		missing[h.Service]--
 	}
-	for _, h := range known {
+	for _, h := range recorded {
 		missing[h.Service] = 0 // the service already has homes
 	}
 	timedOut := time.Since(d.startedAt) > initialHomesTimeout
 	return slices.DeleteFunc(add, func(h state.Home) bool { return missing[h.Service] > 0 && !timedOut })
 }
 
-// homeChanges returns the changes that bring the recorded homes, known, in line with
-// the statuses of the listed boxes. It fetches the status of boxes for which the
-// gateway has neither a status nor a recorded home.
-func (d *Daemon) homeChanges(ctx context.Context, listed []membership.Box, known map[string]state.Home) state.HomesChanged {
+// homeChanges compares the recorded homes, by box, with the statuses of the listed
+// boxes, and returns the homes to add and to remove. It fetches the status of boxes for
+// which there is neither a status nor a recorded home.
+func (d *Daemon) homeChanges(ctx context.Context, listed []membership.Box, recorded map[string]state.Home) state.HomesChanged {
 	var change state.HomesChanged
 	present := make(map[string]bool, len(listed))
 	var unprobed []membership.Box
@@ -107,9 +107,9 @@
 		present[b.ID] = true
 		status, reported := d.view.statuses[b.ID]
 		switch {
-		case !reported && known[b.ID].Incarnation == "":
+		case !reported && recorded[b.ID].Incarnation == "":
 			unprobed = append(unprobed, b)
-		case reported && status.Incarnation != known[b.ID].Incarnation && status.Ready && !status.Draining:
+		case reported && status.Incarnation != recorded[b.ID].Incarnation && status.Ready && !status.Draining:
 			change.Add = append(change.Add, state.Home{Box: b.ID, Incarnation: status.Incarnation, Service: b.Service})
 		}
 	}
@@ -119,7 +119,7 @@
 			change.Add = append(change.Add, state.Home{Box: b.ID, Incarnation: status.Incarnation, Service: b.Service})
 		}
 	}
-	for box := range known {
+	for box := range recorded {
 		if !present[box] {
 			change.Remove = append(change.Remove, box)
 		}
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -71,7 +71,7 @@
 // between the reporting gateway and the sidecar and one between the sidecar and it.
 func TestSuspectPropagationIsWithinLimit(t *testing.T) {
 	const limit = 3 * time.Second
-	toSidecar := minRoundInterval + SubscribeInterval // the first subscription is lost
+	toSidecar := minRoundInterval + SubscribeInterval // one subscription is lost
 	toGateway := 2 * SubscribeInterval                // the unsolicited datagram and a response are lost
 	assert.Assert(t, toSidecar+toGateway < limit, "%s", toSidecar+toGateway)
 }
--- a/sidecar/copies.go
+++ b/sidecar/copies.go
@@ -247,7 +247,7 @@
 }
 
 // adoptLoaded adds a job in the state Serving for a version that the engine has loaded.
-// It does nothing if no confirmed plan has the same manifest digest.
+// It does nothing unless a plan with the same manifest digest has been confirmed.
 func (d *Daemon) adoptLoaded(ctx context.Context, l engine.Loaded) {
 	var plan *intent.Plan
 	d.Replica.View(func(s *state.State) {
--- a/sidecar/requests.go
+++ b/sidecar/requests.go
@@ -272,7 +272,7 @@
 }
 
 // copyFlushing copies body to w and flushes w after each read, so that the tokens of a
-// stream are not delayed.
+// stream are not delayed. It buffers at most 16 KiB.
 func copyFlushing(w http.ResponseWriter, body io.Reader) error {
 	rc := http.NewResponseController(w)
 	buf := make([]byte, 16<<10)
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -120,7 +120,7 @@
 // A follower receives a change as soon as the reader gateway has it. It does not receive
 // the list again while that is unchanged.
 func TestFollowerReceivesChangesPromptly(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
 	assert.Assert(t, !f.Poll(context.Background()), "no reader is known")
@@ -132,13 +132,13 @@
 		time.Sleep(50 * time.Millisecond)
 		draining := records[0]
 		draining.Draining = true
-		leader.PutEndpoint(draining)
+		reader.PutEndpoint(draining)
 		changed <- time.Now()
 	}()
 	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(<-changed) < prompt)
 	assert.Equal(t, list.last()["a"], true)
-	leader.ConfirmList(time.Now())
+	reader.ConfirmList(time.Now())
 	began := time.Now()
 	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(began) >= prompt, "it waits for a change")
@@ -148,11 +148,11 @@
 // A follower reads the store itself, before its list is stale, when the reader
 // gateway's list is stale or missing.
 func TestFollowerRejectsStaleList(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
 	readers.Add([]string{"leader"}, time.Now())
-	leader.ConfirmList(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
+	reader.ConfirmList(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
 	assert.Assert(t, f.Poll(context.Background()))
 	began := time.Now()
 	for f.Poll(context.Background()) { // a response may arrive within the last millisecond
@@ -169,7 +169,7 @@
 
 // Exactly two gateways of a region read the store themselves, even if sidecars report
 // different readers. Reports expire.
-func TestReaderGatewaysHaveNoCandidates(t *testing.T) {
+func TestTwoReaderGatewaysPerRegion(t *testing.T) {
 	all := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5"}
 	now := time.Now()
 	reading := 0
@@ -189,14 +189,14 @@
 // A follower gives up on unresponsive gateways early enough to read the store before its
 // list is stale, even if all reader gateways are unresponsive.
 func TestUnresponsiveGatewaysAreSkippedWithinBound(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	unresponsive := unresponsiveGateway(t)
 	var list fakeTarget
 	at := address
 	readers := NewReaders("self", func(string) string { return at }, logr.Discard())
 	f := NewFollower(readers, &list, budget, logr.Discard())
 	readers.Add([]string{"one", "two"}, time.Now())
-	leader.ConfirmList(time.Now())
+	reader.ConfirmList(time.Now())
 	confirmed := time.Now()
 	assert.Assert(t, f.Poll(context.Background()))
 	at = unresponsive
@@ -207,7 +207,7 @@
 // Guards against followers that read the store because one reader gateway is
 // unresponsive: there must be time left to query the other one.
 func TestSecondGatewayIsTriedAfterUnresponsiveOne(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	unresponsive := unresponsiveGateway(t)
 	first := loadreport.SelectReaders([]string{"one", "two"})[0]
 	var list fakeTarget
@@ -220,11 +220,11 @@
 	}, logr.Discard())
 	f := NewFollower(readers, &list, budget, logr.Discard())
 	readers.Add([]string{"one", "two"}, time.Now())
-	leader.ConfirmList(time.Now())
+	reader.ConfirmList(time.Now())
 	confirmed := time.Now()
 	assert.Assert(t, f.Poll(context.Background()))
 	down = true
-	time.AfterFunc(time.Second, func() { leader.ConfirmList(time.Now()) })
+	time.AfterFunc(time.Second, func() { reader.ConfirmList(time.Now()) })
 	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter(), "%s", time.Since(confirmed))
 }
@@ -263,13 +263,13 @@
 
 // A follower rejects a list of an earlier era, even if it was confirmed recently.
 func TestListOfEarlierEraIsRejected(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
 	readers.Add([]string{"leader"}, time.Now())
 	list.SetEra(2)
 	assert.Assert(t, !f.Poll(context.Background()))
-	leader.SetEra(2)
+	reader.SetEra(2)
 	readers, f = newTestFollower(address, &list)
 	readers.Add([]string{"leader"}, time.Now())
 	assert.Assert(t, f.Poll(context.Background()))
--- a/storewatch/store.go
+++ b/storewatch/store.go
@@ -23,7 +23,7 @@
 	ErrPastEra = errors.ConstError("answer from before the store was restored from an older copy")
 )
 
-// Store is the platform's store: topics of records with keys and consecutive offsets.
+// Store is the platform's store: topics of records with keys and increasing offsets.
 // Its era increases each time it is restored from an older copy; offsets of different
 // eras are not comparable.
 type Store interface {
