--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -119,7 +119,9 @@
 
 const (
 	// pageLimit is the maximum number of records that a read returns.
-	pageLimit       = 500
+	pageLimit = 500
+	// retryBackoffMin and retryBackoffMax bound the delay before Commit appends a
+	// record again.
 	retryBackoffMin = 200 * time.Millisecond
 	retryBackoffMax = 3 * time.Second
 )
@@ -150,6 +152,7 @@
 	return response.Offset, err
 }
 
+// url returns the URL of a stream's records.
 func (c *Client) url(stream string) string {
 	return c.Call.URL(c.Address, "/streams/"+stream+"/records")
 }
--- a/gateway/accept.go
+++ b/gateway/accept.go
@@ -84,8 +84,8 @@
 	Prompt   json.RawMessage `json:"prompt"`
 }
 
-// routeModel sets the versions that may serve the request, and its prompt
-// prefix. A model name of the form MODEL@VERSION selects that version only.
+// routeModel sets q.versions, the versions that may serve the request, and
+// q.promptPrefix. A model name of the form MODEL@VERSION permits that version only.
 func (d *Daemon) routeModel(q *request) *failure {
 	var body modelRequest
 	if err := json.Unmarshal(q.body, &body); err != nil || body.Model == "" {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -52,12 +52,12 @@
 	manifests      manifestCache
 
 	view            boxView
-	probeGroup      singleflight.Group
-	lastProbeNow    time.Time // end of the last probeNow; used only within probeGroup
+	probeGroup      singleflight.Group // shares one probeNow between concurrent calls
+	lastProbeNow    time.Time          // end of the last probeNow; used only within probeGroup
 	table           route.Table
-	workspaceLimits route.Limits
+	workspaceLimits route.Limits // bounds the requests in flight of each workspace
 	retryBudget     route.Budget
-	gate            *prio.Gate
+	gate            *prio.Gate // bounds the requests in flight of this gateway
 
 	callerServer *httpserve.Server
 	adminServer  *httpserve.Server
--- a/gateway/manifest.go
+++ b/gateway/manifest.go
@@ -33,6 +33,7 @@
 	order []weights.Ref          // the keys of raw, the oldest first
 }
 
+// get returns the cached manifest of a version, encoded, or false.
 func (m *manifestCache) get(ref weights.Ref) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,6 +41,8 @@
 	return raw, ok
 }
 
+// put adds or replaces the manifest of a version. If there are more than
+// maxCachedManifests, it removes the one that was added first.
 func (m *manifestCache) put(ref weights.Ref, raw []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/gateway/probe.go
+++ b/gateway/probe.go
@@ -174,6 +174,7 @@
 	}
 }
 
+// setETag stores the entity tag of the last status from an address.
 func (v *boxView) setETag(address, tag string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -34,8 +34,8 @@
 	// maxAttempts is the maximum number of endpoints that a request is sent to.
 	maxAttempts = 4
 	// maxProbesPerChoice is the maximum number of probes for which a request waits
-	// if it finds no endpoint. The first one may have started before the request
-	// arrived.
+	// if it finds no endpoint. One is not enough, since a probe that started before
+	// the request arrived may not show the current state.
 	maxProbesPerChoice = 2
 	// maxStaleRoutes is the maximum number of refusals of a request because of a
 	// stale route, an outdated entry of the routing table. Such a refusal does not
--- a/loadreport/gateways.go
+++ b/loadreport/gateways.go
@@ -76,4 +76,5 @@
 	return all[:min(n, len(all))]
 }
 
+// shuffle puts s into a random order.
 func shuffle(s []string) { rand.Shuffle(len(s), func(i, j int) { s[i], s[j] = s[j], s[i] }) }
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -161,6 +161,7 @@
 	assert.Equal(t, subscribed(), 0)
 }
 
+// SetAt subtracts the age, and returns the zero time for an unknown age.
 func TestTargetVersionSetAt(t *testing.T) {
 	now := time.Now()
 	assert.Assert(t, NamedVersion{AgeMS: UnknownAge}.NamedAt(now).IsZero())
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -67,8 +67,9 @@
 	await(t, "suspects at a new gateway", hasSuspect(subscribe()))
 }
 
-// Another gateway receives a suspect within the limit, also if one datagram is lost
-// between the reporting gateway and the sidecar and one between the sidecar and it.
+// Guards against suspects that reach another gateway too late. The delay must be below
+// the limit even if a datagram is lost on the way to the sidecar and another one on the
+// way to the gateway.
 func TestSuspectPropagationIsWithinLimit(t *testing.T) {
 	const limit = 3 * time.Second
 	toSidecar := minRoundInterval + SubscribeInterval // one subscription is lost
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -49,8 +49,8 @@
 	// startJitter spreads the first refresh of sidecars that start
 	// simultaneously.
 	startJitter = time.Second
-	// gatewayBackoff is how long a gateway is backed off, that is not chosen, after
-	// a failure.
+	// gatewayBackoff is how long a gateway is backed off after a failure. A gateway
+	// that is backed off is not chosen while there is another one.
 	gatewayBackoff = 5 * time.Second
 	// directFallbackInterval is the minimum time between two reads from the
 	// platform by a sidecar whose gateways are all backed off.
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -23,7 +23,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Errors of a pull, a request for a chunk, that did not bring one.
+// Errors of a pull, which is a request for a chunk to the origin or a peer, if no chunk
+// was received.
 const (
 	errNoUsefulChunk  = errors.ConstError("peer has nothing of use")
 	errSenderBusy     = errors.ConstError("sender is busy")
@@ -279,6 +280,7 @@
 	timer *time.Timer
 }
 
+// newWatchdog starts a watchdog that calls onTimeout.
 func newWatchdog(limit time.Duration, onTimeout func()) *watchdog {
 	return &watchdog{limit: limit, timer: time.AfterFunc(limit, onTimeout)}
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -50,10 +50,10 @@
 
 	copies        copies
 	orders        orders
-	uploadGate    *prio.Gate
-	requestGate   *prio.Gate
+	uploadGate    *prio.Gate // limits concurrent uploads of chunks to peers
+	requestGate   *prio.Gate // limits concurrent requests to the endpoint
 	endpointState *endpointState
-	keys          dedup.Table
+	keys          dedup.Table // idempotency keys whose home is this sidecar
 	server        *httpserve.Server
 }
 
@@ -88,9 +88,9 @@
 	return d, nil
 }
 
-// reservedSlots returns how many of an endpoint's slots are kept free for other
-// workspaces if one workspace has many requests. A slot is room for one request in
-// flight. The result is an eighth of the slots, rounded up, but never all of them.
+// reservedSlots returns how many of an endpoint's slots a single workspace cannot use,
+// so that they remain for other workspaces. A slot is room for one request in flight.
+// The result is an eighth of the slots, rounded up, but never all of them.
 func reservedSlots(slots int) int {
 	const share = 8
 	return (slots + share - 1) / share % slots
--- a/state/follower.go
+++ b/state/follower.go
@@ -182,6 +182,8 @@
 	return nil
 }
 
+// restoreFromPeers restores the checkpoint that Peers returns. It does nothing if Peers
+// is nil, and logs an error.
 func (f *Follower) restoreFromPeers(ctx context.Context) {
 	if f.Peers == nil {
 		return
@@ -215,8 +217,8 @@
 	return nil
 }
 
-// restore restores a checkpoint and reports whether it is valid. from is the origin
-// of the checkpoint, for the log line.
+// restore restores a checkpoint and reports whether it is valid. from is logged: "log"
+// or "peer".
 func (f *Follower) restore(c Checkpoint, from string) bool {
 	if err := f.Replica.Restore(c); err != nil {
 		f.Logger.Info("checkpoint is invalid", "from", from, "error", err.Error())
--- a/state/state.go
+++ b/state/state.go
@@ -39,7 +39,8 @@
 // needs external locking; see Replica.
 type State struct {
 	// Offset is the offset of the next record to apply.
-	Offset     int64                          `json:"offset"`
+	Offset int64 `json:"offset"`
+	// Operators and Workspaces are keyed by name, Plans by id.
 	Operators  map[string]workspace.Operator  `json:"operators"`
 	Workspaces map[string]workspace.Workspace `json:"workspaces"`
 	Plans      map[string]*intent.Plan        `json:"plans"`
@@ -65,7 +66,7 @@
 	return s
 }
 
-// init allocates nil maps and builds seen from RecentIDs.
+// init allocates the maps that are nil, and builds s.seen from s.RecentIDs.
 func (s *State) init() {
 	if s.Operators == nil {
 		s.Operators = make(map[string]workspace.Operator)
@@ -173,6 +174,8 @@
 	s.LastModified.Workspaces[w.Name] = r.Offset + 1
 }
 
+// removeWorkspace removes a workspace. Plans for it that are not confirmed yet conflict
+// with the removal.
 func (s *State) removeWorkspace(r eventlog.Record, name string) {
 	delete(s.Workspaces, name)
 	s.LastModified.Workspaces[name] = r.Offset + 1
@@ -236,7 +239,7 @@
 }
 
 // inEffect reports whether a plan was confirmed and not cancelled. A superseded plan
-// remains in effect where later plans do not replace it.
+// remains in effect for boxes and workspaces that later plans do not include.
 func inEffect(p *intent.Plan) bool {
 	return p.Status == intent.Confirmed || p.Status == intent.Superseded
 }
--- a/storerelay/list.go
+++ b/storerelay/list.go
@@ -84,6 +84,7 @@
 	return out
 }
 
+// writeJSON responds with v, encoded as JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // the client has disconnected, and will request it again
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -105,6 +105,7 @@
 	l.confirmed = now
 }
 
+// last returns, by endpoint ID, whether the endpoints of the last list are draining.
 func (l *fakeTarget) last() map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/storerelay/records.go
+++ b/storerelay/records.go
@@ -158,6 +158,7 @@
 	eraField  = "era"
 )
 
+// positionQuery returns the query parameters for a position.
 func positionQuery(p history.Position) url.Values {
 	return url.Values{fromField: {strconv.FormatInt(p.Offset, 10)}, eraField: {strconv.FormatInt(p.Era, 10)}}
 }
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -26,6 +26,7 @@
 	changed   chan struct{}
 }
 
+// newFakeRecordSource returns a source with one record for each of the keys.
 func newFakeRecordSource(keys ...string) *fakeRecordSource {
 	l := &fakeRecordSource{changed: make(chan struct{}), confirmed: time.Now()}
 	for _, key := range keys {
@@ -34,6 +35,7 @@
 	return l
 }
 
+// add appends a record for a key.
 func (l *fakeRecordSource) add(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -43,9 +43,9 @@
 	readOtherEra = "other era"
 )
 
-// step reads a topic once, from the position next or, if that is unknown, its
-// newest records. It applies them and returns the position to read from next. It
-// returns ErrNewEra if next is of an earlier era.
+// step reads a topic once, from the position next on. If that position is unknown, it
+// reads the newest records of the topic instead. It applies the records and returns the
+// position to read from next. It returns ErrNewEra if next is of an earlier era.
 func (w *Watcher) step(ctx context.Context, s *Source, next history.Position) (history.Position, error) {
 	if next.Known() && next.Era < w.store.Era() {
 		return next, ErrNewEra
