--- a/gateway/cluster_tasks.go
+++ b/gateway/cluster_tasks.go
@@ -17,25 +17,26 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Timing of the cluster tasks. Any gateway may run them. The random interval
-// makes it rare that two gateways write the same change, and applying a change
-// twice has the same effect as once.
+// Timing of the cluster tasks, which every gateway runs for the whole cluster. The
+// random interval makes it rare that two gateways write the same change. If they
+// do, it does no harm, since a change applied twice has the same effect as once.
 const (
 	// taskInterval is the mean time between two runs of the tasks.
 	taskInterval = time.Second
-	// taskTimeout bounds each commit. The tasks do not run while the replica's last
-	// contact with the log is longer ago.
+	// taskTimeout bounds each commit. The tasks do not run if the replica's last
+	// contact with the log is longer ago than taskTimeout.
 	taskTimeout = 20 * time.Second
-	// initialHomesTimeout is the time after a gateway's start during which the
-	// first homes of a service wait for each other.
+	// initialHomesTimeout bounds the time after a gateway's start during which the
+	// first homes of a service are not recorded until all of them are ready.
 	initialHomesTimeout = 5 * time.Second
 	// recordHomesInterval is the time between two comparisons of the recorded
 	// homes with the sidecars.
 	recordHomesInterval = 2 * time.Second
 )
 
-// runClusterTasks runs the tasks that one gateway does for all: it advances
-// rollouts and records the homes of idempotency keys.
+// runClusterTasks runs the cluster tasks until ctx ends: it advances rollouts and
+// records the homes of idempotency keys. The home of a key is the sidecar process
+// that stores what is known of the key; see package dedup.
 func (d *Daemon) runClusterTasks(ctx context.Context) {
 	var lastRecorded time.Time
 	for ctx.Err() == nil {
@@ -51,51 +52,53 @@
 	}
 }
 
-// recordHomes writes the difference between the homes in the log and the
-// sidecars' current state: new incarnations that are ready, and boxes removed
-// from the box list. An unresponsive box that is still listed keeps its home,
-// because its region may only be partitioned.
+// recordHomes compares the homes in the log with the sidecars and writes the
+// changes to the log. It adds new incarnations of sidecars that are ready, and
+// removes the homes of boxes that are no longer in the box list. An unresponsive
+// box that is still listed keeps its home, because there may only be a network
+// partition.
 func (d *Daemon) recordHomes(ctx context.Context) {
 	listed, _ := d.endpoints()
 	if len(listed) == 0 {
 		return
 	}
-	known := make(map[string]state.Home)
+	recorded := make(map[string]state.Home)
 	d.Replica.View(func(s *state.State) {
 		for box, h := range s.Homes {
-			known[box] = h
+			recorded[box] = h
 		}
 	})
-	change := d.homeChanges(ctx, listed, known)
-	change.Add = d.delayInitialHomes(change.Add, listed, known)
+	change := d.homeChanges(ctx, listed, recorded)
+	change.Add = d.delayInitialHomes(change.Add, listed, recorded)
 	if len(change.Add)+len(change.Remove) == 0 {
 		return
 	}
 	d.commit(ctx, state.KindHomesChanged, change)
 }
 
-// delayInitialHomes removes a service's first homes from add until all its
-// listed boxes are ready, or initialHomesTimeout has passed. Each later addition
-// moves keys to another home, and keys that have just moved cannot be run for a
-// while.
-func (d *Daemon) delayInitialHomes(add []state.Home, listed []membership.Box, known map[string]state.Home) []state.Home {
-	missing := make(map[string]int) // by service: number of listed boxes that are not ready
+// delayInitialHomes delays the first homes of a service, by removing them from
+// add, until all listed boxes of the service are ready or initialHomesTimeout has
+// passed. If they were added one after the other, each addition would give keys a
+// new home, and requests with these keys would be refused for a while.
+func (d *Daemon) delayInitialHomes(add []state.Home, listed []membership.Box, recorded map[string]state.Home) []state.Home {
+	missing := make(map[string]int) // number of listed boxes that are not ready, by service
 	for _, b := range listed {
 		missing[b.Service]++
 	}
 	for _, h := range add {
 		missing[h.Service]--
 	}
-	for _, h := range known {
+	for _, h := range recorded {
 		missing[h.Service] = 0 // the service already has homes
 	}
 	timedOut := time.Since(d.startedAt) > initialHomesTimeout
 	return slices.DeleteFunc(add, func(h state.Home) bool { return missing[h.Service] > 0 && !timedOut })
 }
 
-// homeChanges compares the recorded homes with the statuses of the listed boxes.
-// It fetches the status of boxes that have neither a status nor a recorded home.
-func (d *Daemon) homeChanges(ctx context.Context, listed []membership.Box, known map[string]state.Home) state.HomesChanged {
+// homeChanges compares the recorded homes, by box, with the statuses of the listed
+// boxes, and returns the homes to add and to remove. It fetches the status of boxes for
+// which there is neither a status nor a recorded home.
+func (d *Daemon) homeChanges(ctx context.Context, listed []membership.Box, recorded map[string]state.Home) state.HomesChanged {
 	var change state.HomesChanged
 	present := make(map[string]bool, len(listed))
 	var unprobed []membership.Box
@@ -104,9 +107,9 @@
 		present[b.ID] = true
 		status, reported := d.view.statuses[b.ID]
 		switch {
-		case !reported && known[b.ID].Incarnation == "":
+		case !reported && recorded[b.ID].Incarnation == "":
 			unprobed = append(unprobed, b)
-		case reported && status.Incarnation != known[b.ID].Incarnation && status.Ready && !status.Draining:
+		case reported && status.Incarnation != recorded[b.ID].Incarnation && status.Ready && !status.Draining:
 			change.Add = append(change.Add, state.Home{Box: b.ID, Incarnation: status.Incarnation, Service: b.Service})
 		}
 	}
@@ -116,7 +119,7 @@
 			change.Add = append(change.Add, state.Home{Box: b.ID, Incarnation: status.Incarnation, Service: b.Service})
 		}
 	}
-	for box := range known {
+	for box := range recorded {
 		if !present[box] {
 			change.Remove = append(change.Remove, box)
 		}
@@ -124,8 +127,9 @@
 	return change
 }
 
-// advanceWaves starts the next wave of each plan if all listed boxes of its
-// started waves serve the plan's version and the workspaces keep their floors.
+// advanceWaves starts the next wave of each confirmed plan if two conditions hold:
+// all listed boxes of the waves started so far serve the plan's version, and the
+// workspaces keep their floors, the least numbers of boxes that must serve them.
 func (d *Daemon) advanceWaves(ctx context.Context) {
 	var rolling []*intent.Plan
 	d.Replica.View(func(s *state.State) {
@@ -146,9 +150,8 @@
 	}
 }
 
-// wavesDone reports whether every box of the started waves serves the plan's
-// version. An unresponsive box counts as not done, because its capacity is
-// missing, unless it has been removed from the box list.
+// wavesDone reports whether every listed box of the waves started so far serves
+// the plan's version. An unresponsive box counts as not serving it.
 func (d *Daemon) wavesDone(p *intent.Plan, boxes []admin.BoxStatus) bool {
 	byID := make(map[string]admin.BoxStatus, len(boxes))
 	for _, b := range boxes {
--- a/gateway/manifest.go
+++ b/gateway/manifest.go
@@ -22,18 +22,18 @@
 	maxCachedManifests = 8
 )
 
-// manifestCache holds the manifests last read from the weight store, the oldest
-// first in order. Sidecars read manifests through a gateway, so that the many
-// boxes of a plan do not exceed the store's request rate. No other lock is
-// acquired while mu is held.
+// manifestCache holds the manifests last read from the weight store. Sidecars read
+// manifests through a gateway, so that the many boxes of a plan do not exceed the
+// store's request rate. No other lock is acquired while mu is held.
 type manifestCache struct {
 	fetches singleflight.Group
 
 	mu    sync.Mutex
-	raw   map[weights.Ref][]byte
-	order []weights.Ref
+	raw   map[weights.Ref][]byte // the encoded manifests
+	order []weights.Ref          // the keys of raw, the oldest first
 }
 
+// get returns the cached manifest of a version, encoded, or false.
 func (m *manifestCache) get(ref weights.Ref) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,6 +41,8 @@
 	return raw, ok
 }
 
+// put adds or replaces the manifest of a version. If there are more than
+// maxCachedManifests, it removes the one that was added first.
 func (m *manifestCache) put(ref weights.Ref, raw []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,8 +96,8 @@
 	return m, nil
 }
 
-// handleManifest serves a manifest to a sidecar, from the cache if the cached
-// one has the requested digest. The sidecar verifies the digest of what it
+// handleManifest serves a manifest to a sidecar. It serves the cached manifest if that
+// has the requested digest. The sidecar verifies the digest of the manifest that it
 // receives.
 func (d *Daemon) handleManifest(w http.ResponseWriter, r *http.Request) {
 	vars := pathvar.Vars(r)
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -25,12 +25,12 @@
 // budget is the freshness budget in tests.
 var budget = freshness.New(2 * time.Second)
 
-// prompt bounds the time of a response that must not wait; it is less than the
-// wait of a long poll.
+// prompt is the maximum time of a response that must not wait for a change. It is less
+// than the wait of a long poll.
 const prompt = 700 * time.Millisecond
 
-// startGateway serves records, or no list if they are nil, and returns the server
-// and the address of its Handler.
+// startGateway starts a gateway with the endpoint list records, or without a list if
+// records is nil. It returns the server and the address of its Handler.
 func startGateway(t *testing.T, records []fleet.Record) (*ingress.Server, string) {
 	t.Helper()
 	server := ingress.New(ingress.Settings{}, logr.Discard(), logr.Discard(), telemetry.NewMetrics())
@@ -49,7 +49,7 @@
 	{ID: "c", Service: "plain", Address: "127.0.0.3:9", Zone: "b"},
 }
 
-// Service skips gateways that do not respond or have no list.
+// Service tries the next gateway if one does not respond or has no list.
 func TestClientService(t *testing.T) {
 	closed := httptest.NewServer(nil)
 	closed.Close()
@@ -72,13 +72,13 @@
 	assert.ErrorContains(t, err, "not found")
 }
 
-// newTestFollower returns a follower whose reader gateways all have the address.
+// newTestFollower returns a follower that finds each reader gateway at the given address.
 func newTestFollower(address string, list *fakeTarget) (*Readers, *Follower) {
 	readers := NewReaders("self", func(string) string { return address }, logr.Discard())
 	return readers, NewFollower(readers, list, budget, logr.Discard())
 }
 
-// fakeTarget records what a follower passes on.
+// fakeTarget is a Target that stores the lists that it receives.
 type fakeTarget struct {
 	mu        sync.Mutex
 	lists     [][]fleet.Record
@@ -105,6 +105,7 @@
 	l.confirmed = now
 }
 
+// last returns, by endpoint ID, whether the endpoints of the last list are draining.
 func (l *fakeTarget) last() map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,10 +118,10 @@
 	return out
 }
 
-// A follower receives a change as soon as the reader gateway has it, and the list
-// only when it has changed.
+// A follower receives a change as soon as the reader gateway has it. It does not receive
+// the list again while that is unchanged.
 func TestFollowerReceivesChangesPromptly(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
 	assert.Assert(t, !f.Poll(context.Background()), "no reader is known")
@@ -132,13 +133,13 @@
 		time.Sleep(50 * time.Millisecond)
 		draining := records[0]
 		draining.Draining = true
-		leader.PutEndpoint(draining)
+		reader.PutEndpoint(draining)
 		changed <- time.Now()
 	}()
 	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(<-changed) < prompt)
 	assert.Equal(t, list.last()["a"], true)
-	leader.ConfirmList(time.Now())
+	reader.ConfirmList(time.Now())
 	began := time.Now()
 	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(began) >= prompt, "it waits for a change")
@@ -148,11 +149,11 @@
 // A follower reads the store itself, before its list is stale, when the reader
 // gateway's list is stale or missing.
 func TestFollowerRejectsStaleList(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
 	readers.Add([]string{"leader"}, time.Now())
-	leader.ConfirmList(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
+	reader.ConfirmList(time.Now().Add(-budget.Hold(0) + 100*time.Millisecond))
 	assert.Assert(t, f.Poll(context.Background()))
 	began := time.Now()
 	for f.Poll(context.Background()) { // a response may arrive within the last millisecond
@@ -167,9 +168,9 @@
 	assert.Assert(t, !f.Poll(context.Background()), "it has no list")
 }
 
-// A gateway among the region's first reads the store itself; reports of sidecars
-// with few subscribers do not change which gateways are first, and reports expire.
-func TestReaderGatewaysHaveNoCandidates(t *testing.T) {
+// Exactly two gateways of a region read the store themselves, even if sidecars report
+// different readers. Reports expire.
+func TestTwoReaderGatewaysPerRegion(t *testing.T) {
 	all := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5"}
 	now := time.Now()
 	reading := 0
@@ -186,17 +187,17 @@
 	assert.Equal(t, reading, 2)
 }
 
-// A follower gives up on unresponsive gateways, however many there are, in time to
-// read the store before its list is stale.
+// A follower gives up on unresponsive gateways early enough to read the store before its
+// list is stale, even if all reader gateways are unresponsive.
 func TestUnresponsiveGatewaysAreSkippedWithinBound(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	unresponsive := unresponsiveGateway(t)
 	var list fakeTarget
 	at := address
 	readers := NewReaders("self", func(string) string { return at }, logr.Discard())
 	f := NewFollower(readers, &list, budget, logr.Discard())
 	readers.Add([]string{"one", "two"}, time.Now())
-	leader.ConfirmList(time.Now())
+	reader.ConfirmList(time.Now())
 	confirmed := time.Now()
 	assert.Assert(t, f.Poll(context.Background()))
 	at = unresponsive
@@ -204,10 +205,10 @@
 	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter()+100*time.Millisecond, "gave up after %s", time.Since(confirmed))
 }
 
-// An unresponsive gateway leaves time to query the next one: the failure of one
-// reader must not send all its followers to the store.
+// Guards against followers that read the store because one reader gateway is
+// unresponsive: there must be time left to query the other one.
 func TestSecondGatewayIsTriedAfterUnresponsiveOne(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	unresponsive := unresponsiveGateway(t)
 	first := loadreport.SelectReaders([]string{"one", "two"})[0]
 	var list fakeTarget
@@ -220,11 +221,11 @@
 	}, logr.Discard())
 	f := NewFollower(readers, &list, budget, logr.Discard())
 	readers.Add([]string{"one", "two"}, time.Now())
-	leader.ConfirmList(time.Now())
+	reader.ConfirmList(time.Now())
 	confirmed := time.Now()
 	assert.Assert(t, f.Poll(context.Background()))
 	down = true
-	time.AfterFunc(time.Second, func() { leader.ConfirmList(time.Now()) })
+	time.AfterFunc(time.Second, func() { reader.ConfirmList(time.Now()) })
 	assert.Assert(t, f.Poll(context.Background()))
 	assert.Assert(t, time.Since(confirmed) < budget.StaleAfter(), "%s", time.Since(confirmed))
 }
@@ -246,8 +247,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// The age of a list includes the time for which the host was suspended, at the
-// gateway that serves it and at its follower.
+// A list also ages while the host is suspended, both at the gateway that serves it and at
+// the follower.
 func TestListAgeIncludesSuspension(t *testing.T) {
 	server, address := startGateway(t, records)
 	readers := NewReaders("127.0.0.9", func(string) string { return address }, logr.Discard())
@@ -261,15 +262,15 @@
 	assert.Assert(t, clock.Since(follower.confirmed) >= budget.Bound())
 }
 
-// A follower rejects a list of an earlier era, however recent.
+// A follower rejects a list of an earlier era, even if it was confirmed recently.
 func TestListOfEarlierEraIsRejected(t *testing.T) {
-	leader, address := startGateway(t, records)
+	reader, address := startGateway(t, records)
 	var list fakeTarget
 	readers, f := newTestFollower(address, &list)
 	readers.Add([]string{"leader"}, time.Now())
 	list.SetEra(2)
 	assert.Assert(t, !f.Poll(context.Background()))
-	leader.SetEra(2)
+	reader.SetEra(2)
 	readers, f = newTestFollower(address, &list)
 	readers.Add([]string{"leader"}, time.Now())
 	assert.Assert(t, f.Poll(context.Background()))
