--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -8,69 +8,72 @@
 	"time"
 )
 
-// Terms of an endpoint's cost, as an equivalent delay in milliseconds.
+// Weights of the terms of an endpoint's cost. The cost is an equivalent delay in
+// milliseconds; Choose returns the endpoint with the lowest cost.
 const (
-	// zoneCost is added in another availability zone, for latency and for the
-	// price of traffic between zones.
+	// zoneCost is added for an endpoint in another availability zone than the
+	// gateway's. It covers the latency and the price of traffic between zones.
 	zoneCost = 80.0
-	// failureCost is added for a failure rate of 1.
+	// failureCost is multiplied by the endpoint's failure rate, which is from 0 to 1.
 	failureCost = 800.0
 	// loadCost is added per request in progress at a model engine.
 	loadCost = 8.0
 	// plainLoadCost is added per request in progress at a plain endpoint.
 	plainLoadCost = 20.0
-	// jitterCost bounds a random term, so that gateways with the same view of
-	// the endpoints don't all choose the same one.
+	// jitterCost is the upper bound of a random term. It keeps gateways with the
+	// same view of the endpoints from all choosing the same one.
 	jitterCost = 15.0
 )
 
-// Query describes the attempt that an endpoint is chosen for.
+// Query describes the attempt that an endpoint is chosen for. An attempt is one
+// try to get a request served by one endpoint.
 type Query struct {
 	Service string
 	// Model is empty for plain services.
 	Model string
 	// MinVersion is the lowest version of the model that may serve the attempt.
 	MinVersion int
-	// MinVersionBeforeUpdate is the lowest version that an engine with a
-	// scheduled update may serve; it is lower than MinVersion near a version's
-	// deadline. An engine below MinVersion is only chosen if it can begin the
-	// request at once.
+	// MinVersionBeforeUpdate replaces MinVersion for an engine whose sidecar has
+	// scheduled its update. It is lower than MinVersion shortly before the time by
+	// which all engines must serve a new version.
 	MinVersionBeforeUpdate int
-	// NextMinVersion is the value that MinVersion will have shortly. An engine
-	// below it is only chosen if it can begin the request at once.
+	// NextMinVersion is the value that MinVersion will have shortly. An engine with
+	// a lower version is chosen only if it can begin the request at once.
 	NextMinVersion int
-	// MaxLoad is the load at which an endpoint takes no more; 0 is no bound.
+	// MaxLoad is the number of requests at which an endpoint counts as full; 0 is
+	// no bound.
 	MaxLoad float64
-	// PrefillMS is the time an engine needs to read the prompt, and
-	// MeanPrefillMS that of a mean request, in milliseconds; both are 0 for plain
-	// services.
+	// PrefillMS is the time that an engine needs to read the prompt of the request.
+	// MeanPrefillMS is the time that it needs for an average prompt. Both are in
+	// milliseconds, and 0 for plain services.
 	PrefillMS, MeanPrefillMS float64
-	// Slots is how many requests an engine runs concurrently, and SlotIntervalMS
-	// how often a full engine frees a slot, in milliseconds.
+	// Slots is how many requests an engine runs concurrently. SlotIntervalMS is the
+	// mean time between two requests that end on a full engine, in milliseconds.
 	Slots, SlotIntervalMS float64
 	// MaxFirstByteMS bounds the estimated time to the first bytes, in
 	// milliseconds; 0 is no bound.
 	MaxFirstByteMS float64
-	// MaxBacklogMS bounds the prefill time of requests that are ahead of this
-	// one at the engine, in milliseconds; 0 is no bound.
+	// MaxBacklogMS bounds the total prefill time of the requests that are queued at
+	// the engine before this one, in milliseconds; 0 is no bound.
 	MaxBacklogMS float64
 	// MaxConnections bounds this gateway's attempts in progress at an endpoint,
 	// each of which uses a connection; 0 is no bound.
 	MaxConnections int
-	// Exclude holds the ids of endpoints that have been tried.
+	// Exclude holds the ids of endpoints that the request has been sent to already.
 	Exclude map[string]bool
-	// Isolated excludes endpoints that already have an isolated attempt of this
-	// gateway in progress, so that a crash can be attributed to one of them.
+	// Isolated marks an attempt with a request that may crash its endpoint. An
+	// endpoint gets at most one isolated attempt of this gateway at a time, so that
+	// a crash can be attributed to that attempt.
 	Isolated bool
 }
 
-// usable reports whether the endpoint may get the attempt, whatever its load.
+// usable reports whether the endpoint may get the attempt, regardless of its load.
 func (e *Endpoint) usable(q *Query, now time.Time) bool {
-	return !e.Signals.Draining() && e.fits(q, now)
+	return !e.Signals.Draining() && e.usableIfNotDraining(q, now)
 }
 
-// fits is like usable, but also accepts draining endpoints.
-func (e *Endpoint) fits(q *Query, now time.Time) bool {
+// usableIfNotDraining is like usable, but also accepts draining endpoints.
+func (e *Endpoint) usableIfNotDraining(q *Query, now time.Time) bool {
 	if e.misdirected || q.Exclude[e.ID] || q.Isolated && e.isolated {
 		return false
 	}
@@ -84,11 +87,11 @@
 	return version > 0 && e.MayServe(version, q.MinVersion, q.MinVersionBeforeUpdate, now) && !(e.fresh(now) && e.report.Busy)
 }
 
-// MayServe reports whether the endpoint, which holds version, may begin
-// requests on it. minVersion and beforeUpdate are the MinVersion and
-// MinVersionBeforeUpdate of a Query. A scheduled update counts only while the
-// report of it is younger than recentReport: a sidecar that has stopped may not
-// carry it out.
+// MayServe reports whether the endpoint may begin requests on version, the
+// version that it holds. minVersion and beforeUpdate are the MinVersion and
+// MinVersionBeforeUpdate of a Query. A report of a scheduled update is ignored
+// once it is older than recentReport, because a sidecar that has stopped does not
+// carry out the update.
 func (e *Endpoint) MayServe(version, minVersion, beforeUpdate int, now time.Time) bool {
 	if version >= minVersion {
 		return true
@@ -117,21 +120,23 @@
 // own backoff signal or because it is ejected.
 func (e *Endpoint) unavailable(now time.Time) bool { return e.Signals.Closed(now) || e.ejected(now) }
 
-// ejected reports whether the endpoint is skipped after connection failures:
-// until ejectedUntil, and then while a probe request is in progress.
+// ejected reports whether the endpoint is skipped after connection failures. It is
+// skipped until ejectedUntil. Then one request probes it, and it is skipped for
+// all others until that request ends.
 func (e *Endpoint) ejected(now time.Time) bool {
 	return e.brokenInRow > 0 && (now.Before(e.ejectedUntil) || e.probing)
 }
 
-// Choose returns the endpoint for an attempt and counts the attempt there,
-// or returns nil if none has room. The caller must call End.
+// Choose returns the endpoint for an attempt, or nil if no endpoint has room. It
+// counts the attempt as in progress at the endpoint until the caller calls End.
 func (f *Fleet) Choose(q Query, now time.Time) *Endpoint {
 	return f.ChooseAmong(f.Free(q, now), q, now)
 }
 
-// Free returns the endpoints that have room for the attempt described by q, for
-// ChooseAmong. It falls back to endpoints that are not watched if no watched
-// one is usable. It counts nothing.
+// Free returns the endpoints that have room for the attempt described by q. The
+// result is an argument for ChooseAmong. For an engine service, Free considers
+// the endpoints that the gateway watches, and the others only if no watched one
+// is usable. It does not count an attempt.
 func (f *Fleet) Free(q Query, now time.Time) []*Endpoint {
 	all := f.byService[q.Service]
 	candidates := all
@@ -145,8 +150,8 @@
 	return free
 }
 
-// ChooseAmong is Choose restricted to endpoints that Free returned for a query
-// with the same or weaker requirements.
+// ChooseAmong is like Choose, but considers only the given endpoints. Free must
+// have returned them for a query with the same or weaker requirements.
 func (f *Fleet) ChooseAmong(free []*Endpoint, q Query, now time.Time) *Endpoint {
 	best := f.cheapest(free, &q, now)
 	best.addAttempt(&q, now)
@@ -170,8 +175,8 @@
 	e.isolated = e.isolated || q.Isolated
 }
 
-// free returns the candidates with room. anyUsable reports whether any candidate
-// could take the attempt, whatever its load.
+// free returns the candidates that have room for the attempt. anyUsable reports
+// whether any candidate could take the attempt if its load were ignored.
 func (f *Fleet) free(candidates []*Endpoint, q *Query, now time.Time) (free []*Endpoint, anyUsable bool) {
 	for _, e := range candidates {
 		if !e.usable(q, now) || e.unavailable(now) {
@@ -185,9 +190,10 @@
 	return free, anyUsable
 }
 
-// cheapest returns the endpoint with the least cost of those that have room, or
-// nil. If an endpoint for which the gateway has no permit would cost less, it
-// records that a permit is wanted there.
+// cheapest returns the endpoint with the least cost among those that have room and
+// for which the gateway has a permit, or nil. A permit allows one request to an
+// endpoint with a rate limit. If an endpoint without a permit would cost less, its
+// demand for permits is incremented.
 func (f *Fleet) cheapest(endpoints []*Endpoint, q *Query, now time.Time) (best *Endpoint) {
 	free, _ := f.free(endpoints, q, now)
 	bestCost, unpermittedCost := math.Inf(1), math.Inf(1)
@@ -225,8 +231,8 @@
 	}
 }
 
-// maxLoad returns the endpoint's bound on the load: maxLoad divided by the
-// endpoint's slowdown, but at least 1.
+// maxLoad returns the load at which the endpoint counts as full: the given maxLoad
+// divided by the endpoint's slowdown, but at least 1.
 func (f *Fleet) maxLoad(e *Endpoint, maxLoad float64, now time.Time) float64 {
 	return math.Max(1, maxLoad/e.slowdown(now))
 }
@@ -253,8 +259,8 @@
 	return cost + e.firstByteMS(q, load, now)
 }
 
-// halfPassMS is the mean wait of a new request for the engine's current pass to
-// end, in milliseconds.
+// halfPassMS is the mean time, in milliseconds, until an engine starts its next
+// pass over the running requests, which a new request must wait for.
 const halfPassMS = 60.0
 
 // firstByteMS estimates the time until the first bytes of a new request's
@@ -267,12 +273,12 @@
 	return estimate * e.slowdown(now)
 }
 
-// MinFirstByteMS returns the time until the first bytes at an idle engine, in
-// milliseconds.
+// MinFirstByteMS returns the estimated time until an idle engine sends the first
+// bytes of its response, in milliseconds.
 func (q *Query) MinFirstByteMS() float64 { return halfPassMS + q.PrefillMS }
 
-// Backlog estimates the prefill time of the requests that the engine has been
-// sent and has not begun to respond, in milliseconds. meanPrefillMS is the
+// Backlog estimates the total prefill time, in milliseconds, of the requests that
+// the engine has received but not begun to respond to. meanPrefillMS is the
 // prefill time assumed for each request of other gateways.
 func (e *Endpoint) Backlog(meanPrefillMS float64, now time.Time) float64 {
 	others := e.othersUnanswered * meanPrefillMS
@@ -283,8 +289,9 @@
 	return e.unansweredMS + math.Max(0, others)
 }
 
-// Usable returns the number of endpoints that could take a request whatever
-// their load. An endpoint in backoff counts if its backoff ends before by.
+// Usable returns the number of endpoints that could take a request, regardless of
+// their load. An endpoint that has requested a backoff is counted if the backoff
+// ends by the given time.
 func (f *Fleet) Usable(q Query, by, now time.Time) int {
 	count := 0
 	for _, e := range f.byService[q.Service] {
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -9,27 +9,27 @@
 	"github.com/mintlift/mintlift/backpressure"
 )
 
-// Endpoint is one incarnation of an endpoint with the gateway's estimate of its
-// state.
+// Endpoint is one incarnation of an endpoint, that is, one run of its process, with
+// the gateway's estimate of its state.
 type Endpoint struct {
 	Record
 	// Signals holds the backpressure signals of this incarnation.
 	Signals *backpressure.State
 	// inFlight counts this gateway's attempts in progress.
 	inFlight int
-	// othersInFlight estimates the requests of all other senders there.
+	// othersInFlight estimates how many requests of other gateways the endpoint has.
 	othersInFlight float64
-	// unansweredMS is the prefill time, in milliseconds, of this gateway's
-	// attempts without a response byte yet, and unanswered their number.
+	// unanswered is the number of this gateway's attempts that have not received a
+	// response byte yet, and unansweredMS their total prefill time in milliseconds.
 	unansweredMS float64
 	unanswered   int
-	// othersUnanswered estimates the number of unanswered requests of all other
-	// senders.
+	// othersUnanswered estimates the number of unanswered requests of other gateways.
 	othersUnanswered float64
-	// sentSinceReport counts this gateway's attempts since the last report.
+	// sentSinceReport counts the attempts that this gateway has sent since the last
+	// report arrived.
 	sentSinceReport int
-	// recentSends are the times of this gateway's attempts that a report may not
-	// include yet.
+	// recentSends are the send times of this gateway's latest attempts, which an
+	// arriving report may not include yet.
 	recentSends []time.Time
 	report      Report
 	reportAt    time.Time
@@ -39,26 +39,29 @@
 	roundTripAt time.Time
 	// receivedAt is when anything last arrived from the endpoint or its sidecar.
 	receivedAt time.Time
-	// firstByteLag is the moving average of how much later than estimated first
-	// bytes arrived.
+	// firstByteLag is the moving average of the first bytes' delay: how much later
+	// than estimated they arrived.
 	firstByteLag time.Duration
 	// failureRate is the moving average of failed attempts, from 0 to 1.
 	failureRate float64
 	// brokenInRow counts consecutive attempts without a working connection.
 	brokenInRow  int
 	ejectedUntil time.Time
-	// misdirected is set if the endpoint responded that it is another one or does
-	// not hold the weights. It gets no attempts until its record changes.
+	// misdirected is set if the response showed that the address belongs to another
+	// endpoint, or that the endpoint does not hold the weights. The endpoint gets no
+	// attempts until its record changes.
 	misdirected bool
-	// probing is set while one request probes an endpoint that was ejected.
+	// probing is set while a request is in progress that probes the endpoint after
+	// an ejection.
 	probing bool
 	// isolated is set while an attempt with Query.Isolated is in progress.
 	isolated bool
 }
 
-// Holds returns the version of model that the endpoint holds completely, or 0.
-// It is 0 if the last report called the version unverified, however old that
-// report is and whatever the record lists, since the engine itself cannot tell.
+// Holds returns the version of model that the endpoint holds completely, or 0 if
+// there is none. It is also 0 if the last report, of any age, called the engine's
+// weights unverified: the engine may then hold other weights than the report or the
+// record lists.
 func (e *Endpoint) Holds(model string, now time.Time) int {
 	if e.report.Unverified {
 		return 0
@@ -69,7 +72,7 @@
 	return e.Models[model]
 }
 
-// fresh reports whether there is a report younger than reportTTL.
+// fresh reports whether the last report is younger than reportTTL.
 func (e *Endpoint) fresh(now time.Time) bool {
 	return !e.reportAt.IsZero() && now.Sub(e.reportAt) < reportTTL
 }
@@ -86,9 +89,9 @@
 // its sidecar.
 func (e *Endpoint) ReceiveAge(now time.Time) time.Duration { return now.Sub(e.receivedAt) }
 
-// overdueCost returns the cost of an engine that has reported before, but from
-// whose box neither reports nor anything else has arrived for reportOverdue.
-// This is the first sign of a box that is suspended.
+// overdueCost returns the cost added for an engine that has reported before, if
+// nothing has arrived from the engine or its sidecar for more than reportOverdue.
+// The box may be suspended.
 func (e *Endpoint) overdueCost(now time.Time) time.Duration {
 	if e.reportAt.IsZero() {
 		return 0
@@ -98,34 +101,35 @@
 
 // Parameters of overdueCost.
 const (
-	// reportOverdue exceeds the interval between two reports, even if nothing
-	// changes and one of them is lost.
+	// reportOverdue is the time without a report after which the next one is
+	// overdue. It allows for one lost report.
 	reportOverdue = 350 * time.Millisecond
 	// overdueWeight is the cost of each millisecond beyond reportOverdue.
 	overdueWeight = 4
-	// overdueCostMax exceeds the cost of any queue.
+	// overdueCostMax is the maximum of overdueCost.
 	overdueCostMax = 800 * time.Millisecond
 )
 
 // Parameters of the costs of a slow link and of late first bytes.
 const (
-	// roundTripInterval is the interval after which another round-trip
-	// measurement is expected.
+	// roundTripInterval is the maximum time between two round-trip measurements.
 	roundTripInterval = 700 * time.Millisecond
-	delayMax          = 400 * time.Millisecond
-	// delayNormal is the highest delay that costs nothing.
+	// delayMax is the maximum of Endpoint.Delay.
+	delayMax = 400 * time.Millisecond
+	// delayNormal is the highest Endpoint.Delay that adds no cost.
 	delayNormal = 25 * time.Millisecond
-	// delayHigh is too high for a request that must begin at once.
+	// delayHigh is the delay or firstByteLag from which an engine is not expected to
+	// begin a request at once.
 	delayHigh = 100 * time.Millisecond
 	// lagWeight is the weight of the newest attempt in firstByteLag.
 	lagWeight = 0.3
-	// lagNormal is the highest firstByteLag that costs nothing.
+	// lagNormal is the highest firstByteLag that adds no cost.
 	lagNormal = 150 * time.Millisecond
 )
 
 // Delay returns the estimated round-trip time to the endpoint's sidecar, at most
-// delayMax. An overdue measurement counts as a slow link. It is 0 before the
-// first measurement.
+// delayMax. If the next measurement is overdue, the time since it was due is a
+// lower bound of the estimate. The result is 0 before the first measurement.
 func (e *Endpoint) Delay(now time.Time) time.Duration {
 	if e.roundTripAt.IsZero() {
 		return 0
@@ -137,8 +141,9 @@
 // InFlight returns the number of this gateway's attempts in progress.
 func (e *Endpoint) InFlight() int { return e.inFlight }
 
-// reportLag is how long, beyond the link's delay, an attempt may be missing from
-// arriving reports, because the attempt or the report was in transit.
+// reportLag is how long after an attempt was sent a report may arrive that does not
+// include it yet, in addition to the link's delay: the attempt or the report was in
+// transit.
 const reportLag = 40 * time.Millisecond
 
 // unreported returns the number of this gateway's attempts that a report
@@ -149,8 +154,7 @@
 	return min(len(e.recentSends), e.inFlight)
 }
 
-// Load estimates the number of requests that the endpoint has, running and
-// queued.
+// Load estimates the number of requests that the endpoint runs or has queued.
 func (e *Endpoint) Load(now time.Time) float64 {
 	if !e.fresh(now) {
 		return float64(e.inFlight) + e.othersInFlight*0.5
@@ -158,25 +162,26 @@
 	return float64(e.inFlight) + e.othersInFlight + e.othersSinceReport(now)
 }
 
-// Parameters of the estimate of what other gateways send after a report that
-// all of them received.
+// Parameters of the estimate of how many attempts other gateways send after they
+// all received the same report.
 const (
-	// waitingShare is the share of gateways with a request waiting.
-	waitingShare = 0.85
-	// sentVisibleAfter is the age of a report at which it shows that other
-	// gateways have sent nothing, since changes are reported at once.
+	// activeGatewayShare is the assumed share of gateways that have a request waiting
+	// to be sent.
+	activeGatewayShare = 0.85
+	// sentVisibleAfter is the age of the last report from which other gateways are
+	// assumed to have sent nothing since: a change would have been reported by then.
 	sentVisibleAfter = 100 * time.Millisecond
 )
 
-// othersSinceReport estimates how many attempts other gateways have sent since
-// the last report, ahead of this gateway's next one.
+// othersSinceReport estimates how many attempts other gateways have sent since the
+// last report that the engine gets before this gateway's next attempt.
 func (e *Endpoint) othersSinceReport(now time.Time) float64 {
 	age := now.Sub(e.reportAt)
 	if age >= sentVisibleAfter {
 		return 0
 	}
 	sent := e.report.DemandAhead + float64(e.sentSinceReport)*e.report.othersPerRequest()
-	return waitingShare * sent * (1 - float64(age)/float64(sentVisibleAfter))
+	return activeGatewayShare * sent * (1 - float64(age)/float64(sentVisibleAfter))
 }
 
 // othersPerRequest returns how many requests all other gateways together send
@@ -188,7 +193,7 @@
 	return (1 - r.DemandShare) / r.DemandShare
 }
 
-// slowdown returns how many times slower than normal the endpoint works, at
+// slowdown returns how many times slower than normal the endpoint works. It is at
 // least 1.
 func (e *Endpoint) slowdown(now time.Time) float64 {
 	if !e.fresh(now) || e.report.Pace < 1 {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet holds a gateway's view of the endpoints and chooses the
-// endpoint for each attempt. The view combines the platform's list, the load
-// reports of the sidecars, and the results of the gateway's own attempts.
+// Package fleet holds a gateway's view of the endpoints and chooses the endpoint
+// for each attempt, that is, each try to get a request served. The view combines
+// the platform's list of endpoints, the load reports of the sidecars, and the
+// results of the gateway's own attempts.
 //
 // A Fleet does no I/O, takes the current time as an argument, and is not safe
 // for concurrent use; package ingress guards it with one lock.
@@ -25,54 +26,59 @@
 	Zone    string
 	// Slots is how many requests the endpoint runs concurrently.
 	Slots int
-	// Draining is the drain flag of the list. Endpoint.Signals also includes
-	// drains that the endpoint signalled itself.
+	// Draining is the drain flag in the platform's list. Endpoint.Signals also covers
+	// a drain that the endpoint itself has signalled.
 	Draining bool
 	// StartedMS is the start time of the endpoint's process, in Unix
 	// milliseconds, or 0 if unknown. Together with the ID it identifies one
 	// incarnation of the endpoint.
 	StartedMS int64
-	// Models maps the models that the endpoint holds completely to their
-	// versions; it is nil for endpoints that hold none or are not engines.
+	// Models maps each model that the endpoint holds completely to its version. It
+	// is nil for an endpoint that holds no model or is not an engine.
 	Models map[string]int
 }
 
 // Report is an engine's load report, sent by its sidecar.
 type Report struct {
 	Address string `json:"a"`
-	// Model and Version name the weights that the engine holds completely;
+	// Model and Version identify the weights that the engine holds completely;
 	// Version is 0 if there are none.
 	Model   string `json:"m"`
 	Version int    `json:"v"`
 	// StartedMS is Record.StartedMS as reported by the engine.
 	StartedMS int64 `json:"n,omitempty"`
-	// Busy is set while the engine takes no new requests, because an operation
-	// on it is in progress or it is about to be drained.
+	// Busy is set while the engine must get no new requests, because it executes an
+	// order, such as a load, or is being drained for one.
 	Busy bool `json:"b,omitempty"`
-	// UpdateScheduled is set if the engine will be drained and updated to a newer
-	// version before that version's deadline.
+	// UpdateScheduled is set if the sidecar has scheduled the engine's drain and
+	// update to a newer version before that version's deadline, which is the time by
+	// which all engines must serve it.
 	UpdateScheduled bool `json:"c,omitempty"`
-	// Unverified is set if it is unknown whether the engine's weights are really
-	// of the version that it reports.
+	// Unverified is set if the sidecar could not verify that the engine's weights are
+	// those of the reported version.
 	Unverified bool `json:"d,omitempty"`
-	// Draining and Limited are the backpressure signals in the engine's response
-	// to the sidecar; Limit is in requests a second.
+	// Draining and Limited are the backpressure signals in the engine's response to
+	// the sidecar: the engine takes no new requests, or has a rate limit. Limit is
+	// that limit in requests a second.
 	Draining bool    `json:"draining,omitempty"`
 	Limited  bool    `json:"limited,omitempty"`
 	Limit    float64 `json:"limit,omitempty"`
 
+	// Running and Queued are the numbers of requests that the engine runs and has
+	// queued.
 	Running int `json:"r"`
 	Queued  int `json:"q"`
 	// Pace is how many times slower than normal the engine works; values below 1
 	// count as 1.
 	Pace float64 `json:"p,omitempty"`
-	// WeightsChecksum is the routing.WeightsConfig checksum of the configuration
-	// that the sidecar has, or 0 if it has none.
+	// WeightsChecksum is the checksum of the routing.WeightsConfig that the sidecar
+	// has, or 0 if it has none.
 	WeightsChecksum uint32 `json:"w,omitempty"`
-	// Gateways is how many gateways receive these reports and so see the same
-	// free slots. DemandAhead is the demand, in average gateways, that may use
-	// them before the gateway that receives this report; it is drawn at random for
-	// each report. DemandShare is that gateway's share of the total demand.
+	// Gateways is how many gateways receive the engine's reports and so see the same
+	// free slots. To keep them from all using these slots at once, each report gives
+	// its receiver a random place among them. DemandAhead is the demand of the
+	// gateways before it, as a multiple of an average gateway's demand. DemandShare
+	// is the receiver's share of the total demand.
 	Gateways    int     `json:"g,omitempty"`
 	DemandAhead float64 `json:"u,omitempty"`
 	DemandShare float64 `json:"s,omitempty"`
@@ -82,14 +88,14 @@
 const (
 	// reportTTL is how long a report is used.
 	reportTTL = 900 * time.Millisecond
-	// recentReport is the maximum age of the report of an engine that must begin
-	// a request at once; a suspended engine sends no reports.
+	// recentReport is the age from which a report no longer shows that the engine can
+	// begin a request at once: the box may have been suspended since.
 	recentReport = 150 * time.Millisecond
-	// ejectMin and ejectMax bound how long an endpoint is ejected after a broken
-	// connection; the time doubles with each consecutive one.
+	// ejectMin and ejectMax bound how long an endpoint is ejected after a connection
+	// failure. The time doubles with each consecutive failure.
 	ejectMin = 400 * time.Millisecond
 	ejectMax = 4 * time.Second
-	// failureWeight is the weight of the newest attempt in failureRate.
+	// failureWeight is the weight of the newest attempt in Endpoint.failureRate.
 	failureWeight = 0.12
 )
 
@@ -99,8 +105,8 @@
 	byID      map[string]*Endpoint
 	byAddress map[string]*Endpoint
 	byService map[string][]*Endpoint
-	// watchedByService caches the watched endpoints of large services; an entry
-	// is removed when the service's endpoints change.
+	// watchedByService caches the results of watched for large services. An entry is
+	// removed when the service's endpoints change.
 	watchedByService map[string][]*Endpoint
 	// signals holds the backpressure signals of endpoints, including those that
 	// are no longer on the list.
@@ -129,7 +135,7 @@
 	return changed
 }
 
-// put is Put without the drain signal.
+// put adds or updates an endpoint like Put, but does not set the drain signal.
 func (f *Fleet) put(r Record) bool {
 	e := f.byID[r.ID]
 	switch {
@@ -162,9 +168,9 @@
 	return changed
 }
 
-// replaceIncarnation replaces e by a new incarnation, started at startedMS, that
-// reported itself before the list did. The new endpoint holds no models and
-// inherits no state but the rest of the record.
+// replaceIncarnation replaces e by a new incarnation, started at startedMS, whose
+// report arrived before the list included it. The new endpoint gets the record of
+// e without its models, and none of the state of e.
 func (f *Fleet) replaceIncarnation(e *Endpoint, startedMS int64) *Endpoint {
 	r := e.Record
 	r.StartedMS, r.Models = startedMS, nil
@@ -248,8 +254,9 @@
 // Len returns the number of endpoints.
 func (f *Fleet) Len() int { return len(f.byID) }
 
-// Addresses returns the addresses of a service's watched endpoints. current are
-// those whose fresh report has the weights checksum sum; others are the rest.
+// Addresses returns the addresses of a service's watched endpoints in two lists.
+// current holds those whose sidecar has reported, within reportTTL, the
+// WeightsChecksum sum; others holds the rest.
 func (f *Fleet) Addresses(service string, sum uint32, now time.Time) (current, others []string) {
 	for _, e := range f.watched(service) {
 		if e.fresh(now) && e.report.WeightsChecksum == sum {
@@ -263,8 +270,9 @@
 
 // ApplyReport applies a report and returns its endpoint. It returns nil if the
 // endpoint is not on the list or the report is of an earlier incarnation.
-// roundTrip is negative if none was measured. changed reports whether the
-// version, the readiness, the verification or the backpressure signals changed.
+// roundTrip is the measured round-trip time to the sidecar, or negative if there is
+// none. changed is true for the first report, and if the version, Busy, Unverified
+// or a backpressure signal differs from the previous report.
 func (f *Fleet) ApplyReport(r Report, roundTrip time.Duration, now time.Time) (e *Endpoint, changed bool) {
 	e = f.byAddress[r.Address]
 	switch {
@@ -272,7 +280,7 @@
 		return nil, false
 	case r.StartedMS == 0 || r.StartedMS == e.StartedMS:
 	case r.StartedMS < e.StartedMS:
-		return nil, false // delayed, of an earlier incarnation
+		return nil, false // delayed report of an earlier incarnation
 	case e.StartedMS == 0:
 		e.StartedMS = r.StartedMS
 		e.Signals.SetStartedMS(r.StartedMS)
@@ -296,8 +304,8 @@
 }
 
 // RecordFirstByte records that an attempt received its first bytes, or that it
-// ended without any. prefillMS is the Query.PrefillMS of the attempt. lag is by
-// how much the bytes arrived later than estimated; it is negative if unknown.
+// ended without any. prefillMS is the Query.PrefillMS of the attempt. lag is how
+// much later than estimated the bytes arrived; it is negative if unknown.
 func (f *Fleet) RecordFirstByte(e *Endpoint, prefillMS float64, lag time.Duration, now time.Time) {
 	e.unanswered--
 	e.unansweredMS = math.Max(0, e.unansweredMS-prefillMS)
@@ -320,15 +328,15 @@
 	Responded Result = iota
 	// Failed means an error response or an invalid one.
 	Failed
-	// Broken means that no connection was made or that it was lost.
+	// Broken means that the connection could not be made or was lost.
 	Broken
-	// Rejected means that the endpoint refused the request.
+	// Rejected means that the endpoint refused the request because of its load.
 	Rejected
-	// Misdirected means that another endpoint has the address, or that the
-	// endpoint holds other weights than listed.
+	// Misdirected means that the address belongs to another endpoint, or that the
+	// endpoint does not hold the weights that its record lists.
 	Misdirected
-	// Abandoned means that the caller left or the request timed out, which says
-	// nothing about the endpoint.
+	// Abandoned means that the caller disconnected or the request timed out. It does
+	// not count as a failure of the endpoint.
 	Abandoned
 )
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -43,6 +43,7 @@
 	return e.ID
 }
 
+// Attempts without a response yet must count as load when the next is chosen.
 func TestChooseSpreadsUnansweredPrompts(t *testing.T) {
 	f := engines(3)
 	seen := map[string]int{}
@@ -52,6 +53,8 @@
 	assert.DeepEqual(t, seen, map[string]int{"a": 2, "b": 2, "c": 2})
 }
 
+// An engine with prompts of other gateways queued must cost more than one that has
+// only running requests.
 func TestChooseCountsOthersBacklog(t *testing.T) {
 	f := engines(2)
 	f.ApplyReport(report("a", 1, 0, 3), 0, start)
@@ -59,7 +62,8 @@
 	assert.Equal(t, chosen(f, query(), start), "b")
 }
 
-func TestChooseStopsAtLimit(t *testing.T) {
+// An engine whose load has reached Query.MaxLoad must not be chosen.
+func TestChooseRespectsMaxLoad(t *testing.T) {
 	f := engines(1)
 	f.ApplyReport(report("a", 1, 5, 0), 0, start)
 	assert.Equal(t, chosen(f, query(), start), "")
@@ -68,16 +72,16 @@
 	assert.Equal(t, chosen(f, query(), start), "", "own attempts must count at once")
 }
 
-func TestDrainingAndRemovedGetNothing(t *testing.T) {
+func TestDrainingAndRemovedEndpointsAreNotChosen(t *testing.T) {
 	f := engines(2)
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1", Draining: true, Models: map[string]int{model: 1}})
 	f.Remove("b")
 	assert.Equal(t, chosen(f, query(), start), "")
 }
 
-// An endpoint's drain signal must outlive its record and not be revoked by an older
-// record; a new incarnation starts without signals.
-func TestSignalsOutliveTheRecord(t *testing.T) {
+// An endpoint that signalled a drain must not be chosen after its record was removed
+// and added again. A new incarnation starts without signals.
+func TestDrainSignalIsKeptAfterRemoval(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	r := Record{ID: "a", Service: "s", Address: "a:1", StartedMS: 5, Models: map[string]int{model: 1}}
 	for _, removeRecord := range []func(){
@@ -98,7 +102,7 @@
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
 
-// Backpressure signals in reports count like those in responses.
+// Backpressure signals in load reports must have the same effect as in responses.
 func TestSignalsInReports(t *testing.T) {
 	f := engines(2)
 	r := report("a", 1, 0, 0)
@@ -114,7 +118,7 @@
 	assert.Equal(t, chosen(f, query(), start), "b", "the limit has ended")
 }
 
-func TestBusyEngineGetsNothing(t *testing.T) {
+func TestBusyEngineIsNotChosen(t *testing.T) {
 	f := engines(1)
 	r := report("a", 1, 0, 0)
 	r.Busy = true
@@ -122,7 +126,7 @@
 	assert.Equal(t, chosen(f, query(), start), "")
 }
 
-func TestEngineWithoutModelGetsNothing(t *testing.T) {
+func TestEngineWithoutModelIsNotChosen(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1"})
 	assert.Equal(t, chosen(f, query(), start), "")
@@ -130,6 +134,7 @@
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
 
+// An engine with a version below Query.MinVersion must not be chosen.
 func TestMinVersion(t *testing.T) {
 	f := engines(2)
 	f.ApplyReport(report("b", 2, 4, 0), 0, start)
@@ -139,7 +144,8 @@
 	assert.Equal(t, chosen(f, q, start), "", "b is full, and a holds version 1")
 }
 
-// An engine below NextMinVersion gets only requests that it can begin at once.
+// An engine with a version below Query.NextMinVersion must be chosen only if it can
+// begin the request at once.
 func TestNextMinVersion(t *testing.T) {
 	q := query()
 	q.NextMinVersion = 2
@@ -178,8 +184,8 @@
 	assert.Equal(t, chosen(f, q, start), "", "its last first bytes were late")
 }
 
-// An engine below MinVersion gets only requests that it can begin at once, and only
-// while its sidecar reports a scheduled update.
+// An engine with a version below Query.MinVersion must be chosen only if its sidecar
+// reports a scheduled update and it can begin the request at once.
 func TestScheduledUpdateExtendsOlderVersion(t *testing.T) {
 	q := query()
 	q.NextMinVersion, q.MinVersion, q.MinVersionBeforeUpdate = 2, 2, 1
@@ -210,6 +216,8 @@
 	assert.Equal(t, chosen(f, q, start), "", "below MinVersionBeforeUpdate")
 }
 
+// After a connection failure an endpoint must be ejected, and then get one probe
+// request before it gets others.
 func TestBrokenEndpointIsEjectedThenProbed(t *testing.T) {
 	f := engines(1)
 	e := f.Choose(query(), start)
@@ -237,8 +245,9 @@
 	}
 }
 
-// A misdirected endpoint gets nothing until its record changes.
-func TestMisdirected(t *testing.T) {
+// An endpoint that does not hold what its record lists must not be chosen until the
+// record changes.
+func TestMisdirectedEndpointIsNotChosen(t *testing.T) {
 	f := engines(1)
 	e := f.Choose(query(), start)
 	f.RecordFirstByte(e, 50, -1, start)
@@ -250,7 +259,9 @@
 	assert.Equal(t, chosen(f, query(), start), "a")
 }
 
-func TestAddressReuse(t *testing.T) {
+// A new endpoint with the address of another must replace it; a delayed removal of
+// the replaced endpoint must not affect the new one.
+func TestReusedAddressReplacesEndpoint(t *testing.T) {
 	f := engines(1)
 	f.Put(Record{ID: "new", Service: "other", Address: "a:1"})
 	assert.Equal(t, chosen(f, query(), start), "")
@@ -260,6 +271,7 @@
 	assert.Equal(t, e.ID, "new")
 }
 
+// An engine behind a slow link must cost more than one with a few running requests.
 func TestSlowLinkIsAvoided(t *testing.T) {
 	f := engines(2)
 	f.ApplyReport(report("a", 1, 0, 0), 300*time.Millisecond, start)
@@ -268,6 +280,7 @@
 	assert.Assert(t, f.byID["b"].Delay(start.Add(2*time.Second)) >= 400*time.Millisecond, "an overdue measurement must count as delay")
 }
 
+// An endpoint must get at most Query.MaxConnections attempts of a gateway at a time.
 func TestConnectionsAreBounded(t *testing.T) {
 	f := engines(2)
 	q := query()
@@ -278,7 +291,8 @@
 	assert.Equal(t, chosen(f, q, start), "")
 }
 
-func TestReplace(t *testing.T) {
+// Replace must keep the state of endpoints that stay on the list.
+func TestReplaceKeepsStateOfListedEndpoints(t *testing.T) {
 	f := engines(2)
 	e := f.Choose(Query{Service: "s", Model: model, Exclude: map[string]bool{"b": true}}, start)
 	f.Replace([]Record{{ID: "a", Service: "s", Address: "a:1", Models: map[string]int{model: 1}}, {ID: "c", Service: "s", Address: "c:1"}})
@@ -289,7 +303,7 @@
 }
 
 // Gateways that see the same free slots must not all use them at once, which would
-// fill the engine's queue: DemandAhead limits who may.
+// fill the engine's queue. DemandAhead limits how many of them do.
 func TestDemandAheadLimitsUseOfFreeSlots(t *testing.T) {
 	const gateways, slots = 20, 12
 	now := time.Now()
@@ -329,7 +343,8 @@
 	assert.Equal(t, e.Load(later), 6.0)
 }
 
-// MaxBacklogMS excludes engines with more prefill work queued.
+// An engine must not be chosen if the prefill time of its queued requests exceeds
+// Query.MaxBacklogMS.
 func TestBacklogIsBounded(t *testing.T) {
 	f := engines(1)
 	f.ApplyReport(report("a", 1, 0, 2), 0, start)
@@ -340,8 +355,8 @@
 	assert.Equal(t, chosen(f, q, start), "a")
 }
 
-// An engine with overdue reports is the last choice, since its box may be suspended,
-// but is still usable, since only its sidecar may have failed.
+// An engine whose reports are overdue must be chosen only if the others are full: its
+// box may be suspended, or only its sidecar may have failed.
 func TestEngineWithOverdueReportsIsTheLastChoice(t *testing.T) {
 	f := engines(2)
 	f.ApplyReport(report("a", 1, 0, 0), 0, start)
--- a/fleet/free_test.go
+++ b/fleet/free_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Filtering the endpoints by a weaker query first must not change whether a
-// stricter query finds an endpoint.
+// ChooseAmong must find an endpoint among the result of Free for a weaker query
+// exactly if a choice among all endpoints finds one.
 func TestFreeKeepsEndpointsWithRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := engines(6)
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -14,8 +14,8 @@
 	return Record{ID: "a", Service: "s", Address: "a:1", Zone: "z", Models: map[string]int{model: 1}, StartedMS: startedMS}
 }
 
-// A restarted endpoint must not inherit the state of its earlier incarnation, nor
-// be charged with the results of attempts sent to that.
+// A restarted endpoint must not inherit the state of its earlier incarnation. Results
+// of attempts sent to the earlier incarnation must not count against it.
 func TestNewIncarnationStartsWithoutState(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	f.Put(incarnation(1000))
@@ -46,7 +46,7 @@
 	assert.Equal(t, f.byID["a"].StartedMS, int64(2000))
 }
 
-// A start time that becomes known must not count as a restart.
+// A start time that becomes known later must not be taken for a restart.
 func TestStartTimeIsAdopted(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	f.Put(incarnation(0))
@@ -58,8 +58,8 @@
 	assert.Equal(t, e.StartedMS, int64(1000))
 }
 
-// A report of a restart takes effect before the list shows it; delayed reports of
-// the earlier incarnation are ignored.
+// A report of a restarted engine must take effect before the list includes the new
+// incarnation. Delayed reports of the earlier incarnation must be ignored.
 func TestReportOfNewIncarnation(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	f.Put(incarnation(1000))
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -12,9 +12,9 @@
 // endpoints.
 func (f *Fleet) SetGateways(gateways int) { f.signals.SetGateways(gateways) }
 
-// NextOpening returns the earliest time at which an endpoint of a service that may
-// not be sent requests now may be sent one. It is zero if there is no such time;
-// draining endpoints don't count.
+// NextOpening returns the earliest time at which an endpoint of a service that is
+// now closed by a backoff or a rate limit may be sent a request again. It is zero
+// if no endpoint is closed in this way. Draining endpoints are ignored.
 func (f *Fleet) NextOpening(service string, now time.Time) time.Time {
 	var earliest time.Time
 	if f.signals.NoSignals() {
@@ -31,14 +31,15 @@
 	return earliest
 }
 
-// Closure describes why no endpoint of a service accepts an attempt, by their own
-// backpressure signals.
+// Closure describes which backpressure signals of a service's endpoints currently
+// keep a gateway from sending them an attempt.
 type Closure struct {
 	Reason Reason
-	// Until is the earliest time at which one may accept it; zero if unknown.
+	// Until is the earliest time at which one of them may accept the attempt; zero if
+	// unknown.
 	Until time.Time
-	// Endpoint is the id of the endpoint that opens first, or of any of them if
-	// that is unknown.
+	// Endpoint is the id of the endpoint that opens first. If Until is zero, it is
+	// any of them.
 	Endpoint string
 }
 
@@ -58,15 +59,16 @@
 }
 
 // Closure reports whether all endpoints that could serve an attempt are closed by
-// their own signals until after by. Its Reason is that of the endpoint that opens
-// first, or Open if one is open by then or none could serve the attempt.
+// their backpressure signals until after the time by. The result's Reason is that
+// of the endpoint that opens first. It is Open if an endpoint opens by that time,
+// or if no endpoint could serve the attempt.
 func (f *Fleet) Closure(q Query, by, now time.Time) Closure {
 	c := Closure{Reason: Open}
 	if f.signals.NoSignals() {
 		return c
 	}
 	for _, e := range f.byService[q.Service] {
-		if !e.fits(&q, now) {
+		if !e.usableIfNotDraining(&q, now) {
 			continue
 		}
 		reason, opens := e.closure(now)
@@ -80,8 +82,8 @@
 	return c
 }
 
-// closure returns which signal of the endpoint closes it now, and when it opens: zero
-// if that is unknown, now if it is open.
+// closure returns the signal that closes the endpoint now, and the time at which it
+// opens. That time is zero if unknown. An open endpoint returns Open and now.
 func (e *Endpoint) closure(now time.Time) (Reason, time.Time) {
 	opens := e.Signals.AvailableAt(now)
 	switch {
@@ -96,7 +98,7 @@
 	}
 }
 
-// Signals counts the endpoints by the signals that are in force.
+// Signals holds the numbers of endpoints with each backpressure signal in force.
 type Signals struct {
 	Draining, BackingOff, Limited int
 	// Allowed is the sum of the rate limits, in requests a second.
@@ -145,6 +147,6 @@
 	return f.signals.Merge(r, now)
 }
 
-// PruneSignals deletes signals of endpoints that are no longer on the list, once they
-// have expired or become too many.
+// PruneSignals deletes the signals of endpoints that are no longer on the list, if
+// the signals have expired or their number exceeds the table's limit.
 func (f *Fleet) PruneSignals(now time.Time) { f.signals.Evict(f.Has, now) }
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -10,23 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A gateway watches a part of a large service's engines: it subscribes to their
-// reports and chooses among them. Otherwise the number of reports, most of them
-// across regions, and of mostly idle connections would grow with the product of
-// gateways and engines. A gateway watches all engines of its own region, so that
-// each engine has a watcher, and some of other regions for overflow, chosen by
-// rendezvous hashing so that each has about as many watchers.
+// Of a large service, a gateway watches only some engines: it subscribes to their
+// load reports and chooses among them. This bounds the reports and connections per
+// gateway. A gateway watches all engines of its own region, and some of other
+// regions for overflow. The latter are selected by rendezvous hashing, which spreads
+// the gateways evenly over the engines.
 const (
-	// watchTarget is how many engines a gateway watches if its own region has
-	// fewer; all engines of a service of up to this size are watched.
+	// watchTarget is the number of engines that a gateway watches, unless its own
+	// region has more. Of a service with at most this many engines it watches all.
 	watchTarget = 48
-	// watchRemoteMin is how many engines of other regions are watched at least,
-	// in case the own region has none left.
+	// watchRemoteMin is the minimum number of watched engines in other regions, for
+	// the case that all engines of the gateway's region fail.
 	watchRemoteMin = 12
-	// commonEndpoints is how many engines are watched by all gateways. Their
-	// sidecars count the gateways, which share the retry budget, and relay
-	// messages between gateways. There are enough of them that a loss of many
-	// boxes rarely includes all.
+	// commonEndpoints is the number of engines that every gateway watches. The
+	// sidecars of these engines count the gateways and relay messages between them.
 	commonEndpoints = 5
 )
 
@@ -35,7 +32,7 @@
 	// Box is the name of the gateway's box, which seeds its rendezvous hashes.
 	Box  string
 	Zone string
-	// Regions maps availability zones to regions; a zone that is missing is a
+	// Regions maps availability zones to regions. A zone without an entry is a
 	// region of its own.
 	Regions map[string]string
 }
@@ -48,7 +45,8 @@
 	return zone
 }
 
-// watched returns the endpoints of a service that the gateway watches.
+// watched returns the endpoints of a service whose load reports the gateway
+// subscribes to, and among which it chooses.
 func (f *Fleet) watched(service string) []*Endpoint {
 	all := f.byService[service]
 	if len(all) <= watchTarget {
@@ -83,15 +81,15 @@
 	return out
 }
 
-// rankByAddress returns the first n endpoints in a rendezvous order that is the same
-// on all gateways. It hashes the address, which an endpoint and its sidecar keep
-// across a restart.
+// rankByAddress returns the first n endpoints in an order by the hash of their
+// addresses. All gateways compute the same order, and a restart does not change it.
 func rankByAddress(all []*Endpoint, n int) []*Endpoint {
 	return lowestWeight(slices.Clone(all), n, func(e *Endpoint) uint64 { return xxhash.Sum64String(e.Address) })
 }
 
-// Relays returns the addresses of up to commonEndpoints endpoints of a service
-// that all gateways watch: those with a fresh report, or all of them if none has.
+// Relays returns the addresses of up to commonEndpoints endpoints of a service that
+// all gateways watch. Their sidecars relay messages between gateways. Endpoints
+// without a fresh report are left out, unless none has one.
 func (f *Fleet) Relays(service string, now time.Time) []string {
 	all := f.byService[service]
 	watched := commonEndpoints
@@ -110,9 +108,10 @@
 	return out
 }
 
-// PermitAllocator returns the address of the relay whose sidecar grants permits for the
-// rate limit of the endpoint with the given id, which has no sidecar of its own.
-// Gateways with the same relays get the same result. It is empty without relays.
+// PermitAllocator returns the address of the relay whose sidecar grants permits for
+// requests to the endpoint with the given id. It is for endpoints with a rate limit
+// and no sidecar of their own. Gateways with the same relays get the same result,
+// which is empty if there are no relays.
 func PermitAllocator(relays []string, id string) string {
 	weight := func(address string) uint64 { return xxhash.Sum64String(id + "/" + address) }
 	best := ""
--- a/fleet/watch_test.go
+++ b/fleet/watch_test.go
@@ -26,9 +26,9 @@
 	return f
 }
 
-// The number of watched engines per gateway must be bounded. Still each engine must
-// have watchers, nearly all of them in several regions, and some engines must be
-// watched by all gateways.
+// A gateway must watch a bounded number of engines. Each engine must be watched by
+// several gateways, nearly all engines by gateways of several regions, and some
+// engines by all gateways.
 func TestEachEngineHasEnoughWatchers(t *testing.T) {
 	const gateways = 53
 	for _, n := range []int{20, 48, 120, 204, 610} {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Requests go to watched engines, and to others only if no watched one is usable;
-// full ones are usable.
+// Engines that are not watched must be chosen only if every watched engine is
+// unusable, for example draining. A full engine counts as usable.
 func TestUnwatchedEnginesAreTheLastResort(t *testing.T) {
 	const n = 120
 	f := largeFleet("g0", 0, n)
@@ -92,8 +92,8 @@
 	assert.Assert(t, e != nil && !watched[e.ID])
 }
 
-// Engines that are added or removed must change the watched endpoints at once.
-func TestWatchedFollowsTheList(t *testing.T) {
+// The watched endpoints must be selected again when engines are added or removed.
+func TestWatchedIsUpdatedWithTheList(t *testing.T) {
 	f := largeFleet("g0", 0, 120)
 	removed := f.watched("s")[0]
 	f.Remove(removed.ID)
@@ -129,8 +129,8 @@
 	}
 }
 
-// Relays must exclude sidecars that stopped reporting, and all gateways must choose
-// from the same ones.
+// Relays must leave out sidecars that have stopped reporting, and must return only
+// endpoints that all gateways watch.
 func TestRelaysAreReporting(t *testing.T) {
 	for _, n := range []int{1, 3, 12, 120} {
 		f := New(Place{Box: "g", Zone: "z"})
--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -228,7 +228,7 @@
 // until they have arrived here.
 func (i *Installer) pullLimit(r *replica, task fetchTask, now time.Time) int {
 	for _, t := range i.targets {
-		if t.version >= task.version || !i.finishesOlder(t, now) {
+		if t.version >= task.version || !i.shouldFinishOlder(t, now) {
 			continue
 		}
 		older := i.replicaLocked(t.version)
--- a/installer/installer.go
+++ b/installer/installer.go
@@ -176,8 +176,8 @@
 // target is a version that the operator named.
 type target struct {
 	version int
-	namedAt time.Time // zero if unknown
-	// ageUnknown is set if namedAt is when this process learned of the version,
+	setAt   time.Time // zero if unknown
+	// ageUnknown is set if setAt is when this process learned of the version,
 	// or was moved back because the version is overdue.
 	ageUnknown bool
 }
@@ -233,12 +233,12 @@
 	i.notifyLocked()
 }
 
-// AddTarget records that the operator named a version of the model. namedAt is
+// AddTarget records that the operator named a version of the model. setAt is
 // when, or zero if unknown; of several reports the earliest known time counts.
-func (i *Installer) AddTarget(model string, version int, namedAt time.Time) {
+func (i *Installer) AddTarget(model string, version int, setAt time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.addTargetLocked(model, target{version: version, namedAt: namedAt})
+	i.addTargetLocked(model, target{version: version, setAt: setAt})
 }
 
 // overdueGrace is how long a sidecar waits for a gateway that knows a version's
@@ -254,13 +254,13 @@
 func (i *Installer) AddTargetOfUnknownAge(model string, version int, overdue bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.addTargetLocked(model, target{version: version, namedAt: now, ageUnknown: true})
+	i.addTargetLocked(model, target{version: version, setAt: now, ageUnknown: true})
 	for at := range i.targets {
 		t := &i.targets[at]
-		if t.version != version || !t.ageUnknown || !overdue || now.Sub(t.namedAt) < overdueGrace || now.Sub(t.namedAt) >= i.params.Deadline {
+		if t.version != version || !t.ageUnknown || !overdue || now.Sub(t.setAt) < overdueGrace || now.Sub(t.setAt) >= i.params.Deadline {
 			continue
 		}
-		t.namedAt = now.Add(-i.params.Deadline)
+		t.setAt = now.Add(-i.params.Deadline)
 		i.log.Info("version overdue", "version", version)
 		i.notifyLocked()
 	}
@@ -284,27 +284,27 @@
 	if len(i.targets) > maxTargets {
 		i.targets = i.targets[1:]
 	}
-	i.log.Info("version named", "model", model, "version", reported.version, "age_unknown", reported.namedAt.IsZero() || reported.ageUnknown)
+	i.log.Info("version named", "model", model, "version", reported.version, "age_unknown", reported.setAt.IsZero() || reported.ageUnknown)
 	i.notifyLocked()
 }
 
-// namingSkew is the tolerance within which two gateways' times of the same naming
+// setTimeTolerance is the tolerance within which two gateways' times of the same naming
 // count as equal.
-const namingSkew = 100 * time.Millisecond
+const setTimeTolerance = 100 * time.Millisecond
 
 // update merges another report of the same version into t and returns whether t
 // changed. A known time replaces an assumed one, and an earlier time a later one.
 func (t *target) update(reported target) bool {
 	switch {
-	case reported.namedAt.IsZero(), reported.ageUnknown && !t.namedAt.IsZero():
+	case reported.setAt.IsZero(), reported.ageUnknown && !t.setAt.IsZero():
 		return false
 	case t.ageUnknown:
 		// The known time replaces the assumed one below, even if it is later.
 		t.ageUnknown = false
-	case !t.namedAt.IsZero() && reported.namedAt.After(t.namedAt.Add(-namingSkew)):
+	case !t.setAt.IsZero() && reported.setAt.After(t.setAt.Add(-setTimeTolerance)):
 		return false
 	}
-	t.namedAt, t.ageUnknown = reported.namedAt, reported.ageUnknown
+	t.setAt, t.ageUnknown = reported.setAt, reported.ageUnknown
 	return true
 }
 
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -196,7 +196,7 @@
 }
 
 // announce names a version to all installers.
-func (c *cluster) announce(version int) {
+func (c *cluster) addTarget(version int) {
 	for _, i := range c.installers {
 		i.AddTarget(testModel, version, time.Now())
 	}
@@ -239,9 +239,9 @@
 	return func(_ int, e *fakeEngine) { e.load(version) }
 }
 
-func TestNamedVersionReachesAllEngines(t *testing.T) {
+func TestTargetVersionReachesAllEngines(t *testing.T) {
 	c := newCluster(t, 6, 3, 500*time.Millisecond, engineLoadedWith(1))
-	c.announce(2)
+	c.addTarget(2)
 	c.awaitVersion(2)
 	c.checkLoads()
 	assert.Assert(t, c.origin.sent < testChunks*3, "the origin sent %d chunks for %d", c.origin.sent, testChunks)
@@ -261,7 +261,7 @@
 func TestCorruptChunksAreRejected(t *testing.T) {
 	c := newCluster(t, 3, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.corrupt = func(sent int) bool { return sent%3 == 0 }
-	c.announce(2)
+	c.addTarget(2)
 	c.awaitVersion(2)
 	c.checkLoads()
 }
@@ -272,7 +272,7 @@
 	c.origin.mu.Lock()
 	c.origin.corruptManifests = 1
 	c.origin.mu.Unlock()
-	c.announce(2)
+	c.addTarget(2)
 	c.awaitVersion(2)
 	c.checkLoads()
 }
@@ -280,7 +280,7 @@
 // Staged chunks that become corrupt or are lost before the start are staged again.
 func TestCorruptStagedChunkIsReplaced(t *testing.T) {
 	c := newCluster(t, 1, 1, 900*time.Millisecond, engineLoadedWith(1))
-	c.announce(2)
+	c.addTarget(2)
 	time.Sleep(100 * time.Millisecond)
 	e := c.engines[0]
 	e.mu.Lock()
@@ -294,7 +294,7 @@
 func TestOriginOutage(t *testing.T) {
 	c := newCluster(t, 2, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.down = true
-	c.announce(2)
+	c.addTarget(2)
 	time.Sleep(300 * time.Millisecond)
 	c.origin.mu.Lock()
 	c.origin.down = false
@@ -306,9 +306,9 @@
 func TestNewerVersionSupersedes(t *testing.T) {
 	c := newCluster(t, 4, 2, 600*time.Millisecond, engineLoadedWith(1))
 	c.origin.delay = 5 * time.Millisecond
-	c.announce(2)
+	c.addTarget(2)
 	time.Sleep(20 * time.Millisecond)
-	c.announce(3)
+	c.addTarget(3)
 	c.awaitVersion(3)
 	c.checkLoads()
 	for k, e := range c.engines {
@@ -324,7 +324,7 @@
 func TestPeerStopsDuringFetch(t *testing.T) {
 	c := newCluster(t, 4, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.delay = 3 * time.Millisecond
-	c.announce(2)
+	c.addTarget(2)
 	time.Sleep(15 * time.Millisecond)
 	c.cancels[0]()
 	c.awaitVersion(2, 1, 2, 3)
@@ -338,7 +338,7 @@
 		e.load(1)
 		e.running = 3
 	})
-	c.announce(2)
+	c.addTarget(2)
 	draining := false
 	for began := time.Now(); time.Since(began) < 3*time.Second && !draining; time.Sleep(5 * time.Millisecond) {
 		draining = c.installers[0].Draining()
@@ -351,7 +351,7 @@
 	}
 }
 
-func TestOlderNamingIsIgnored(t *testing.T) {
+func TestOlderTargetIsIgnored(t *testing.T) {
 	i := New(Settings{}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	i.AddTarget(testModel, 3, time.Now())
 	i.AddTarget(testModel, 2, time.Now())
@@ -364,16 +364,16 @@
 
 // The earliest known time of a naming counts, so that an engine's slot does not
 // depend on which gateway's report arrives first.
-func TestEarliestNamingTimeCounts(t *testing.T) {
+func TestEarliestSetTimeIsKept(t *testing.T) {
 	i := New(Settings{Box: "a"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	now := time.Now()
 	i.AddTarget(testModel, 2, time.Time{})
 	i.AddTarget(testModel, 2, now)
-	assert.Equal(t, i.newestTarget().namedAt, now, "a known time replaces an unknown one")
+	assert.Equal(t, i.newestTarget().setAt, now, "a known time replaces an unknown one")
 	i.AddTarget(testModel, 2, now.Add(-time.Second))
-	i.AddTarget(testModel, 2, now.Add(-namingSkew/2))
+	i.AddTarget(testModel, 2, now.Add(-setTimeTolerance/2))
 	i.AddTarget(testModel, 2, time.Time{})
-	assert.Equal(t, i.newestTarget().namedAt, now.Add(-time.Second))
+	assert.Equal(t, i.newestTarget().setAt, now.Add(-time.Second))
 	assert.Equal(t, len(i.targets), 1)
 }
 
--- a/installer/load.go
+++ b/installer/load.go
@@ -131,8 +131,8 @@
 		i.log.Info("start refused", "version", m.Version, "orders", state.Orders, "ms", took, "error", errorText(err))
 	case Accepted:
 		since := time.Duration(-1)
-		if !s.namedAt.IsZero() {
-			since = clock.Since(s.namedAt)
+		if !s.targetSetAt.IsZero() {
+			since = clock.Since(s.targetSetAt)
 		}
 		i.log.Info("start ordered", "version", m.Version, "empty", s.engineEmpty, "since_named_ms", since.Milliseconds(), "orders", state.Orders,
 			"check_age_ms", began.Sub(checked).Milliseconds(), "ms", took)
--- a/installer/obtain.go
+++ b/installer/obtain.go
@@ -99,10 +99,10 @@
 	stagedOnly bool
 }
 
-// finishOlderShare is the share of an older version's chunks that must be within
+// finishOlderMinShare is the share of an older version's chunks that must be within
 // reach, here or at other sidecars, for its fetch to be finished if the ages of
 // the versions are unknown.
-const finishOlderShare = 0.6
+const finishOlderMinShare = 0.6
 
 // fetchTasks returns what is to be fetched now, older versions before the newest,
 // and a channel that is closed when the state changes.
@@ -115,7 +115,7 @@
 	var out []fetchTask
 	now := clock.Now()
 	for _, t := range i.targets {
-		if i.finishesOlder(t, now) {
+		if i.shouldFinishOlder(t, now) {
 			out = append(out, fetchTask{params: i.params, version: t.version})
 		}
 	}
--- a/installer/order.go
+++ b/installer/order.go
@@ -14,9 +14,9 @@
 	// originTime is how long the origin takes to send the chunks that no box
 	// within reach holds.
 	originTime time.Duration
-	// due is when gateways stop routing to engines with older versions; zero if
+	// cutoff is when gateways stop routing to engines with older versions; zero if
 	// unknown.
-	due time.Time
+	cutoff time.Time
 }
 
 // forecast is the estimated result of a fetch order of two versions.
@@ -41,17 +41,17 @@
 func forecastOlderFirst(older, newer remainingWork, now time.Time) forecast {
 	served := now.Add(older.originTime + serveDelay)
 	next := served.Add(newer.originTime)
-	useful := max(newer.due.Sub(older.due), 0)
+	useful := max(newer.cutoff.Sub(older.cutoff), 0)
 	return forecast{
-		gap:   min(max(served.Sub(older.due), 0), useful) + max(next.Sub(newer.due), 0),
-		slack: min(older.due.Sub(served), newer.due.Sub(next)),
+		gap:   min(max(served.Sub(older.cutoff), 0), useful) + max(next.Sub(newer.cutoff), 0),
+		slack: min(older.cutoff.Sub(served), newer.cutoff.Sub(next)),
 	}
 }
 
 // forecastNewerOnly returns the forecast if the fetch of the older version is
 // abandoned.
 func forecastNewerOnly(older, newer remainingWork, now time.Time) forecast {
-	slack := older.due.Sub(now.Add(newer.originTime + serveDelay))
+	slack := older.cutoff.Sub(now.Add(newer.originTime + serveDelay))
 	return forecast{gap: max(-slack, 0), slack: slack}
 }
 
@@ -61,14 +61,14 @@
 	if r := i.replicaLocked(t.version); r != nil {
 		missing -= r.reachable()
 	}
-	return remainingWork{originTime: time.Duration(missing) * chunkInterval(i.params), due: i.routingCutoff(t)}
+	return remainingWork{originTime: time.Duration(missing) * chunkInterval(i.params), cutoff: i.routingCutoff(t)}
 }
 
-// finishesOlder reports whether the fetch of t, a version older than the newest,
+// shouldFinishOlder reports whether the fetch of t, a version older than the newest,
 // is finished first. The newest version supersedes t, but if the origin is slow or
 // was unavailable, t can be served until the newest is complete; if both are in
 // time, finishing t first may leave more slack. Installer.mu is held.
-func (i *Installer) finishesOlder(t target, now time.Time) bool {
+func (i *Installer) shouldFinishOlder(t target, now time.Time) bool {
 	newest := i.newestTarget()
 	r := i.replicaLocked(t.version)
 	if t.version >= newest.version || t.version <= i.verifiedVersion() || r == nil || r.complete() {
@@ -78,14 +78,14 @@
 		return false
 	}
 	older, newer := i.remainingWork(t), i.remainingWork(newest)
-	if older.due.IsZero() || newer.due.IsZero() {
-		return float64(r.reachable()) >= finishOlderShare*float64(len(r.chunks))
+	if older.cutoff.IsZero() || newer.cutoff.IsZero() {
+		return float64(r.reachable()) >= finishOlderMinShare*float64(len(r.chunks))
 	}
-	if !now.Before(newer.due) {
+	if !now.Before(newer.cutoff) {
 		return false
 	}
 	if i.verifiedVersion() == 0 {
-		older.due = now // the engine serves nothing: either version is needed now
+		older.cutoff = now // the engine serves nothing: either version is needed now
 	}
 	return forecastOlderFirst(older, newer, now).better(forecastNewerOnly(older, newer, now))
 }
--- a/installer/stage_test.go
+++ b/installer/stage_test.go
@@ -18,7 +18,7 @@
 func TestStagedChunksSurviveRestart(t *testing.T) {
 	c := newCluster(t, 1, 1, 20*time.Second, engineLoadedWith(1))
 	c.origin.delay = 2 * time.Millisecond
-	c.announce(2)
+	c.addTarget(2)
 	staged := func() int {
 		c.engines[0].mu.Lock()
 		defer c.engines[0].mu.Unlock()
@@ -44,7 +44,7 @@
 // those of a newer version of which fewer chunks are held.
 func TestFullestReplicaIsStaged(t *testing.T) {
 	now := time.Now()
-	i := newLoadedInstaller([]target{{version: 2, namedAt: now}, {version: 3, namedAt: now}}, 2)
+	i := newLoadedInstaller([]target{{version: 2, setAt: now}, {version: 3, setAt: now}}, 2)
 	newer := newReplica(manifestOf(3), "box0")
 	newer.held.Set(0)
 	i.replicas = append(i.replicas, newer)
--- a/installer/start.go
+++ b/installer/start.go
@@ -61,10 +61,10 @@
 
 // updateStep is a planned update of the engine.
 type updateStep struct {
-	params  Params
-	replica *replica
-	namedAt time.Time // zero if unknown
-	startAt time.Time // when the drain starts
+	params      Params
+	replica     *replica
+	targetSetAt time.Time // zero if unknown
+	startAt     time.Time // when the drain starts
 	// drainLimit bounds the drain; 0 means that there is none.
 	drainLimit time.Duration
 	// engineEmpty is set if the engine has no verified version.
@@ -126,7 +126,7 @@
 // planUpdate plans the update of the engine to t, whose replica r is complete.
 // Installer.mu is held.
 func (i *Installer) planUpdate(t target, r *replica, position float64, now time.Time) *updateStep {
-	s := &updateStep{params: i.params, replica: r, namedAt: t.namedAt, startAt: now, drainLimit: drainTimeout, engineEmpty: i.verifiedVersion() == 0}
+	s := &updateStep{params: i.params, replica: r, targetSetAt: t.setAt, startAt: now, drainLimit: drainTimeout, engineEmpty: i.verifiedVersion() == 0}
 	if position < earlySlotShare {
 		s.drainLimit = earlyDrainTimeout
 	}
@@ -135,8 +135,8 @@
 		s.drainLimit = 0 // no update was scheduled, so gateways have stopped routing to this engine
 		return s
 	}
-	if !s.engineEmpty && !pending.namedAt.IsZero() {
-		s.startAt = i.slotTime(r, pending.namedAt, position)
+	if !s.engineEmpty && !pending.setAt.IsZero() {
+		s.startAt = i.slotTime(r, pending.setAt, position)
 	}
 	return s
 }
@@ -157,11 +157,11 @@
 // than t whose update is not scheduled, or zero if the age of t is unknown.
 // Installer.mu is held.
 func (i *Installer) routingCutoff(t target) time.Time {
-	if t.namedAt.IsZero() {
+	if t.setAt.IsZero() {
 		return time.Time{}
 	}
 	d := i.params.Deadline
-	return t.namedAt.Add(d - min(routingCutoffMargin, time.Duration(routingCutoffShare*float64(d))))
+	return t.setAt.Add(d - min(routingCutoffMargin, time.Duration(routingCutoffShare*float64(d))))
 }
 
 // slotPositionLocked returns this engine's position among all slots, in [0, 1).
@@ -176,11 +176,11 @@
 	return float64(at) / float64(len(order))
 }
 
-// slotTime returns when the engine's update to the version of r starts; namedAt is
+// slotTime returns when the engine's update to the version of r starts; setAt is
 // when the version was named whose deadline must be met. Installer.mu is held.
-func (i *Installer) slotTime(r *replica, namedAt time.Time, position float64) time.Time {
-	first := namedAt.Add(time.Duration(firstSlotShare * float64(i.params.Deadline)))
-	last := namedAt.Add(lastSlot(i.params.Deadline))
+func (i *Installer) slotTime(r *replica, setAt time.Time, position float64) time.Time {
+	first := setAt.Add(time.Duration(firstSlotShare * float64(i.params.Deadline)))
+	last := setAt.Add(lastSlot(i.params.Deadline))
 	if r.completedAt.After(first) {
 		first = r.completedAt
 	}
@@ -200,11 +200,11 @@
 	if !i.progressing(next, now) {
 		return false
 	}
-	if t.namedAt.IsZero() || next.namedAt.IsZero() {
+	if t.setAt.IsZero() || next.setAt.IsZero() {
 		return true
 	}
 	first := time.Duration(firstSlotShare * float64(i.params.Deadline))
-	expected := next.namedAt.Add(first + time.Duration(position*float64(lastSlot(i.params.Deadline)-first)))
+	expected := next.setAt.Add(first + time.Duration(position*float64(lastSlot(i.params.Deadline)-first)))
 	return expected.Add(updateTime).Before(i.routingCutoff(t))
 }
 
@@ -222,10 +222,10 @@
 // expected. It is not while the origin is unavailable. If the version's age or the
 // link's rate is unknown, it counts as progressing. Installer.mu is held.
 func (i *Installer) progressing(t target, now time.Time) bool {
-	if t.namedAt.IsZero() || i.settings.LinkRate <= 0 {
+	if t.setAt.IsZero() || i.settings.LinkRate <= 0 {
 		return true
 	}
-	elapsed := now.Sub(t.namedAt) - firstChunksGrace
+	elapsed := now.Sub(t.setAt) - firstChunksGrace
 	if elapsed < 0 {
 		return true
 	}
--- a/installer/start_test.go
+++ b/installer/start_test.go
@@ -47,10 +47,10 @@
 
 func TestOlderVersionIsLoadedIfNewerIsLate(t *testing.T) {
 	now := time.Now()
-	far := []target{{version: 2, namedAt: now}, {version: 3, namedAt: now.Add(4 * time.Second)}}
+	far := []target{{version: 2, setAt: now}, {version: 3, setAt: now.Add(4 * time.Second)}}
 	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2), now), 2, "version 3 is too late for the deadline of version 2")
 	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2, 3), now), 3, "both are complete")
-	near := []target{{version: 2, namedAt: now}, {version: 3, namedAt: now.Add(time.Second)}}
+	near := []target{{version: 2, setAt: now}, {version: 3, setAt: now.Add(time.Second)}}
 	assert.Equal(t, nextVersion(newLoadedInstaller(near, 2), now), 0, "version 3 will be served in time")
 	assert.Equal(t, nextVersion(newLoadedInstaller(far), now), 0, "no replica")
 	busy := newLoadedInstaller(far, 2)
@@ -65,7 +65,7 @@
 	now := time.Now()
 	var first, latest time.Time
 	for k := range 20 {
-		i := newLoadedInstaller([]target{{version: 2, namedAt: now}}, 2)
+		i := newLoadedInstaller([]target{{version: 2, setAt: now}}, 2)
 		i.settings.Box = fmt.Sprint("box", k)
 		for n := range 20 {
 			i.peerList = append(i.peerList, Peer{Box: fmt.Sprint("box", n)})
@@ -91,12 +91,12 @@
 // routing cutoff, nor that of an empty engine.
 func TestUpdateNotScheduled(t *testing.T) {
 	now := time.Now()
-	i := newLoadedInstaller([]target{{version: 2, namedAt: now.Add(routingCutoffMargin - testDeadline)}}, 2)
+	i := newLoadedInstaller([]target{{version: 2, setAt: now.Add(routingCutoffMargin - testDeadline)}}, 2)
 	i.replicas[0].completedAt = now
 	s, _ := i.nextUpdate(now)
 	i.recordSchedule(s)
 	assert.Assert(t, !i.UpdateScheduled())
-	i = newLoadedInstaller([]target{{version: 2, namedAt: now}}, 2)
+	i = newLoadedInstaller([]target{{version: 2, setAt: now}}, 2)
 	i.engineState = EngineState{}
 	s, _ = i.nextUpdate(now)
 	i.recordSchedule(s)
@@ -107,7 +107,7 @@
 
 func TestEmptyEngineIsLoadedAtOnce(t *testing.T) {
 	now := time.Now()
-	i := newLoadedInstaller([]target{{version: 2, namedAt: now}}, 2)
+	i := newLoadedInstaller([]target{{version: 2, setAt: now}}, 2)
 	i.engineState = EngineState{}
 	s, _ := i.nextUpdate(now)
 	assert.Assert(t, s.engineEmpty)
@@ -128,7 +128,7 @@
 // holds the given number of chunks of version 2, and the origin sends one chunk per
 // interval.
 func newPartialInstaller(named2, named3 time.Time, held int, interval time.Duration) *Installer {
-	i := newLoadedInstaller([]target{{version: 2, namedAt: named2}, {version: 3, namedAt: named3}}, 2)
+	i := newLoadedInstaller([]target{{version: 2, setAt: named2}, {version: 3, setAt: named3}}, 2)
 	i.params.ChunkBytes = testBytes
 	i.params.OriginRate = testBytes / interval.Seconds()
 	i.replicas[0].held.ClearAll()
@@ -219,7 +219,7 @@
 		i.peerList = []Peer{{Box: "other"}, {Box: "box0"}}
 		i.AddTargetOfUnknownAge(testModel, 2, true, now)
 		if known {
-			i.AddTarget(testModel, 2, now.Add(-namingSkew/2))
+			i.AddTarget(testModel, 2, now.Add(-setTimeTolerance/2))
 		}
 		s, _ := i.nextUpdate(now)
 		assert.Assert(t, s.startAt.After(now), "a gateway may still report the age")
@@ -236,7 +236,7 @@
 // An older version is not fetched after the routing cutoff of the newer one.
 func TestVersionPastRoutingCutoffIsNotFetched(t *testing.T) {
 	now := time.Now()
-	i := newLoadedInstaller([]target{{version: 2, namedAt: now.Add(-2 * testDeadline)}, {version: 3, namedAt: now.Add(-testDeadline)}}, 2)
+	i := newLoadedInstaller([]target{{version: 2, setAt: now.Add(-2 * testDeadline)}, {version: 3, setAt: now.Add(-testDeadline)}}, 2)
 	part := i.replicas[0]
 	part.held.Clear(0)
 	assert.DeepEqual(t, fetchedVersions(i), []int{3})
@@ -245,9 +245,9 @@
 // An engine to which gateways have stopped routing is updated without a drain.
 func TestNoDrainAfterRoutingCutoff(t *testing.T) {
 	now := time.Now()
-	s, _ := newLoadedInstaller([]target{{version: 2, namedAt: now}}, 2).nextUpdate(now)
+	s, _ := newLoadedInstaller([]target{{version: 2, setAt: now}}, 2).nextUpdate(now)
 	assert.Equal(t, s.drainLimit, earlyDrainTimeout)
-	late := newLoadedInstaller([]target{{version: 2, namedAt: now.Add(-testDeadline)}}, 2)
+	late := newLoadedInstaller([]target{{version: 2, setAt: now.Add(-testDeadline)}}, 2)
 	late.replicas[0].completedAt = now
 	s, _ = late.nextUpdate(now)
 	assert.Equal(t, s.drainLimit, time.Duration(0))
@@ -258,7 +258,7 @@
 // version.
 func TestSkippedVersionsDeadlineIsMet(t *testing.T) {
 	now := time.Now()
-	i := newLoadedInstaller([]target{{version: 2, namedAt: now.Add(-5 * time.Second)}, {version: 3, namedAt: now}}, 2, 3)
+	i := newLoadedInstaller([]target{{version: 2, setAt: now.Add(-5 * time.Second)}, {version: 3, setAt: now}}, 2, 3)
 	for n := range 4 {
 		i.peerList = append(i.peerList, Peer{Box: fmt.Sprint("box", n)})
 	}
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -389,7 +389,7 @@
 	if p, ok := s.pullFromPeer(since); ok {
 		return p
 	}
-	if p, ok := s.readExtraShare(since); ok {
+	if p, ok := s.readExtraChunk(since); ok {
 		return p
 	}
 	if p, ok := s.recoverLostChunk(now); ok {
@@ -398,9 +398,9 @@
 	return Pull{Wait: idleBackoffMin}
 }
 
-// readExtraShare returns a read of a random missing chunk from the origin,
+// readExtraChunk returns a read of a random missing chunk from the origin,
 // within Params.ExtraOrigin, once the whole schedule has passed.
-func (s *Swarm) readExtraShare(since time.Duration) (Pull, bool) {
+func (s *Swarm) readExtraChunk(since time.Duration) (Pull, bool) {
 	passed := since > time.Duration(s.params.Chunks)*s.params.ChunkInterval
 	if !passed || s.extraReads >= s.params.ExtraOrigin || s.firstFetches >= maxFirstFetches {
 		return Pull{}, false
