--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -21,11 +21,12 @@
 // digest.
 const errDigestMismatch = errors.ConstError("chunk does not match its digest")
 
-// manifestMismatchLimit is the number of digest mismatches, with no matching
-// chunk, after which the manifest itself is assumed to be corrupt.
+// manifestMismatchLimit is the number of received chunks that do not match their
+// digests after which the manifest is assumed to be corrupt, if no chunk matched.
 const manifestMismatchLimit = 4
 
-// fetch pulls chunks until r is complete. It returns false if the round timed
+// fetch pulls chunks until r is complete, for one round, whose duration
+// fetchRoundTimeout and fetchRoundJitter bound. It returns false if the round timed
 // out, ctx ended or the manifest was discarded first.
 func (i *Installer) fetch(ctx context.Context, task fetchTask, r *replica) bool {
 	if i.isComplete(r) {
@@ -89,15 +90,16 @@
 	return r.complete()
 }
 
-// manifestSuspect reports whether the manifest of r is assumed to be corrupt.
+// manifestSuspect reports whether the manifest of r is assumed to be corrupt,
+// because several chunks have arrived and none matched its digest.
 func (i *Installer) manifestSuspect(r *replica) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return r.held.Count() == 0 && r.mismatches >= manifestMismatchLimit
 }
 
-// dropReplica removes a replica whose manifest is suspect, so that the manifest
-// is fetched again.
+// dropReplica removes a replica whose manifest is assumed to be corrupt, so that
+// the manifest is fetched again.
 func (i *Installer) dropReplica(r *replica) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -110,8 +112,9 @@
 	i.log.Info("manifest discarded", "version", r.manifest.Version, "spoilt", r.mismatches)
 }
 
-// startSwarm replaces the swarm of r by a new one over the current sidecar list.
-// Pulls of the previous swarm that are in flight still report to that one.
+// startSwarm replaces the swarm of r, which schedules its pulls, by a new one over
+// the current sidecar list. Pulls in flight that the previous swarm has scheduled
+// report their results to the previous swarm.
 func (i *Installer) startSwarm(ctx context.Context, task fetchTask, r *replica) *transfer.Swarm {
 	peers := i.listPeers(ctx)
 	params := transfer.Params{
@@ -145,9 +148,7 @@
 	return swarm
 }
 
-// peerListMaxAge is the maximum age of the sidecar list for a new swarm. A
-// fresher list would not exclude stopped boxes, as an entry outlives its box by
-// three heartbeats.
+// peerListMaxAge is the maximum age of the sidecar list for a new swarm.
 const peerListMaxAge = time.Second
 
 // listPeers returns the service's sidecars, this one included. It reads the list
@@ -171,15 +172,15 @@
 	return peers
 }
 
-// partnerTimeout bounds how long a new swarm waits for its partners' responses
-// before it starts to read chunks, so that an unresponsive partner does not
-// delay the fetch.
+// partnerTimeout bounds how long a fetch waits for the responses of queryPartners
+// before it starts to pull chunks, so that an unresponsive partner does not delay
+// it.
 const partnerTimeout = 60 * time.Millisecond
 
-// queryPartners queries the boxes that rank next to this one in the order of its
-// chunks what they hold, so that no chunk is read from the origin that one of
-// them holds already. A partner that does not respond is passed over in that
-// order.
+// queryPartners asks the partners of this box which chunks they hold. Partners are
+// boxes that share the responsibility for reading some chunks from the origin; see
+// transfer.Order. Chunks that a partner holds are not read from the origin again. If
+// a partner does not respond, this box reads that partner's chunks in its place.
 func (i *Installer) queryPartners(ctx context.Context, m *Manifest, swarm *transfer.Swarm, addresses map[string]string, partners []string) {
 	answered := make(chan struct{})
 	var group sync.WaitGroup
@@ -208,24 +209,26 @@
 	}
 }
 
-// Limits of concurrent pulls. Pulls in flight queue on the box's link ahead of
-// the requests and responses of the engine, so a link that turns out to be slow
-// gets a single one.
+// Limits of concurrent pulls. Pulls share the box's link with the requests and
+// responses of the engine and delay them if the link is slow.
 const (
+	// maxPulls is the maximum number of pulls in flight for a replica.
 	maxPulls = 3
-	// extraFirstFetches is the number of pulls beyond the limit that are allowed
-	// for chunks that no other box is known to hold.
+	// extraFirstFetches is the number of additional pulls that are allowed for
+	// chunks that no other box is known to hold.
 	extraFirstFetches = 1
 	// slowLinkFactor is the multiple of the expected chunk time above which the
-	// link counts as slow.
-	slowLinkFactor   = 5
+	// link counts as slow and only one pull is allowed.
+	slowLinkFactor = 5
+	// pullPollInterval is the pause before the swarm is queried again if no pull
+	// can be started.
 	pullPollInterval = 15 * time.Millisecond
 )
 
-// pullLimit returns how many pulls of r may be in flight; Installer.mu is held.
-// While an older version is still being fetched, the newer one gets none until
-// all chunks of the older one are held by boxes within reach, and a single one
-// until they have arrived here.
+// pullLimit returns how many pulls for r may be in flight; Installer.mu is held. If
+// an older version is to be completed first, the limit is 0 while some chunk of the
+// older version is held neither here nor by a known peer, and then 1 until the
+// older version is complete. It is also 1 on a slow link.
 func (i *Installer) pullLimit(r *replica, task fetchTask, now time.Time) int {
 	for _, t := range i.targets {
 		if t.version >= task.version || !i.shouldFinishOlder(t, now) {
@@ -247,18 +250,20 @@
 	return maxPulls
 }
 
-// Failover delays of a swarm. They are short because a version has seconds to
-// reach all engines.
+// Failover delays of a swarm. They are short because a new version must reach all
+// engines within seconds.
 const (
-	// takeOverDelay is how long each further rank waits before it reads a chunk
-	// in place of a box that has not reported it.
+	// takeOverDelay is the transfer.Params.TakeOverDelay: the additional time after
+	// which each further box reads a chunk in place of the box that should have read
+	// it.
 	takeOverDelay = 900 * time.Millisecond
-	// chunkLostAfter is how long no new chunk must have appeared before a chunk
-	// counts as lost with the box that read it.
+	// chunkLostAfter is the transfer.Params.IdleTimeout: the time without a new chunk
+	// after which the missing chunks are presumed lost and fetched again.
 	chunkLostAfter = 400 * time.Millisecond
 )
 
-// defaultChunkInterval is used if the origin's rate is unknown.
+// defaultChunkInterval is the result of chunkInterval if the origin's rate is
+// unknown.
 const defaultChunkInterval = 20 * time.Millisecond
 
 // chunkInterval returns how long the origin takes to send one chunk.
@@ -269,8 +274,8 @@
 	return time.Duration(float64(p.ChunkBytes) / p.OriginRate * float64(time.Second))
 }
 
-// originRegion returns the region whose boxes read from the origin: the origin's
-// own if it has a sidecar, otherwise the first by name.
+// originRegion returns the region whose boxes read from the origin: the origin's own
+// region if a sidecar is in it, otherwise the first region in alphabetical order.
 func (i *Installer) originRegion(task fetchTask, peers []Peer) string {
 	lowest := i.settings.Region
 	for _, p := range peers {
@@ -282,8 +287,8 @@
 	return lowest
 }
 
-// pull executes p and reports its result to the swarm. has is the set of chunks
-// that are held here or in flight.
+// pull carries out p and reports its result to the swarm. has is the set of chunks
+// that this box holds or has in flight.
 func (i *Installer) pull(ctx context.Context, r *replica, swarm *transfer.Swarm, p transfer.Pull, has *bitset.BitSet) {
 	began := clock.Now()
 	availability, data, err := i.requestChunk(ctx, r, swarm, &p, has, func() { began = clock.Now() })
@@ -326,7 +331,9 @@
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-// countChunk counts a received chunk by its source; Installer.mu is held.
+// countChunk counts a received chunk by its source: the origin, a peer of the same
+// region, or a box of another region, which the metric's label calls "far".
+// Installer.mu is held.
 func (i *Installer) countChunk(r *replica, p transfer.Pull) {
 	source := "peer"
 	switch p.Kind {
@@ -342,9 +349,9 @@
 	i.metrics.Counter("mintlift_installer_chunks_total", "source", source).Inc()
 }
 
-// requestChunk requests the chunk of p from the origin or a peer. sending is
-// called when a peer of another region, which may have waited for the chunk
-// itself, starts to send it.
+// requestChunk requests the chunk of p from the origin or a peer. A peer of another
+// region may hold the request until the chunk has arrived there; sending is called
+// when that peer starts to send.
 func (i *Installer) requestChunk(ctx context.Context, r *replica, swarm *transfer.Swarm, p *transfer.Pull, has *bitset.BitSet, sending func()) (transfer.Availability, []byte, error) {
 	i.mu.Lock()
 	stallTimeout := swarm.StallTimeout()
--- a/installer/installer.go
+++ b/installer/installer.go
@@ -1,12 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package installer updates the engine beside a sidecar to the model version
-// that the operator named last.
+// Package installer updates the engine beside a sidecar to the newest target
+// version. A target version is a version of the model that the operator has set to
+// be served; log lines call it named.
 //
-// Every sidecar plans its own steps from the same records, without a
-// coordinator: it fetches the version's chunks from the origin and from other
-// sidecars by the rules of package transfer, stages them beside the engine,
-// verifies them again and orders the engine to load them.
+// Every sidecar plans its own updates from the same records, without a
+// coordinator. It fetches the version's chunks from the origin and from other
+// sidecars by the rules of package transfer. It stages the chunks beside the
+// engine, where they survive a restart of the sidecar, verifies them there, and
+// orders the engine to load them. Each engine has a slot in the rollout of a
+// version, the time at which its update starts, so that the others serve meanwhile.
 //
 // Installer.mu guards all state; it is never held during a call to another
 // process. Installer.stagingMu guards the chunks staged beside the engine.
@@ -61,17 +64,18 @@
 // EngineState is the state that the engine reports.
 type EngineState struct {
 	Model string
-	// Version is the version whose chunks the engine has all loaded, or 0.
+	// Version is the version that the engine has loaded completely, or 0.
 	Version int
 	// Busy is set while the engine executes an order.
 	Busy bool
 	// Orders is the number of orders that the engine has accepted.
 	Orders int64
-	// Queued and Running are numbers of requests.
+	// Queued and Running are the numbers of requests that the engine has queued and
+	// runs.
 	Queued  int
 	Running int
-	// Pace is the engine's slowdown: above 1, how many times slower than usual it
-	// runs.
+	// Pace is how many times slower than normal the engine works; values below 1
+	// count as 1.
 	Pace float64
 	// StartedMS is when the engine's process started, in Unix milliseconds, or 0
 	// if the engine does not report it.
@@ -82,6 +86,7 @@
 
 // Engine is the engine beside the sidecar.
 type Engine interface {
+	// State reads the engine's state.
 	State(ctx context.Context) (EngineState, error)
 	// Put stages a chunk.
 	Put(ctx context.Context, model string, chunk int, data []byte) error
@@ -94,15 +99,17 @@
 
 // Origin is the source of model weights.
 type Origin interface {
+	// Manifest returns the manifest of a version.
 	Manifest(ctx context.Context, model string, version int) (*Manifest, error)
+	// Chunk returns the content of a chunk, which may not match its digest.
 	Chunk(ctx context.Context, model string, version, chunk int) ([]byte, error)
 }
 
 // Peer is a sidecar of the service.
 type Peer struct {
-	// Box identifies the sidecar: the IP address of its box.
+	// Box is the IP address of the sidecar's box, which identifies the sidecar.
 	Box string
-	// Address of its installer, IP:PORT.
+	// Address is the IP:PORT at which the sidecar serves Installer.Handler.
 	Address string
 	Region  string
 	Zone    string
@@ -120,8 +127,8 @@
 	OriginRate float64
 	// OriginRegion is the region that the origin is in.
 	OriginRegion string
-	// Deadline is how long after its naming a version must be served by all
-	// engines.
+	// Deadline is the time within which all engines must serve a new target version,
+	// counted from when the operator set it.
 	Deadline time.Duration
 }
 
@@ -134,8 +141,8 @@
 	LinkRate float64
 }
 
-// Installer fetches named versions and loads them into the engine of one
-// sidecar. It does nothing until Run is called.
+// Installer fetches target versions and loads them into the engine of one sidecar.
+// It does nothing until Run is called.
 type Installer struct {
 	settings Settings
 	engine   Engine
@@ -143,15 +150,16 @@
 	// peers reads the list of the service's sidecars, this one included.
 	peers  func(ctx context.Context) ([]Peer, error)
 	client *peerClient
-	// upPacer and downPacer keep transfers below the rate of the box's link.
+	// upPacer and downPacer keep the uploads and downloads of chunks below the rate
+	// of the box's link.
 	upPacer, downPacer *pacer
-	// manifestHopTimeout is the constant of that name, unless a test overrides
+	// manifestHopTimeout is the constant manifestHopTimeout, unless a test overrides
 	// it.
 	manifestHopTimeout time.Duration
 	log                logr.Logger
 	metrics            *telemetry.Metrics
 
-	// stagingMu is locked before mu.
+	// stagingMu guards the staged chunks. It is locked before mu.
 	stagingMu sync.Mutex
 
 	mu            sync.Mutex
@@ -159,30 +167,32 @@
 	targets       []target // in ascending order of version
 	engineState   EngineState
 	engineStateAt time.Time // when engineState was reported; zero before the first report
-	draining      bool      // gateways should send the engine no new requests
-	// expectedLoad is the load that results from the last start order if the
-	// engine accepts it. verifiedLoad is the load whose chunks were verified after
-	// the engine had accepted it.
+	draining      bool      // the engine is being drained for an update
+	// expectedLoad identifies the load that results if the engine accepts the last
+	// start order. verifiedLoad identifies the last load that counts as verified.
 	expectedLoad, verifiedLoad loadID
-	// updateScheduled is set while the engine has a slot in a rollout.
+	// updateScheduled is set while an update of the engine with a preceding drain is
+	// planned or in progress.
 	updateScheduled bool
 	replicas        []*replica
-	peerList        []Peer // the sidecar list as last read, at peerListAt
-	peerListAt      time.Time
-	// changed is closed and replaced when a waiter must look at the state again.
+	peerList        []Peer    // the sidecar list as last read
+	peerListAt      time.Time // when peerList was read
+	// changed is closed and replaced when the state has changed, to wake the
+	// goroutines that wait for a change.
 	changed chan struct{}
 }
 
-// target is a version that the operator named.
+// target is a target version: a version that the operator has set to be served.
 type target struct {
 	version int
 	setAt   time.Time // zero if unknown
-	// ageUnknown is set if setAt is when this process learned of the version,
-	// or was moved back because the version is overdue.
+	// ageUnknown is set if setAt is not the time at which the operator set the version,
+	// but either the time at which this process first received it, or an assumed time
+	// whose deadline has passed.
 	ageUnknown bool
 }
 
-// maxTargets is how many named versions are kept.
+// maxTargets is the maximum number of target versions that are kept.
 const maxTargets = 3
 
 // replica is this box's copy of a version, complete or not.
@@ -194,22 +204,24 @@
 	chunkArrived chan struct{}
 	// completedAt is when the last chunk arrived.
 	completedAt time.Time
-	// swarm is nil until the first fetch starts.
+	// swarm schedules the pulls of the current fetch. It is nil until the first fetch
+	// starts.
 	swarm *transfer.Swarm
 	// addresses maps the boxes of the swarm to their installers' addresses.
 	addresses map[string]string
-	picker    *transfer.Picker
+	// picker selects the chunks to send to peers.
+	picker *transfer.Picker
 	// mismatches counts received chunks that did not match their digests.
 	mismatches int
-	// fromPeers, fromRemoteRegion and fromOrigin count received chunks by source;
-	// fromPeers are those of the own region.
+	// fromPeers, fromRemoteRegion and fromOrigin count the chunks received from boxes
+	// of this region, from boxes of other regions and from the origin.
 	fromPeers        int
 	fromRemoteRegion int
 	fromOrigin       int
 }
 
-// maxReplicas is how many replicas are kept for other sidecars: the newest
-// version and the one that may be served until the newest is complete.
+// maxReplicas is the maximum number of replicas that are kept: one of the newest
+// version, and one of the version that may be served until the newest is complete.
 const maxReplicas = 2
 
 // New returns an Installer; peers reads the list of the service's sidecars.
@@ -233,24 +245,26 @@
 	i.notifyLocked()
 }
 
-// AddTarget records that the operator named a version of the model. setAt is
-// when, or zero if unknown; of several reports the earliest known time counts.
+// AddTarget records that the operator has set a version of the model to be served.
+// setAt is when, or zero if unknown. If several calls give different times, the
+// earliest is used.
 func (i *Installer) AddTarget(model string, version int, setAt time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.addTargetLocked(model, target{version: version, setAt: setAt})
 }
 
-// overdueGrace is how long a sidecar waits for a gateway that knows a version's
-// age before it accepts reports that the version is overdue. Gateways that
-// started during a rollout report that, too.
+// overdueGrace is how long a sidecar waits for a report of a target version's age
+// before it accepts reports that the version is overdue. A gateway that started
+// during the rollout also reports the version as overdue, although it may not be.
 const overdueGrace = 1200 * time.Millisecond
 
-// AddTargetOfUnknownAge records a named version whose age the reporting gateway
-// does not know. overdue is set if that gateway has seen the version served and
-// routes to no older one. If no gateway has reported the age within overdueGrace,
-// the version's deadline counts as passed: the engine gets no requests until it
-// is updated, so it does not wait for its slot.
+// AddTargetOfUnknownAge records a target version for which the reporting gateway has
+// no time at which it was set. overdue is set if that gateway has seen the version
+// served and routes to no older version. If overdue is still reported after
+// overdueGrace and no gateway has reported the age, the version's deadline counts as
+// passed. Its update then starts without waiting for the engine's slot, as the
+// engine gets no requests until it is updated.
 func (i *Installer) AddTargetOfUnknownAge(model string, version int, overdue bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -266,8 +280,10 @@
 	}
 }
 
-// addTargetLocked merges a report of a named version into the targets;
-// Installer.mu is held. Reports of another model are ignored.
+// addTargetLocked merges a report of a target version into the targets.
+// Installer.mu is held. Reports of another model are ignored. A version that is not
+// newer than the newest target is not added, but the report may update the time of a
+// target.
 func (i *Installer) addTargetLocked(model string, reported target) {
 	if i.params.Model != "" && model != i.params.Model {
 		return
@@ -288,8 +304,8 @@
 	i.notifyLocked()
 }
 
-// setTimeTolerance is the tolerance within which two gateways' times of the same naming
-// count as equal.
+// setTimeTolerance is the difference within which two gateways' reports of when a
+// target version was set count as the same time.
 const setTimeTolerance = 100 * time.Millisecond
 
 // update merges another report of the same version into t and returns whether t
@@ -308,8 +324,8 @@
 	return true
 }
 
-// newestTarget returns the version named last. Without one it is version 1, which
-// is never named. Installer.mu is held.
+// newestTarget returns the newest target version. Without targets it is version 1,
+// the initial version, which the operator never sets. Installer.mu is held.
 func (i *Installer) newestTarget() target {
 	if len(i.targets) == 0 {
 		return target{version: 1}
@@ -323,15 +339,15 @@
 	i.changed = make(chan struct{})
 }
 
-// State returns the last state that the engine reported and when it did.
+// State returns the last state that the engine reported, and the time of that report.
 func (i *Installer) State() (EngineState, time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.engineState, i.engineStateAt
 }
 
-// UpdatePending reports whether the engine has a version loaded and a newer one
-// than its verified version is named.
+// UpdatePending reports whether the engine has a version loaded and the newest target
+// version is newer than the engine's verified version.
 func (i *Installer) UpdatePending() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -44,16 +44,15 @@
 	return m
 }
 
-// fakeEngine loads the staged chunks at once and records whether they were not all
-// of the ordered version.
+// fakeEngine is an Engine that loads the staged chunks as soon as it is ordered to.
 type fakeEngine struct {
 	mu      sync.Mutex
 	state   EngineState
 	stage   [testChunks][]byte
 	started []int // versions loaded
-	mixed   bool
-	running int // requests
-	cut     int // requests aborted by a start
+	mixed   bool  // a load included chunks of another version than the ordered one
+	running int   // requests in progress
+	cut     int   // requests aborted by start orders
 }
 
 func (e *fakeEngine) State(context.Context) (EngineState, error) {
@@ -105,16 +104,16 @@
 	e.state = EngineState{Model: testModel, Version: version}
 }
 
-// fakeOrigin counts the chunks that it sends, and may corrupt them.
+// fakeOrigin is an Origin that counts the chunks it sends and can corrupt them.
 type fakeOrigin struct {
 	mu   sync.Mutex
-	sent int
-	down bool
-	// corrupt reports whether the chunk is corrupted that is sent as number sent.
+	sent int  // chunks sent
+	down bool // all calls fail
+	// corrupt reports whether to corrupt a chunk, given the number of chunks sent.
 	corrupt func(sent int) bool
 	// corruptManifests is how many of the next manifests are corrupted.
 	corruptManifests int
-	delay            time.Duration
+	delay            time.Duration // of each call of Chunk
 }
 
 func (o *fakeOrigin) Manifest(_ context.Context, _ string, version int) (*Manifest, error) {
@@ -195,7 +194,7 @@
 	return c
 }
 
-// announce names a version to all installers.
+// addTarget adds a target version, set now, to all installers.
 func (c *cluster) addTarget(version int) {
 	for _, i := range c.installers {
 		i.AddTarget(testModel, version, time.Now())
@@ -239,6 +238,8 @@
 	return func(_ int, e *fakeEngine) { e.load(version) }
 }
 
+// A new target version must be loaded by all engines without each box fetching it
+// from the origin.
 func TestTargetVersionReachesAllEngines(t *testing.T) {
 	c := newCluster(t, 6, 3, 500*time.Millisecond, engineLoadedWith(1))
 	c.addTarget(2)
@@ -247,6 +248,8 @@
 	assert.Assert(t, c.origin.sent < testChunks*3, "the origin sent %d chunks for %d", c.origin.sent, testChunks)
 }
 
+// An engine that starts without a version must be loaded, mostly with chunks from
+// other sidecars.
 func TestEmptyEngineIsLoadedFromPeers(t *testing.T) {
 	c := newCluster(t, 4, 1, 500*time.Millisecond, func(k int, e *fakeEngine) {
 		if k > 0 {
@@ -258,6 +261,7 @@
 	assert.Assert(t, c.origin.sent < testChunks, "the origin sent %d chunks", c.origin.sent)
 }
 
+// Corrupt chunks from the origin must not be loaded, and must be fetched again.
 func TestCorruptChunksAreRejected(t *testing.T) {
 	c := newCluster(t, 3, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.corrupt = func(sent int) bool { return sent%3 == 0 }
@@ -266,6 +270,7 @@
 	c.checkLoads()
 }
 
+// A corrupt manifest, which no chunk matches, must not block the update.
 func TestCorruptManifestIsFetchedAgain(t *testing.T) {
 	c := newCluster(t, 1, 1, 300*time.Millisecond, engineLoadedWith(1))
 	time.Sleep(50 * time.Millisecond)
@@ -277,7 +282,8 @@
 	c.checkLoads()
 }
 
-// Staged chunks that become corrupt or are lost before the start are staged again.
+// Staged chunks that become corrupt or are lost before the start order must be staged
+// again.
 func TestCorruptStagedChunkIsReplaced(t *testing.T) {
 	c := newCluster(t, 1, 1, 900*time.Millisecond, engineLoadedWith(1))
 	c.addTarget(2)
@@ -291,6 +297,7 @@
 	c.checkLoads()
 }
 
+// The update must complete after an outage of the origin.
 func TestOriginOutage(t *testing.T) {
 	c := newCluster(t, 2, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.down = true
@@ -303,6 +310,7 @@
 	c.checkLoads()
 }
 
+// A newer target must replace an older one whose fetch has just started.
 func TestNewerVersionSupersedes(t *testing.T) {
 	c := newCluster(t, 4, 2, 600*time.Millisecond, engineLoadedWith(1))
 	c.origin.delay = 5 * time.Millisecond
@@ -320,7 +328,7 @@
 	}
 }
 
-// Boxes complete a fetch although one that fetched chunks for them stops.
+// The fetch must complete if a box stops that had chunks of the origin to read.
 func TestPeerStopsDuringFetch(t *testing.T) {
 	c := newCluster(t, 4, 1, 300*time.Millisecond, engineLoadedWith(1))
 	c.origin.delay = 3 * time.Millisecond
@@ -331,8 +339,8 @@
 	c.checkLoads()
 }
 
-// An engine is drained before its update, and requests that still run then are
-// aborted.
+// An engine must be drained before its update. Requests that still run at the end of
+// the drain must be aborted.
 func TestDrainThenAbort(t *testing.T) {
 	c := newCluster(t, 1, 1, 300*time.Millisecond, func(_ int, e *fakeEngine) {
 		e.load(1)
@@ -351,6 +359,7 @@
 	}
 }
 
+// A target version that is not newer than the newest one must not be added.
 func TestOlderTargetIsIgnored(t *testing.T) {
 	i := New(Settings{}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	i.AddTarget(testModel, 3, time.Now())
@@ -362,8 +371,8 @@
 	assert.Equal(t, i.newestTarget().version, 3)
 }
 
-// The earliest known time of a naming counts, so that an engine's slot does not
-// depend on which gateway's report arrives first.
+// The earliest reported time at which a target was set must be kept, so that an
+// engine's slot does not depend on which gateway's report arrives first.
 func TestEarliestSetTimeIsKept(t *testing.T) {
 	i := New(Settings{Box: "a"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	now := time.Now()
@@ -377,11 +386,11 @@
 	assert.Equal(t, len(i.targets), 1)
 }
 
-// A version is not skipped for a newer one whose fetch does not progress.
+// A version must not be skipped in favor of a newer one whose fetch does not progress.
 func TestVersionIsSkippedOnlyForAProgressingOne(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		since time.Duration // since the newer version was named
+		since time.Duration // since the newer target was set
 		held  uint          // chunks held of it; 0 means no replica
 		want  int           // the version to load next, or 0
 	}{
--- a/installer/load.go
+++ b/installer/load.go
@@ -9,18 +9,22 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Start is an order to load the staged chunks.
+// Start is an order to the engine to load the chunks that are staged beside it, in
+// place of the version that it has loaded.
 type Start struct {
 	Model   string
 	Version int
-	// Cut aborts running requests; otherwise the engine waits until they end.
+	// Cut makes the engine abort its running requests; otherwise it waits until they
+	// end.
 	Cut bool
-	// Orders is the expected EngineState.Orders. The engine refuses the order if
-	// its count differs.
+	// Orders is the expected EngineState.Orders, the number of orders that the engine
+	// has accepted. The engine refuses the order if its count differs, so it accepts
+	// a repeated order only once.
 	Orders int64
 }
 
-// Outcome is the result of a start order as far as it is known.
+// Outcome is the result of a start order, that is, of sending a Start to the engine,
+// as far as it is known.
 type Outcome int
 
 // The outcomes of a start order.
@@ -28,8 +32,8 @@
 	// Unknown means that the engine may have accepted the order or may still
 	// accept it.
 	Unknown Outcome = iota
-	// Accepted means that the engine accepted the order, or has the version loaded
-	// already.
+	// Accepted means that the engine accepted the order, or that it has the version
+	// loaded already.
 	Accepted
 	// Refused means that the engine did not accept the order and will not.
 	Refused
@@ -37,25 +41,28 @@
 
 // Timing of a load.
 const (
-	// maxCheckAge bounds the time between the start of the check of the staged
-	// chunks and the start order: a third of the time within which a staged chunk
-	// may become corrupt without being detected.
+	// maxCheckAge bounds the age of a check of the staged chunks when the start order
+	// is sent, counted from the start of the check. An older check is repeated, as
+	// staged chunks may become corrupt.
 	maxCheckAge = time.Second
 	// enginePollInterval is the pause between two reads of the engine's state
 	// while the outcome of a start is awaited.
 	enginePollInterval = 50 * time.Millisecond
 )
 
-// load loads the version of s into the engine; it returns false if that failed.
+// load loads the version of s into the engine. It returns false if that failed.
 //
-// The engine accepts a start order when it executes it, with the chunks that are
-// staged at that moment, which may be seconds after the caller's timeout. So
-// every order carries the expected order count, and one that got no response is
-// sent again before anything else may be staged: the engine accepts at most one
-// of them, which increments the count, and refuses the rest. Then all staged
-// chunks are verified again. One that became corrupt before the order was
-// accepted is still corrupt then, as nobody else stages chunks while stagingMu is
-// held. Only a load that passes this second check counts as verified.
+// The engine may accept a start order seconds after the sidecar's call has timed
+// out, and then loads the chunks that are staged at that time. So every order
+// carries the expected count of accepted orders. An order without a response is
+// sent again, with the same version staged, until its outcome is known. The engine
+// accepts at most one of these orders, which increments the count, and refuses the
+// others.
+//
+// After the engine has accepted the order, all staged chunks are verified again.
+// This detects a chunk that became corrupt before the engine read it: nothing
+// replaces staged chunks in the meantime, as stagingMu is held. Only a load that
+// passes this second check counts as verified.
 func (i *Installer) load(ctx context.Context, s *updateStep) bool {
 	i.stagingMu.Lock()
 	defer i.stagingMu.Unlock()
@@ -94,9 +101,9 @@
 	return false
 }
 
-// stageReplica reads every staged chunk and stages those of s again that are
-// missing or do not match their digests. It returns false if that failed;
-// stagingMu is held.
+// stageReplica makes all chunks of s staged. It reads every staged chunk, and stages
+// the chunk of s again if that is missing or does not match its digest. It returns
+// false if staging a chunk failed. stagingMu is held.
 func (i *Installer) stageReplica(ctx context.Context, s *updateStep) bool {
 	m := s.replica.manifest
 	for n, data := range s.replica.chunks {
@@ -115,8 +122,8 @@
 	return true
 }
 
-// sendStart orders the engine, whose last state is given, to load the staged
-// chunks, which were all read after checked.
+// sendStart sends a start order to the engine. state is the engine's last state, and
+// checked is when the last check of the staged chunks started.
 func (i *Installer) sendStart(ctx context.Context, s *updateStep, state EngineState, checked time.Time) Outcome {
 	m := s.replica.manifest
 	i.expectStart(state)
@@ -156,7 +163,7 @@
 		case err != nil:
 			continue
 		case !i.startAccepted(state):
-			// An accepted start has incremented the count, unless the engine restarted.
+			// The order was accepted, so only a restart explains another count or start time.
 			i.log.Info("engine restarted during a load", "version", m.Version, "orders", state.Orders, "expected", before.Orders+1)
 			return false
 		case state.Version == m.Version && !state.Busy:
--- a/installer/manifest.go
+++ b/installer/manifest.go
@@ -14,25 +14,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Manifests are distributed along a tree in each region: the boxes have an order
-// derived from the version, the first box queries the origin, and every other box
-// queries its ancestors in a tree of manifestFanOut children a box. So the origin,
-// which accepts few connections, sends one manifest a region and not one a box.
+// Manifests are distributed along a tree of boxes in each region, which is derived
+// from a hash of the version and the box names. The root requests the manifest from
+// the origin, and every other box from its ancestors. So the origin, which accepts
+// few connections, sends one manifest per region.
 const (
+	// manifestFanOut is the number of children of a box in the tree.
 	manifestFanOut = 3
-	// manifestHopTimeout is how long a box waits for an ancestor, times the
-	// ancestor's depth in the tree plus one. It is far above the duration of a call
-	// to the origin and below takeOverDelay, so that an unresponsive ancestor is
-	// skipped in time.
+	// manifestHopTimeout is the time allowed for each level of the tree: the timeout
+	// of a request to an ancestor is this times the number of levels from the root to
+	// the ancestor, both included.
 	manifestHopTimeout = 250 * time.Millisecond
-	// manifestHoldHops is how long a box without the manifest holds a request for
-	// it, in multiples of manifestHopTimeout: the depth of a tree of 120 boxes.
+	// manifestHoldHops is how long a box that does not have the manifest yet holds a
+	// request for it, in multiples of manifestHopTimeout.
 	manifestHoldHops = 4
 )
 
-// ancestors returns the boxes that the box of s queries for the manifest of a
-// version, its parent first. It is empty for the root of the region and for a box
-// that is not listed.
+// ancestors returns the boxes from which the box of s requests the manifest of a
+// version, its parent in the tree first and the root last. It is empty for the root
+// and for a box that is not listed. Other boxes that are draining are left out of
+// the tree.
 func ancestors(peers []Peer, s Settings, version int) []Peer {
 	var region []Peer
 	for _, p := range peers {
@@ -51,8 +52,9 @@
 	return out
 }
 
-// fetchManifest requests the manifest from this box's ancestors in the region's tree,
-// then the origin. It returns nil if none has a manifest of the expected length.
+// fetchManifest requests the manifest from each of this box's ancestors in the
+// region's tree, and then from the origin. It returns the first manifest with the
+// expected number of chunks, or nil if there is none.
 func (i *Installer) fetchManifest(ctx context.Context, task fetchTask) *Manifest {
 	above := ancestors(i.listPeers(ctx), i.settings, task.version)
 	for at, p := range above {
@@ -75,8 +77,8 @@
 	return m
 }
 
-// errorText returns the text of err for a log line. A nil error stands for a
-// manifest or chunk that was received but does not match.
+// errorText returns the text of err for a log line. A nil error means that a manifest
+// or chunk was received but does not match what was expected.
 func errorText(err error) string {
 	if err == nil {
 		return "content mismatch"
@@ -84,8 +86,9 @@
 	return err.Error()
 }
 
-// serveManifest responds with a manifest. It holds the request until there is one,
-// for manifestHoldHops hops at most.
+// serveManifest responds with the manifest of a version. If this box does not have it
+// yet, it holds the request for at most manifestHoldHops times manifestHopTimeout,
+// and then responds with status 404.
 func (i *Installer) serveManifest(w http.ResponseWriter, r *http.Request) {
 	hold := time.NewTimer(manifestHoldHops * i.manifestHopTimeout)
 	defer hold.Stop()
--- a/installer/obtain.go
+++ b/installer/obtain.go
@@ -18,19 +18,19 @@
 
 // Timing of an Installer.
 const (
-	// idleInterval is how often Run and runUpdates look for work if no change
-	// wakes them.
+	// idleInterval is the interval at which Run and runUpdates check for work if no
+	// change of the state wakes them.
 	idleInterval = time.Second
-	// retryDelay is the pause after a failed update. After a failed fetch it is
-	// longer by a random part of itself.
+	// retryDelay is the pause after a failed update. The pause after a failed fetch
+	// is random, between one and two times retryDelay.
 	retryDelay = 250 * time.Millisecond
-	// fetchRoundTimeout bounds a fetch with one sidecar list; then the list is read
-	// again. Each round is longer by a random part of fetchRoundJitter, so that
-	// boxes do not abort their pulls in step.
+	// fetchRoundTimeout bounds a round of a fetch, after which the sidecar list is
+	// read again. A random part of fetchRoundJitter is added to each round, so that
+	// boxes do not abort their pulls at the same time.
 	fetchRoundTimeout = 6 * time.Second
 	fetchRoundJitter  = 4 * time.Second
-	// startTimeout is how long the engine may take to load the version of an
-	// accepted start.
+	// startTimeout is how long the engine may take to load a version after it has
+	// accepted the start order.
 	startTimeout = 3 * time.Second
 )
 
@@ -43,8 +43,8 @@
 	cancel context.CancelFunc
 }
 
-// Run fetches and loads versions until ctx ends. Each fetchTask has a job of its
-// own, which is cancelled once the task is no longer listed.
+// Run fetches and loads versions until ctx ends. Each fetchTask runs in a job of its
+// own, which is cancelled once fetchTasks no longer returns the task.
 func (i *Installer) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -94,18 +94,19 @@
 type fetchTask struct {
 	params  Params
 	version int
-	// stagedOnly is set if the engine has the version loaded: the staged chunks are
-	// read into a replica for other sidecars, and nothing is fetched.
+	// stagedOnly is set if the engine has the version loaded. Its staged chunks are
+	// then read into a replica, to be sent to other sidecars, and no chunk is fetched.
 	stagedOnly bool
 }
 
-// finishOlderMinShare is the share of an older version's chunks that must be within
-// reach, here or at other sidecars, for its fetch to be finished if the ages of
-// the versions are unknown.
+// finishOlderMinShare is the share of an older version's chunks that must be held
+// here or by other sidecars for its fetch to be continued, if the ages of the
+// versions are unknown.
 const finishOlderMinShare = 0.6
 
-// fetchTasks returns what is to be fetched now, older versions before the newest,
-// and a channel that is closed when the state changes.
+// fetchTasks returns the versions to fetch now and a channel that is closed when the
+// state changes. Targets older than the newest come first, then the newest, then the
+// intermediateVersion if there is one.
 func (i *Installer) fetchTasks() ([]fetchTask, <-chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// reachable returns how many chunks are held here or known to be held by other
-// sidecars; Installer.mu is held.
+// reachable returns how many of the version's chunks are held here or are known to be
+// held by other sidecars. Installer.mu is held.
 func (r *replica) reachable() int {
 	if r.swarm == nil {
 		return int(r.held.Count())
@@ -152,8 +153,8 @@
 	return r.swarm.AvailableChunks()
 }
 
-// obtain fetches the version of task until its replica is complete, in as many
-// rounds as that takes. It returns false if there is no manifest, the replica was
+// obtain fetches the version of task, in repeated rounds, until its replica is
+// complete. It returns false if the manifest could not be fetched, the replica was
 // dropped or ctx ended.
 func (i *Installer) obtain(ctx context.Context, task fetchTask) bool {
 	r := i.openReplica(ctx, task)
@@ -188,9 +189,9 @@
 	return i.replicaLocked(version)
 }
 
-// openReplica returns the replica of the task's version. A new one starts with
-// the matching chunks that are staged beside the engine. It returns nil if there
-// is no manifest.
+// openReplica returns the replica of the task's version. If there is none, it creates
+// one with those chunks staged beside the engine that match the manifest. It returns
+// nil if the manifest could not be fetched.
 func (i *Installer) openReplica(ctx context.Context, task fetchTask) *replica {
 	if r := i.replica(task.version); r != nil {
 		return r
@@ -207,7 +208,7 @@
 	i.log.Info("replica opened", "version", task.version, "held", r.held.Count(), "chunks", len(r.chunks))
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	defer i.notifyLocked() // serveManifest holds requests for the manifest
+	defer i.notifyLocked() // serveManifest may hold requests for this manifest
 	i.replicas = append(i.replicas, r)
 	if len(i.replicas) > maxReplicas {
 		i.replicas = slices.Delete(i.replicas, 0, len(i.replicas)-maxReplicas)
--- a/installer/order.go
+++ b/installer/order.go
@@ -4,30 +4,31 @@
 
 import "time"
 
-// serveDelay is the estimated time from when a version's last chunk has left the
-// origin until engines serve the version: 0.9 s until the boxes hold it completely,
-// over links that need 2.2 s for a copy, and 0.4 s for the load.
+// serveDelay is the estimated time from when the origin has sent a version's last
+// chunk until engines serve the version.
 const serveDelay = 1300 * time.Millisecond
 
-// remainingWork is what is left to do until a version can be served.
+// remainingWork describes what is left to do until a version can be served, and by
+// when it should be served.
 type remainingWork struct {
-	// originTime is how long the origin takes to send the chunks that no box
-	// within reach holds.
+	// originTime is how long the origin takes to send the chunks that neither this
+	// box nor a known peer holds.
 	originTime time.Duration
-	// cutoff is when gateways stop routing to engines with older versions; zero if
-	// unknown.
+	// cutoff is the time from which gateways do not route to engines with older
+	// versions; zero if unknown.
 	cutoff time.Time
 }
 
-// forecast is the estimated result of a fetch order of two versions.
+// forecast is the estimated effect of a choice about the fetch of two versions: to
+// fetch the older one first, or the newer one only.
 type forecast struct {
-	// gap is how long gateways route to no version that engines have loaded. slack
-	// is the least time by which a version is served before it is due; it is
-	// negative if one is late.
+	// gap is the total time in which no engine has a version that gateways route to.
+	// slack is the time from when a version is served until its cutoff, the smallest
+	// for all fetched versions. It is negative if one is late.
 	gap, slack time.Duration
 }
 
-// better reports whether o has a shorter gap than other or, with the same gap,
+// better reports whether o has a shorter gap than other or, if the gaps are equal,
 // more slack.
 func (o forecast) better(other forecast) bool {
 	if o.gap != other.gap {
@@ -36,8 +37,8 @@
 	return o.slack > other.slack
 }
 
-// forecastOlderFirst returns the forecast if the origin sends the rest of the
-// older version before the newer one.
+// forecastOlderFirst returns the forecast for the case that the origin sends the rest
+// of the older version before the newer one.
 func forecastOlderFirst(older, newer remainingWork, now time.Time) forecast {
 	served := now.Add(older.originTime + serveDelay)
 	next := served.Add(newer.originTime)
@@ -48,14 +49,16 @@
 	}
 }
 
-// forecastNewerOnly returns the forecast if the fetch of the older version is
-// abandoned.
+// forecastNewerOnly returns the forecast for the case that the fetch of the older
+// version is abandoned. The newer version must then be served by the cutoff of the
+// older one.
 func forecastNewerOnly(older, newer remainingWork, now time.Time) forecast {
 	slack := older.cutoff.Sub(now.Add(newer.originTime + serveDelay))
 	return forecast{gap: max(-slack, 0), slack: slack}
 }
 
-// remainingWork returns what is left to do for t; Installer.mu is held.
+// remainingWork returns what is left to do until t can be served; Installer.mu is
+// held.
 func (i *Installer) remainingWork(t target) remainingWork {
 	missing := i.params.Chunks
 	if r := i.replicaLocked(t.version); r != nil {
@@ -64,10 +67,10 @@
 	return remainingWork{originTime: time.Duration(missing) * chunkInterval(i.params), cutoff: i.routingCutoff(t)}
 }
 
-// shouldFinishOlder reports whether the fetch of t, a version older than the newest,
-// is finished first. The newest version supersedes t, but if the origin is slow or
-// was unavailable, t can be served until the newest is complete; if both are in
-// time, finishing t first may leave more slack. Installer.mu is held.
+// shouldFinishOlder reports whether to complete the fetch of t before that of the
+// newest version. It is false if t is the newest version. Completing t first is
+// useful if engines can serve t until the newest version is complete, such as after
+// an outage of the origin, or if it leaves more slack. Installer.mu is held.
 func (i *Installer) shouldFinishOlder(t target, now time.Time) bool {
 	newest := i.newestTarget()
 	r := i.replicaLocked(t.version)
--- a/installer/pace.go
+++ b/installer/pace.go
@@ -10,9 +10,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits of pacing. A transfer that saturates a box's link delays the responses that
-// the engine sends over it, so transfers leave a share of the link free.
+// Limits of pacing.
 const (
+	// linkShare is the share of the box's link that transfers in one direction may
+	// use. The rest is left to the requests and responses of the engine.
 	linkShare = 0.88
 	// paceStep is the number of bytes sent or read at once.
 	paceStep = 4 << 10
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// pacedReader reads from another reader at the rate of a pacer.
+// pacedReader limits the reads from another reader to the rate of a pacer.
 type pacedReader struct {
 	ctx   context.Context
 	from  io.Reader
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -48,9 +48,9 @@
 	heldTimeout      = 200 * time.Millisecond
 	maxManifestBytes = 4 << 20
 	maxChunkBytes    = 16 << 20
-	// maxQueuedUploads is how many pulls may wait for one of maxUploads slots.
+	// maxQueuedUploads is the maximum number of pulls that wait for an upload slot.
 	maxQueuedUploads = 3
-	// maxUploads bounds concurrent uploads, for the same reason as maxPulls.
+	// maxUploads is the maximum number of concurrent uploads.
 	maxUploads = 3
 )
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// held queries which chunks of a version a peer holds. A peer without a replica
-// holds none.
+// held asks a peer which chunks of a version it holds. A peer without a replica of
+// the version is not an error; the bitmaps of the result are then nil.
 func (c *peerClient) held(ctx context.Context, address string, m *Manifest) (transfer.Availability, error) {
 	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
 	defer cancel()
@@ -125,10 +125,11 @@
 	return peer.ParseAvailability(header, len(m.Digests)), nil
 }
 
-// pull requests a chunk from a peer, or any chunk that is not in has if chunk is
-// -1. accept is called with the number of the offered chunk before its bytes are
-// read; if it returns false, pull returns errChunkNotNeeded. pull returns
-// stall.ErrStalled if no byte arrives within firstByteTimeout, or later for stallTimeout.
+// pull requests a chunk from a peer. If chunk is -1, the peer selects any chunk that
+// is not in has. accept is called with the number of the offered chunk before its
+// bytes are read; if it returns false, pull returns errChunkNotNeeded. pull returns
+// stall.ErrStalled if the first byte does not arrive within firstByteTimeout, or a
+// later byte within stallTimeout of the previous one.
 func (c *peerClient) pull(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, firstByteTimeout, stallTimeout time.Duration, accept func(int) bool) (transfer.Availability, []byte, error) {
 	ctx, guard := stall.New(ctx, firstByteTimeout, stallTimeout)
 	defer guard.Stop()
@@ -136,6 +137,8 @@
 	return availability, data, stall.Cause(ctx, err)
 }
 
+// pullOnce is pull without its timeouts. It reports received bytes to guard, which
+// cancels ctx on a timeout.
 func (c *peerClient) pullOnce(ctx context.Context, address, self string, m *Manifest, chunk int, has *bitset.BitSet, accept func(int) bool, guard *stall.Guard) (transfer.Availability, []byte, error) {
 	var availability transfer.Availability
 	body, err := json.Marshal(peer.PullRequest{Box: self, Chunk: chunk, Has: peer.EncodeBits(has)})
@@ -202,7 +205,8 @@
 	return found
 }
 
-// serveHeld responds with the chunks held, in the headers of package peer.
+// serveHeld responds with the bitmaps of the chunks held, in the headers that
+// peer.SetAvailability sets, or with status 404 if there is no replica.
 func (i *Installer) serveHeld(w http.ResponseWriter, r *http.Request) {
 	found := i.requestedReplica(r)
 	if found == nil {
--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -25,8 +25,8 @@
 	*fakeOrigin
 	connections int64 // the limit
 	open        atomic.Int64
-	manifests   atomic.Int64
-	resets      atomic.Int64
+	manifests   atomic.Int64 // manifests sent
+	resets      atomic.Int64 // calls that failed because of the limit
 }
 
 // accept counts a connection; it returns an error beyond the limit. The caller
@@ -57,9 +57,9 @@
 	return o.fakeOrigin.Chunk(ctx, model, version, n)
 }
 
-// The start of a rollout must not flood the origin with manifest requests, nor
-// boxes with availability queries whose number grows with the square of the boxes.
-// The number of chunks that the origin sends is tested on virtual time (linksim).
+// The start of a rollout must cause few manifest requests to the origin and few
+// availability queries between boxes. The number of chunks that the origin sends is
+// tested in package linksim, on virtual time.
 func TestRolloutStartSendsFewCalls(t *testing.T) {
 	const boxes, regions = 60, 5
 	origin := &limitedOrigin{fakeOrigin: &fakeOrigin{delay: 2 * time.Millisecond}, connections: 24}
@@ -118,8 +118,8 @@
 	assert.Assert(t, held.Load() <= boxes*boxes/regions, "%d availability queries", held.Load())
 }
 
-// Manifests are distributed along a tree of bounded depth and fan-out in each
-// region, and only the root queries the origin.
+// The boxes of a region must form a tree of bounded depth and fan-out, with a single
+// root that requests the manifest from the origin.
 func TestManifestTree(t *testing.T) {
 	var peers []Peer
 	for k := range 40 {
@@ -144,7 +144,7 @@
 	assert.Equal(t, len(ancestors(peers, Settings{Box: "unlisted", Region: "r0"}, 2)), 0)
 }
 
-// An unresponsive box does not keep its descendants from getting the manifest.
+// A box whose parent in the tree is unresponsive must still get the manifest.
 func TestManifestSkipsUnresponsiveBox(t *testing.T) {
 	stop := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -170,8 +170,8 @@
 	}
 }
 
-// A pull for a given chunk waits until the chunk arrives, without occupying the
-// upload queue; if the chunk does not arrive, the pull is answered without one.
+// A pull for a given chunk must be held until the chunk arrives, without occupying the
+// upload queue. After a timeout it must get a response without a chunk.
 func TestPullWaitsForChunk(t *testing.T) {
 	i := New(Settings{Box: "a"}, &fakeEngine{}, &fakeOrigin{}, nil, logr.Discard(), telemetry.NewMetrics())
 	r := newReplica(manifestOf(2), "a")
--- a/installer/stage.go
+++ b/installer/stage.go
@@ -6,18 +6,19 @@
 	"context"
 )
 
-// The engine stages one copy of the model, which outlives this process.
-// Installer.stagingMu is held during every change to it, and through a load from
-// its first check to its last, so that no chunk of another version is staged
-// meanwhile.
+// Staged chunks are stored by the engine, which keeps one copy of the model beside
+// the version that it has loaded. They outlive the sidecar's process.
+// Installer.stagingMu is held during every change to them. It is also held during a
+// load, from the first check of the staged chunks to the last, so that no chunk of
+// another version is staged in between.
 
-// stageSampleSize is how many chunks, spread over the model, are read before all
-// are: if none matches, another version is staged, and reading all of them would
-// be in vain.
+// stageSampleSize is the number of staged chunks that are read as a sample. If none
+// of them matches the manifest, the staged chunks are of another version and the
+// rest is not read.
 const stageSampleSize = 8
 
-// stageChunk stages a chunk as soon as it has arrived, if r is the replica to
-// stage. A sidecar that restarts during a fetch continues with the staged chunks.
+// stageChunk stages a chunk that has arrived, if shouldStage selects r. A sidecar
+// that restarts during a fetch continues with the staged chunks.
 func (i *Installer) stageChunk(r *replica, chunk int) {
 	i.stagingMu.Lock()
 	defer i.stagingMu.Unlock()
@@ -32,8 +33,8 @@
 	}
 }
 
-// shouldStage reports whether arriving chunks of r are staged: of the replicas
-// newer than the engine's verified version, r holds the most chunks.
+// shouldStage reports whether arriving chunks of r are staged. They are if r is newer
+// than the engine's verified version and no other such replica holds more chunks.
 // Installer.mu is held.
 func (i *Installer) shouldStage(r *replica) bool {
 	if r.manifest.Version <= i.verifiedVersion() {
@@ -47,8 +48,8 @@
 	return true
 }
 
-// readStage adds the staged chunks that match their digests to r, unless none of
-// a sample does.
+// readStage adds the staged chunks that match their digests to r. It reads a sample
+// first, and only if a chunk of the sample matches also the rest.
 func (i *Installer) readStage(ctx context.Context, r *replica) {
 	if !i.sampleStage(ctx, r) {
 		return
@@ -64,8 +65,8 @@
 	}
 }
 
-// sampleStage reads a sample of the staged chunks and reports whether any of them
-// matches. It returns false if a read fails.
+// sampleStage adds the matching chunks of a sample of the staged chunks to r and
+// reports whether r holds any chunk. It returns false if a read fails.
 func (i *Installer) sampleStage(ctx context.Context, r *replica) bool {
 	for at := range min(stageSampleSize, len(r.chunks)) {
 		n := at * len(r.chunks) / min(stageSampleSize, len(r.chunks))
--- a/installer/stage_test.go
+++ b/installer/stage_test.go
@@ -13,8 +13,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// A sidecar that is killed during a fetch continues with the staged chunks after
-// its restart.
+// A sidecar that restarts during a fetch must continue with the staged chunks.
 func TestStagedChunksSurviveRestart(t *testing.T) {
 	c := newCluster(t, 1, 1, 20*time.Second, engineLoadedWith(1))
 	c.origin.delay = 2 * time.Millisecond
@@ -40,8 +39,8 @@
 	assert.Assert(t, int(r.held.Count()) >= testChunks/2, "%d chunks found", r.held.Count())
 }
 
-// While an older version's update is pending, the staged chunks are not replaced by
-// those of a newer version of which fewer chunks are held.
+// The staged chunks of a version must not be replaced by those of a newer version of
+// which fewer chunks are held.
 func TestFullestReplicaIsStaged(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, setAt: now}, {version: 3, setAt: now}}, 2)
--- a/installer/start.go
+++ b/installer/start.go
@@ -13,47 +13,47 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Slots of a rollout: every engine is updated in a slot of its own, so that the
-// others serve meanwhile. The first slot is when this box's replica is complete,
-// but not before firstSlotShare of the version's deadline; the last is
-// lastSlotMargin before the deadline, or lastSlotMarginShare of a short one. The
-// drain starts with the slot; after it the engine starts no request on its old
-// version.
+// A slot is the time in a rollout at which the update of one engine starts with its
+// drain. The slots of the engines are spread over the deadline of the version, so
+// that only some engines are out of service at a time.
 //
-// A box whose replica is complete in time reports that its update is scheduled,
-// and gateways keep routing requests for its older version to it until its slot.
-// To other engines with an older version they stop routing routingCutoffMargin
-// before the deadline, which is 0.7 s earlier than the last slot. The later last
-// slot lengthens the rollout, so that fewer engines are out of service at a time.
+// A sidecar whose replica is complete before the routing cutoff reports that its
+// update is scheduled. Gateways then keep routing to its engine until the slot. The
+// routing cutoff is the time, routingCutoffMargin before the deadline, from which
+// gateways do not route to any other engine with an older version.
 const (
-	firstSlotShare      = 0.3
+	// firstSlotShare is the time of the first slot, as a share of the deadline. The
+	// first slot is later if the replica is complete only later.
+	firstSlotShare = 0.3
+	// lastSlotMargin is the time from the last slot to the deadline. It is at most
+	// lastSlotMarginShare of the deadline.
 	lastSlotMargin      = 1200 * time.Millisecond
 	lastSlotMarginShare = 0.15
 )
 
-// lastSlot returns how long after its naming a version's last slot is.
+// lastSlot returns the time of the last slot, counted from when the target version
+// was set.
 func lastSlot(deadline time.Duration) time.Duration {
 	return deadline - min(lastSlotMargin, time.Duration(lastSlotMarginShare*float64(deadline)))
 }
 
 // Timing of an update of the engine.
 const (
-	// drainTimeout is how long an engine continues without new requests before it
-	// is updated. Requests that still run then are aborted, and resumed on other
-	// engines where that is possible.
+	// drainTimeout bounds a drain: the time in which an engine gets no new requests
+	// before it is updated. Requests that still run at its end are aborted, and
+	// resumed on other engines where that is possible.
 	drainTimeout = 1000 * time.Millisecond
-	// earlyDrainTimeout replaces drainTimeout for the engines in the first
-	// earlySlotShare of the slots, so that the first engines soon serve the new
-	// version and can resume the requests that others abort.
+	// earlyDrainTimeout replaces drainTimeout for the first earlySlotShare of the
+	// slots. These engines soon serve the new version, so that they can resume the
+	// requests that later updates abort.
 	earlyDrainTimeout = 500 * time.Millisecond
 	earlySlotShare    = 0.15
-	// drainPropagation is how long it may take until all gateways have received
-	// the report of a drain.
+	// drainPropagation is the maximum time until all gateways have received the report
+	// of a drain.
 	drainPropagation = 200 * time.Millisecond
 	// updateTime is the estimated duration of a drain and a load.
 	updateTime = drainTimeout + 400*time.Millisecond
-	// routingCutoffMargin is how long before a version's deadline gateways stop
-	// routing to engines with older versions whose update is not scheduled. It is at
+	// routingCutoffMargin is the time from the routing cutoff to the deadline. It is at
 	// most routingCutoffShare of the deadline.
 	routingCutoffMargin = 1900 * time.Millisecond
 	routingCutoffShare  = 0.25
@@ -63,9 +63,9 @@
 type updateStep struct {
 	params      Params
 	replica     *replica
-	targetSetAt time.Time // zero if unknown
-	startAt     time.Time // when the drain starts
-	// drainLimit bounds the drain; 0 means that there is none.
+	targetSetAt time.Time // when the operator set the target version; zero if unknown
+	startAt     time.Time // when the drain starts, or the load if there is no drain
+	// drainLimit bounds the drain; 0 means that there is no drain.
 	drainLimit time.Duration
 	// engineEmpty is set if the engine has no verified version.
 	engineEmpty bool
@@ -132,7 +132,7 @@
 	}
 	pending := i.oldestPending()
 	if cutoff := i.routingCutoff(pending); !cutoff.IsZero() && !now.Before(cutoff) && !r.completedAt.Before(cutoff) {
-		s.drainLimit = 0 // no update was scheduled, so gateways have stopped routing to this engine
+		s.drainLimit = 0 // not reported as scheduled, so gateways have stopped routing to this engine
 		return s
 	}
 	if !s.engineEmpty && !pending.setAt.IsZero() {
@@ -141,9 +141,9 @@
 	return s
 }
 
-// oldestPending returns the oldest named version that is newer than the engine's
-// verified version: its deadline is the first that the engine must meet. Without
-// one it returns the newest. Installer.mu is held.
+// oldestPending returns the oldest target that is newer than the engine's verified
+// version, and so has the first deadline that the engine must meet. If there is
+// none, it returns the newest target. Installer.mu is held.
 func (i *Installer) oldestPending() target {
 	for _, t := range i.targets {
 		if t.version > i.verifiedVersion() {
@@ -153,9 +153,9 @@
 	return i.newestTarget()
 }
 
-// routingCutoff returns when gateways stop routing to engines with versions older
-// than t whose update is not scheduled, or zero if the age of t is unknown.
-// Installer.mu is held.
+// routingCutoff returns the time from which gateways do not route to engines with
+// versions older than t, unless their update is scheduled. It is zero if it is
+// unknown when t was set. Installer.mu is held.
 func (i *Installer) routingCutoff(t target) time.Time {
 	if t.setAt.IsZero() {
 		return time.Time{}
@@ -164,8 +164,9 @@
 	return t.setAt.Add(d - min(routingCutoffMargin, time.Duration(routingCutoffShare*float64(d))))
 }
 
-// slotPositionLocked returns this engine's position among all slots, in [0, 1).
-// It is 0 for a box that is not listed. Installer.mu is held.
+// slotPositionLocked returns the position of this engine's slot between the first
+// slot and the last, in [0, 1). It is 0 for a box that is not in peerList.
+// Installer.mu is held.
 func (i *Installer) slotPositionLocked() float64 {
 	order := slices.Clone(i.peerList)
 	slices.SortFunc(order, func(a, b Peer) int { return cmp.Compare(xxhash.Sum64String(a.Box), xxhash.Sum64String(b.Box)) })
@@ -176,8 +177,9 @@
 	return float64(at) / float64(len(order))
 }
 
-// slotTime returns when the engine's update to the version of r starts; setAt is
-// when the version was named whose deadline must be met. Installer.mu is held.
+// slotTime returns the time of the engine's slot for the update to the version of r.
+// setAt is when the target was set whose deadline must be met, and position is the
+// result of slotPositionLocked. Installer.mu is held.
 func (i *Installer) slotTime(r *replica, setAt time.Time, position float64) time.Time {
 	first := setAt.Add(time.Duration(firstSlotShare * float64(i.params.Deadline)))
 	last := setAt.Add(lastSlot(i.params.Deadline))
@@ -190,9 +192,9 @@
 	return first.Add(time.Duration(position * float64(last.Sub(first))))
 }
 
-// canSkip reports whether the engine need not be updated to t because it will
-// serve next, the version named after t, before t's routing cutoff.
-// Installer.mu is held.
+// canSkip reports whether the engine need not be updated to t because it is expected
+// to serve next, the target after t, before the routing cutoff of t. Installer.mu is
+// held.
 func (i *Installer) canSkip(t, next target, position float64, now time.Time) bool {
 	if r := i.replicaLocked(next.version); r != nil && r.complete() {
 		return true
@@ -210,17 +212,17 @@
 
 // Expected progress of a fetch.
 const (
-	// firstChunksGrace is how long after its naming a version's first chunks may
-	// take to arrive.
+	// firstChunksGrace is the time allowed for a version's first chunks to arrive,
+	// counted from when the target was set.
 	firstChunksGrace = 800 * time.Millisecond
 	// fetchTimeFactor is the expected duration of a fetch, in multiples of the time
-	// that the box's link needs for the model.
+	// that the box's link needs to receive the model.
 	fetchTimeFactor = 2
 )
 
-// progressing reports whether the fetch of a version is at least as fast as
-// expected. It is not while the origin is unavailable. If the version's age or the
-// link's rate is unknown, it counts as progressing. Installer.mu is held.
+// progressing reports whether the fetch of t is at least as fast as expected, which
+// it is not if the origin is unavailable. It returns true if it is unknown when t was
+// set or what the link's rate is. Installer.mu is held.
 func (i *Installer) progressing(t target, now time.Time) bool {
 	if t.setAt.IsZero() || i.settings.LinkRate <= 0 {
 		return true
@@ -237,7 +239,8 @@
 	return float64(r.reachable()) >= float64(len(r.chunks))*elapsed.Seconds()/expected
 }
 
-// execute drains the engine and loads the version of s.
+// execute carries out the update s: it drains the engine, if s provides for that, and
+// loads the version of s.
 func (i *Installer) execute(ctx context.Context, s *updateStep) {
 	if !s.engineEmpty && s.drainLimit > 0 {
 		i.drain(ctx, s.drainLimit)
@@ -248,25 +251,24 @@
 	}
 }
 
-// recordSchedule records whether s is an update that gateways must know of in
-// advance: one of an engine that serves a version and is drained first. s may be
-// nil.
+// recordSchedule sets updateScheduled: whether s is an update of an engine that has a
+// verified version and is drained first. s is nil if no update is planned.
 func (i *Installer) recordSchedule(s *updateStep) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.updateScheduled = s != nil && !s.engineEmpty && s.drainLimit > 0
 }
 
-// UpdateScheduled reports whether the engine has a slot in which it will be
-// drained and updated, and the drain has not started.
+// UpdateScheduled reports whether the engine has a slot, in which it will be drained
+// and updated, and the drain has not started yet.
 func (i *Installer) UpdateScheduled() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.updateScheduled && !i.draining
 }
 
-// Draining reports whether the engine should get no new requests because it is
-// about to be updated.
+// Draining reports whether the engine should get no new requests because it is being
+// drained or updated.
 func (i *Installer) Draining() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -279,8 +281,9 @@
 	i.draining = draining
 }
 
-// drain waits without new requests until the engine has none left or limit has
-// passed. The caller ends the drain with setDraining.
+// drain sets the engine draining and waits until it has no requests left, but at
+// least drainPropagation, or until limit has passed. The caller ends the drain with
+// setDraining.
 func (i *Installer) drain(ctx context.Context, limit time.Duration) {
 	i.setDraining(true)
 	state, _ := i.State()
--- a/installer/start_test.go
+++ b/installer/start_test.go
@@ -45,6 +45,8 @@
 	return s.replica.manifest.Version
 }
 
+// An older version must be loaded if the newer one will not be served before the
+// deadline of the older.
 func TestOlderVersionIsLoadedIfNewerIsLate(t *testing.T) {
 	now := time.Now()
 	far := []target{{version: 2, setAt: now}, {version: 3, setAt: now.Add(4 * time.Second)}}
@@ -58,9 +60,8 @@
 	assert.Equal(t, nextVersion(busy, now), 0, "the engine executes an order")
 }
 
-// The slots of the engines are spread, and the last drain starts lastSlotMargin
-// before the deadline. Engines whose slots are after the routing cutoff report them
-// as scheduled, too.
+// The slots of the engines must be spread between the first slot and the last.
+// Updates with slots after the routing cutoff must be reported as scheduled, too.
 func TestSlotsAreSpread(t *testing.T) {
 	now := time.Now()
 	var first, latest time.Time
@@ -87,8 +88,8 @@
 	assert.Assert(t, latest.Add(drainTimeout).Before(now.Add(testDeadline)), "the start order is sent before the deadline")
 }
 
-// No update is reported as scheduled whose replica is complete only after the
-// routing cutoff, nor that of an empty engine.
+// An update must not be reported as scheduled if its replica was completed after the
+// routing cutoff, or if the engine is empty.
 func TestUpdateNotScheduled(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, setAt: now.Add(routingCutoffMargin - testDeadline)}}, 2)
@@ -105,6 +106,7 @@
 	assert.Assert(t, !i.UpdateScheduled())
 }
 
+// An empty engine must be loaded without waiting for its slot.
 func TestEmptyEngineIsLoadedAtOnce(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, setAt: now}}, 2)
@@ -124,11 +126,11 @@
 	return out
 }
 
-// newPartialInstaller returns an installer for which versions 2 and 3 are named. It
-// holds the given number of chunks of version 2, and the origin sends one chunk per
-// interval.
-func newPartialInstaller(named2, named3 time.Time, held int, interval time.Duration) *Installer {
-	i := newLoadedInstaller([]target{{version: 2, setAt: named2}, {version: 3, setAt: named3}}, 2)
+// newPartialInstaller returns an installer with the targets 2 and 3, set at the given
+// times. It holds the given number of chunks of version 2, and the origin sends one
+// chunk per interval.
+func newPartialInstaller(set2, set3 time.Time, held int, interval time.Duration) *Installer {
+	i := newLoadedInstaller([]target{{version: 2, setAt: set2}, {version: 3, setAt: set3}}, 2)
 	i.params.ChunkBytes = testBytes
 	i.params.OriginRate = testBytes / interval.Seconds()
 	i.replicas[0].held.ClearAll()
@@ -138,8 +140,9 @@
 	return i
 }
 
-// The fetch of an older version is finished before the newer one's if that leaves
-// more slack or shortens the gap, and abandoned otherwise.
+// The fetch of an older version must be completed before that of the newer one if that
+// shortens the time without a served version or leaves more slack, and abandoned
+// otherwise.
 func TestOlderVersionIsFinishedIfUseful(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	copyTime := testChunks * interval
@@ -147,10 +150,10 @@
 	now := time.Now()
 	for _, c := range []struct {
 		name     string
-		ago2     time.Duration
-		ago3     time.Duration
-		held     int
-		finishes bool
+		ago2     time.Duration // since target 2 was set
+		ago3     time.Duration // since target 3 was set
+		held     int           // chunks held of version 2
+		finishes bool          // whether version 2 is fetched, too
 	}{
 		{"both in time, more slack with the older first", 2 * time.Second, 0, testChunks / 2, true},
 		{"hardly started, but the newer is named much later", 3 * time.Second, 0, 2, true},
@@ -171,8 +174,8 @@
 	}
 }
 
-// The newer version gets no pulls while the origin sends the rest of an older one,
-// and a single one until the older one is complete here.
+// While an older version is completed first, the newer one must get no pulls until all
+// chunks of the older one are held by some box, and then a single pull.
 func TestOlderVersionLimitsPullsOfNewer(t *testing.T) {
 	now := time.Now()
 	i := newPartialInstaller(now.Add(-2*time.Second), now, testChunks/2, 50*time.Millisecond)
@@ -191,8 +194,8 @@
 	r.swarm.AddAvailability("box1", transfer.Availability{Held: held})
 }
 
-// Chunks held by other sidecars count as reachable. If the versions' ages are
-// unknown, the reachable share alone decides whether an older fetch is finished.
+// If the versions' ages are unknown, an older version must be fetched only if enough
+// of its chunks are held here or by other sidecars.
 func TestOlderVersionOfUnknownAgeIsFinishedIfReachable(t *testing.T) {
 	i := newPartialInstaller(time.Time{}, time.Time{}, 1, 50*time.Millisecond)
 	assert.DeepEqual(t, fetchedVersions(i), []int{3})
@@ -200,7 +203,7 @@
 	assert.DeepEqual(t, fetchedVersions(i), []int{2, 3})
 }
 
-// For an empty engine the version is fetched first that can be served first.
+// For an empty engine, an older version that can be served first must be fetched first.
 func TestEmptyEngineGetsFirstAvailableVersion(t *testing.T) {
 	now := time.Now()
 	i := newPartialInstaller(now, now, testChunks-1, 50*time.Millisecond)
@@ -209,8 +212,8 @@
 	assert.DeepEqual(t, fetchedVersions(i), []int{2, 3})
 }
 
-// A version of unknown age that a gateway reports as overdue is loaded after
-// overdueGrace without waiting for a slot, unless a gateway reports its age.
+// A version of unknown age that a gateway reports as overdue must be loaded after
+// overdueGrace without waiting for a slot, unless a gateway has reported its age.
 func TestOverdueVersionIsLoadedAtOnce(t *testing.T) {
 	now := time.Now()
 	for _, known := range []bool{false, true} {
@@ -233,7 +236,7 @@
 	}
 }
 
-// An older version is not fetched after the routing cutoff of the newer one.
+// An older version must not be fetched after the routing cutoff of the newer one.
 func TestVersionPastRoutingCutoffIsNotFetched(t *testing.T) {
 	now := time.Now()
 	i := newLoadedInstaller([]target{{version: 2, setAt: now.Add(-2 * testDeadline)}, {version: 3, setAt: now.Add(-testDeadline)}}, 2)
@@ -242,7 +245,7 @@
 	assert.DeepEqual(t, fetchedVersions(i), []int{3})
 }
 
-// An engine to which gateways have stopped routing is updated without a drain.
+// An engine to which gateways have stopped routing must be updated without a drain.
 func TestNoDrainAfterRoutingCutoff(t *testing.T) {
 	now := time.Now()
 	s, _ := newLoadedInstaller([]target{{version: 2, setAt: now}}, 2).nextUpdate(now)
@@ -254,7 +257,7 @@
 	assert.Assert(t, !s.startAt.After(now))
 }
 
-// The deadline of the oldest pending version holds even if the engine skips that
+// An engine that skips a version must still be updated before the deadline of that
 // version.
 func TestSkippedVersionsDeadlineIsMet(t *testing.T) {
 	now := time.Now()
@@ -270,7 +273,7 @@
 	}
 }
 
-// An update whose slot was missed while the machine was suspended starts on resume.
+// An update whose slot passed while the box was suspended must start on resume.
 func TestMissedSlotIsUsedOnResume(t *testing.T) {
 	go clock.Watch(t.Context(), nil)
 	const deadline = time.Minute
--- a/installer/uploads.go
+++ b/installer/uploads.go
@@ -18,26 +18,24 @@
 
 // Limits of pulls that wait for a chunk to arrive here.
 const (
-	// chunkWaitTimeout bounds the wait of a pull for a given chunk. A box of
-	// another region pulls when the chunk is due here; refused at once, it would try
-	// boxes that get the chunk no sooner. Half of takeOverDelay is left to try
-	// another box before that one reads the chunk itself.
+	// chunkWaitTimeout bounds how long a pull for a given chunk is held until the chunk
+	// arrives here. Boxes of other regions send such pulls when the chunk is due here.
+	// It is below takeOverDelay, so that they have time to try another box.
 	chunkWaitTimeout = takeOverDelay / 2
-	// anyChunkWaitTimeout bounds the wait of a pull for any chunk at a box that has
-	// none of use and holds less than half of the chunks. It keeps boxes from
-	// polling each other in vain just after a version was named; later a caller is
-	// more likely to get a chunk from another box.
+	// anyChunkWaitTimeout bounds how long a pull for any chunk is held until a chunk
+	// arrives here that the caller lacks. It reduces polling at the start of a rollout,
+	// when few boxes hold chunks.
 	anyChunkWaitTimeout = 100 * time.Millisecond
-	// maxChunkWaiters bounds the pulls that wait: a box reads some chunks first,
-	// and every other region requests each of them once.
+	// maxChunkWaiters is the maximum number of pulls that are held at a time.
 	maxChunkWaiters = 64
 )
 
 // uploads sends chunks to other sidecars. Its channels are semaphores.
 type uploads struct {
 	installer *Installer
-	// slots counts the uploads in progress, queue those and the pulls that wait for
-	// a slot, and chunkWaiters the pulls that wait for a chunk.
+	// slots is held by each upload in progress. queue is held by the uploads in
+	// progress and the pulls that wait for a slot. chunkWaiters is held by the pulls
+	// that wait for a chunk to arrive.
 	slots, queue, chunkWaiters chan struct{}
 }
 
@@ -61,8 +59,9 @@
 	}
 }
 
-// servePull responds to a peer.PullRequest. It may wait for the chunk to arrive and
-// then for an upload slot, and responds with status 429 if the queue is full.
+// servePull responds to a peer.PullRequest. It waits for the chunk to arrive, within
+// the limits of waitForChunk, and then for an upload slot. It responds with status
+// 429 if too many pulls wait for a slot already.
 func (u *uploads) servePull(w http.ResponseWriter, r *http.Request) {
 	var pull peer.PullRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxManifestBytes)).Decode(&pull); err != nil {
@@ -92,8 +91,8 @@
 	u.send(w, r, found, pull.Chunk, has)
 }
 
-// waitForChunk waits until the pull can be answered or its timeout has passed. It
-// returns at once if maxChunkWaiters pulls wait already.
+// waitForChunk waits until canRespond reports true for the pull or its timeout has
+// passed. It returns at once if maxChunkWaiters pulls wait already.
 func (u *uploads) waitForChunk(ctx context.Context, found *replica, chunk int, has *bitset.BitSet) {
 	if !tryAcquire(u.chunkWaiters) {
 		return
@@ -122,9 +121,10 @@
 	}
 }
 
-// canRespond reports whether a pull should be answered now: the chunk is held or,
-// if chunk is -1, any that is not in has, or at least half of all chunks are held.
-// Installer.mu is held.
+// canRespond reports whether to respond to a pull now rather than to hold it. A pull
+// for a given chunk is held until this box holds the chunk. A pull for any chunk,
+// with chunk -1, is held until this box holds a chunk that is not in has, or at least
+// half of all chunks. Installer.mu is held.
 func (r *replica) canRespond(chunk int, has *bitset.BitSet) bool {
 	if chunk >= 0 {
 		return r.held.Test(uint(chunk))
@@ -132,8 +132,8 @@
 	return 2*int(r.held.Count()) >= len(r.chunks) || r.held.DifferenceCardinality(has) > 0
 }
 
-// send responds with the chunk, or if chunk is -1 with any that is not in has. It
-// responds with status 204 if there is none.
+// send responds with the given chunk or, if chunk is -1, with one that is held and not
+// in has. It responds with status 204 if it does not hold such a chunk.
 func (u *uploads) send(w http.ResponseWriter, r *http.Request, found *replica, chunk int, has *bitset.BitSet) {
 	i := u.installer
 	i.mu.Lock()
@@ -156,8 +156,8 @@
 	_ = i.upPacer.write(r.Context(), w, data) // the receiver detects a truncated chunk by its digest
 }
 
-// availability returns which chunks are held here and which some box of the region
-// is known to hold, for the headers of a response; Installer.mu is held.
+// availability returns the chunks that are held here and the chunks that some box of
+// the region is known to hold. It is sent with every response; Installer.mu is held.
 func (r *replica) availability() transfer.Availability {
 	if r.swarm != nil {
 		return r.swarm.Availability()
--- a/installer/verify.go
+++ b/installer/verify.go
@@ -10,16 +10,20 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// An engine reports the version number of the start order that it accepted, not of
-// the weights that were staged then. So gateways send requests only to an engine
-// whose load is verified: the sidecar found it when it started itself, or has
-// verified the staged chunks after the engine had accepted the order, or the
-// engine came with its version and has accepted no order. Any other load, such as
-// one by a late start order of an earlier sidecar process, counts as if the engine
-// were empty, and the engine is loaded again.
-
-// loadID identifies what an engine loaded with one order: it consists of the start
-// time of the engine's process in Unix milliseconds and the count of orders.
+// An engine reports the version number in the start order that it accepted. The
+// chunks that were staged at that time may be of another version. So gateways send
+// requests only to an engine whose load is verified. A load is verified in one of
+// three cases:
+//
+//   - The sidecar has verified the staged chunks after the engine accepted the order.
+//   - It is the load in the engine's first report to this sidecar process.
+//   - The engine's process has accepted no order: it started with its version.
+//
+// Any other load is unverified, such as one by a delayed start order of an earlier
+// sidecar process. The engine then counts as empty and is loaded again.
+
+// loadID identifies one load of an engine by the start time of the engine's process,
+// in Unix milliseconds, and the number of orders that the engine has accepted.
 type loadID struct {
 	startedMS, orders int64
 }
@@ -49,8 +53,8 @@
 	return i.unverified()
 }
 
-// expectStart records that a start order is about to be sent to the engine, whose
-// last state is given.
+// expectStart records that a start order is about to be sent to the engine. state is
+// the engine's last state.
 func (i *Installer) expectStart(state EngineState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -65,8 +69,9 @@
 	return i.expectedLoad == loadIDOf(state)
 }
 
-// verifyLoad verifies all staged chunks after the engine has loaded the version of
-// s, and records the load in state as verified if they match; stagingMu is held.
+// verifyLoad verifies all staged chunks after the engine has loaded the version of s.
+// If they match their digests, it records the load in state as verified and returns
+// true. stagingMu is held.
 func (i *Installer) verifyLoad(ctx context.Context, s *updateStep, state EngineState) bool {
 	m := s.replica.manifest
 	began := clock.Now()
@@ -88,9 +93,8 @@
 	return true
 }
 
-// verifyAttempts is how often a staged chunk is read before its verification
-// fails. A read error does not imply a corrupt chunk, and a failed verification
-// costs a load of another version.
+// verifyAttempts is how often the read of a staged chunk is attempted before the
+// verification fails. After a failed verification the engine must be loaded again.
 const verifyAttempts = 3
 
 // readStagedWithRetry reads a staged chunk, with verifyAttempts attempts.
@@ -105,8 +109,9 @@
 	return data, err
 }
 
-// awaitReport waits until the load in state is in engineState, so that the next
-// decision is based on it. It gives up after reportTimeout without a change.
+// awaitReport waits until engineState, which the engine's reports update, includes
+// the load in state, so that the next update is planned with it. It gives up after
+// reportTimeout, or up to twice that if the state changes meanwhile.
 func (i *Installer) awaitReport(ctx context.Context, state EngineState) {
 	for began := clock.Now(); ctx.Err() == nil && clock.Since(began) < reportTimeout; {
 		i.mu.Lock()
@@ -123,13 +128,13 @@
 	}
 }
 
-// reportTimeout is several times the interval between two reports of the engine.
+// reportTimeout bounds how long awaitReport waits for a report of the engine.
 const reportTimeout = 500 * time.Millisecond
 
-// otherReplica returns the newest complete replica of another version than the one
+// otherReplica returns the newest complete replica of a version other than the one
 // that the engine reports, or nil. An engine does not load the version that it
-// reports, so an unverified one is replaced by loading another version first.
-// Installer.mu is held.
+// reports already. If that version is unverified, another version must be loaded
+// first. Installer.mu is held.
 func (i *Installer) otherReplica() *replica {
 	var newest *replica
 	for _, r := range i.replicas {
@@ -140,10 +145,10 @@
 	return newest
 }
 
-// intermediateVersion returns the version to fetch for an engine that reports the
-// newest version unverified, if no replica of another version is complete, and 0
-// otherwise. It is the version before the newest, which the origin still has.
-// Installer.mu is held.
+// intermediateVersion returns the version to load before the newest one, if the engine
+// reports the newest version and that is unverified; see otherReplica. It is the
+// version before the newest, and has to be fetched. The result is 0 if no such load
+// is needed or a replica for it is complete. Installer.mu is held.
 func (i *Installer) intermediateVersion() int {
 	newest := i.newestTarget().version
 	if !i.unverified() || i.engineState.Busy || i.engineState.Version != newest || i.otherReplica() != nil {
@@ -155,8 +160,9 @@
 	return newest - 1
 }
 
-// logStagedVersions logs how many staged chunks belong to which version, as far as
-// this box has replicas: after an unexpected order they show what was loaded.
+// logStagedVersions logs how many staged chunks belong to each version of which this
+// box has a replica. It shows what was loaded by an order that this process did not
+// send.
 func (i *Installer) logStagedVersions(ctx context.Context, model string, version int) {
 	i.mu.Lock()
 	replicas := slices.Clone(i.replicas)
@@ -183,8 +189,8 @@
 	i.log.Info("staged chunks by version", "engine_version", version, "of_versions", versions, "of_others", other, "missing", missing)
 }
 
-// UpdateEngineState records the engine's report. The load in the first report
-// counts as verified.
+// UpdateEngineState records a state that the engine reported. The load in the first
+// report counts as verified.
 func (i *Installer) UpdateEngineState(s EngineState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -192,7 +198,7 @@
 	i.engineState = s
 	i.engineStateAt = clock.Now()
 	if first {
-		i.verifiedLoad = loadIDOf(s) // a sidecar stages no other version while a start may be accepted
+		i.verifiedLoad = loadIDOf(s) // load stages no other version while the engine may still accept a start order
 	}
 	if first || old.Version != s.Version || old.Busy != s.Busy || old.Orders != s.Orders || old.StartedMS != s.StartedMS {
 		i.log.Info("engine state changed", "model", s.Model, "version", s.Version, "was", old.Version, "busy", s.Busy, "orders", s.Orders, "born", s.StartedMS,
