--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -330,7 +330,7 @@
 	Failed
 	// Broken means that the connection could not be made or was lost.
 	Broken
-	// Rejected means that the endpoint refused the request because of its load.
+	// Rejected means that the endpoint refused the request without running it.
 	Rejected
 	// Misdirected means that the address belongs to another endpoint, or that the
 	// endpoint does not hold the weights that its record lists.
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -147,6 +147,6 @@
 	return f.signals.Merge(r, now)
 }
 
-// PruneSignals deletes the signals of endpoints that are no longer on the list, if
-// the signals have expired or their number exceeds the table's limit.
+// PruneSignals deletes the stored signals of endpoints that are no longer on the list,
+// by the rules of backpressure.Table.Evict.
 func (f *Fleet) PruneSignals(now time.Time) { f.signals.Evict(f.Has, now) }
--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -139,7 +139,7 @@
 	}
 	assert.Equal(t, roots, 2, "one box a region asks the origin")
 	for box, n := range children {
-		assert.Assert(t, n <= manifestFanOut, "%d boxes ask %s", n, box)
+		assert.Assert(t, n <= manifestFanOut, "%d boxes request the manifest from %s", n, box)
 	}
 	assert.Equal(t, len(ancestors(peers, Settings{Box: "unlisted", Region: "r0"}, 2)), 0)
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,7 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peer defines the protocol between mintlift's own processes: paths,
-// headers and messages. docs/PEER.md describes each call.
+// Package peer defines the protocol between mintlift's own processes, which are
+// gateways and sidecars: paths, headers and messages. docs/PEER.md describes each
+// call.
+//
+// Two terms recur. The home of an idempotency key is the sidecar process that stores
+// what is known of the key and decides which attempts with it may run. A log offset
+// is a position in the event log, up to which a process has applied the log's records
+// to its state.
 package peer
 
 import (
@@ -30,15 +36,14 @@
 	PathBoxes = "/peer/v1/boxes"
 	// PathCheckpoint returns a state.Checkpoint.
 	PathCheckpoint = "/peer/v1/checkpoint"
-	// PathRun is the prefix of callers' requests that a gateway forwards to a
-	// sidecar.
+	// PathRun is the prefix of the path of a caller's request when a gateway forwards
+	// it to a sidecar.
 	PathRun = "/run"
-	// PathResume and PathCancel are prefixes, followed by a request's id.
+	// PathResume and PathCancel are prefixes that are followed by a request's id.
 	PathResume = "/peer/v1/resume/"
 	PathCancel = "/peer/v1/cancel/"
-	// PathClaim and PathFinish receive a Claim and a Finish. A gateway sends
-	// them to the home of a request's idempotency key, the sidecar that decides
-	// which attempts with the key may run.
+	// PathClaim and PathFinish receive a Claim and a Finish, which a gateway sends to
+	// the home of a request's idempotency key.
 	PathClaim  = "/peer/v1/once/claim"
 	PathFinish = "/peer/v1/once/finish"
 	// PathMetrics and PathHealth are called by the platform.
@@ -54,7 +59,7 @@
 	HeaderVersion   = "Mintlift-Version"
 	// HeaderTimeout is the time left for the request, in milliseconds.
 	HeaderTimeout = "Mintlift-Timeout-Ms"
-	// HeaderOnce is the idempotency key of a request that must not run twice.
+	// HeaderOnce is the idempotency key of a non-idempotent request.
 	HeaderOnce = "Mintlift-Once"
 	// HeaderOffset is the log offset of the sender's state.
 	HeaderOffset = "Mintlift-Offset"
@@ -63,15 +68,15 @@
 	HeaderOutcome = "Mintlift-Outcome"
 	// HeaderReason is the Reason of a refusal.
 	HeaderReason = "Mintlift-Reason"
-	// HeaderServing lists the versions that a sidecar serves, in the form of
-	// JoinRefs. It is set on each refusal, so that a gateway has the list
-	// before its next probe.
+	// HeaderServing lists the versions that a sidecar serves, in the format of
+	// JoinRefs. It is set on each refusal, so that the gateway need not wait for
+	// the sidecar's next Status.
 	HeaderServing = "Mintlift-Serving"
 	// HeaderDraining is set on every response of a draining process.
 	HeaderDraining = "Mintlift-Draining"
 )
 
-// Reason is the reason for which a sidecar refused a request or a Claim.
+// Reason is why a sidecar refused a request or a Claim.
 type Reason string
 
 // The reasons.
@@ -84,39 +89,41 @@
 	ReasonBusy Reason = "busy"
 	// ReasonNotHome: another sidecar is the home of the idempotency key.
 	ReasonNotHome Reason = "not_home"
-	// ReasonUnknown: another home may have run an attempt with the key.
+	// ReasonUnknown: an earlier home of the key may have let an attempt run, of which
+	// this home has no record.
 	ReasonUnknown Reason = "unknowable"
-	// ReasonSeen: the key has an entry of an earlier attempt, or no entry can be
-	// added.
+	// ReasonSeen: the home has an entry of an earlier attempt with the key, or cannot
+	// add an entry.
 	ReasonSeen Reason = "seen"
 	// ReasonDeadline: the request's deadline has passed.
 	ReasonDeadline Reason = "deadline"
 	// ReasonEndpoint: the request could not be sent to the endpoint.
 	ReasonEndpoint Reason = "endpoint"
-	// ReasonReplaced: another sidecar has taken over the box.
+	// ReasonReplaced: a newer sidecar process runs on the box.
 	ReasonReplaced Reason = "replaced"
-	// ReasonClosed: the endpoint has asked to receive no requests for a time,
-	// or is at its own limit. It may be retried after the refusal's
-	// retry_after_ms.
+	// ReasonClosed: the endpoint has signalled a backoff, or its rate limit is used
+	// up. The request may be retried there after the refusal's retry_after_ms.
 	ReasonClosed Reason = "closed"
 )
 
-// CopyStatus reports the progress of a box's copy of a version.
+// CopyStatus reports the progress of a box's copy of a version, as part of a Status.
 type CopyStatus struct {
 	weights.Ref
+	// Plan is the id of the plan by which the box fetches the version.
 	Plan  string            `json:"plan"`
 	State weights.CopyState `json:"state"`
-	// Held is the number of verified chunks, of Chunks in total.
+	// Held is the number of verified chunks, and Chunks that of all chunks of the
+	// version.
 	Held   int `json:"held"`
 	Chunks int `json:"chunks"`
 	// OriginBytes and PeerBytes are the bytes received from the origin and from
-	// peers. CrossBytes are those of PeerBytes that came from another region.
+	// peers. CrossBytes is the part of PeerBytes that came from other regions.
 	OriginBytes int64 `json:"origin_bytes"`
 	PeerBytes   int64 `json:"peer_bytes"`
 	CrossBytes  int64 `json:"cross_bytes"`
 	// BadChunks is the number of received chunks that failed verification.
 	BadChunks int64 `json:"bad_chunks"`
-	// Blocked is the reason for which the copy makes no progress, or empty.
+	// Blocked is why the copy makes no progress, or empty.
 	Blocked string `json:"blocked,omitempty"`
 }
 
@@ -127,27 +134,27 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// Status is the status that a process reports.
+// Status is the state that a gateway or sidecar reports on PathStatus.
 type Status struct {
 	Box         string `json:"box"`
 	Incarnation string `json:"incarnation"`
-	// Offset is the log offset of the process's state, and ContactMS the time
-	// since its last contact with the log.
+	// Offset is the log offset of the process's state. ContactMS is the time since
+	// the process last read the event log, in milliseconds.
 	Offset    int64 `json:"offset"`
 	ContactMS int64 `json:"contact_ms"`
 	Draining  bool  `json:"draining"`
-	// Ready reports whether the last contact with the log is recent enough for
-	// the process to be the home of idempotency keys.
+	// Ready reports whether the process has read the event log recently enough to be
+	// the home of idempotency keys.
 	Ready       bool            `json:"ready"`
 	Service     string          `json:"service,omitempty"`
 	Copies      []CopyStatus    `json:"copies,omitempty"`
 	Loaded      []LoadedVersion `json:"loaded,omitempty"`
 	MemoryBytes int64           `json:"memory_bytes,omitempty"`
-	// EngineKnown reports whether the sidecar has queried its engine; until then
-	// Loaded and MemoryBytes are not valid.
+	// EngineKnown reports whether the sidecar has received its engine's state. Until
+	// then Loaded and MemoryBytes are not valid.
 	EngineKnown bool `json:"engine_known,omitempty"`
-	// Load is the number of requests that run or are queued, and Slots the
-	// number that may run concurrently.
+	// Load is the number of requests that run or are queued at the endpoint. Slots is
+	// the number of requests that it runs concurrently.
 	Load  int `json:"load"`
 	Slots int `json:"slots"`
 }
@@ -194,11 +201,11 @@
 	Has string `json:"has"`
 }
 
-// Claim asks the home of an idempotency key for permission to run an attempt.
+// Claim requests permission to run an attempt from the home of its idempotency key.
 type Claim struct {
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
-	// Request is the id of the attempt, which may repeat its claim.
+	// Request is the id of the attempt. The same attempt may send its Claim again.
 	Request string `json:"request"`
 	// Offset is the log offset of the gateway's state.
 	Offset int64 `json:"offset"`
@@ -206,14 +213,14 @@
 
 // ClaimResult is the response to a Claim.
 type ClaimResult struct {
-	// Granted reports whether the attempt may run, once.
+	// Granted reports whether the attempt may run. It may run only once.
 	Granted bool `json:"granted"`
-	// Reason and Outcome are set if it may not: the reason, and the outcome of
-	// the request as far as the home can determine it.
+	// Reason and Outcome are set if Granted is false. Outcome is the outcome of the
+	// request as far as the home can determine it.
 	Reason  Reason          `json:"reason,omitempty"`
 	Outcome outcome.Outcome `json:"outcome,omitempty"`
 	Message string          `json:"message,omitempty"`
-	// RetryMS is the delay before a retry, or 0.
+	// RetryMS is the delay before the caller may retry, in milliseconds, or 0.
 	RetryMS int64 `json:"retry_ms,omitempty"`
 	// Response is the stored response of an earlier attempt, if there is one.
 	Response *dedup.Response `json:"answer,omitempty"`
@@ -226,8 +233,8 @@
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
 	Request   string `json:"request"`
-	// Outcome is the attempt's outcome; Unknown leaves the key marked as
-	// running.
+	// Outcome is the attempt's outcome. If it is Unknown, the home's entry of the key
+	// stays marked as running.
 	Outcome  outcome.Outcome `json:"outcome"`
 	Response *dedup.Response `json:"answer,omitempty"`
 }
@@ -236,12 +243,13 @@
 const (
 	// HeaderChunk is the number of the chunk in the body.
 	HeaderChunk = "Mintlift-Chunk"
-	// HeaderHeld and HeaderExists are the bitmaps of transfer.Availability.
+	// HeaderHeld and HeaderExists are the fields Held and Exists of the sender's
+	// transfer.Availability, as bitmaps from EncodeBits.
 	HeaderHeld   = "Mintlift-Held"
 	HeaderExists = "Mintlift-Exists"
 )
 
-// PullPath returns the path of pulls for a version.
+// PullPath returns the path that receives a PullRequest for a version.
 func PullPath(ref weights.Ref) string {
 	return "/peer/v1/weights/" + ref.Model + "/" + ref.Version + "/pull"
 }
@@ -264,8 +272,8 @@
 	return base64.StdEncoding.EncodeToString(raw)
 }
 
-// DecodeBits decodes the result of EncodeBits. It returns an error that is
-// errors.NotValid unless the bitmap has n bits.
+// DecodeBits decodes the result of EncodeBits. It returns an error of the kind
+// errors.NotValid if s is malformed or the bitmap does not have n bits.
 func DecodeBits(s string, n int) (*bitset.BitSet, error) {
 	raw, err := base64.StdEncoding.DecodeString(s)
 	if err != nil {
@@ -285,16 +293,17 @@
 	return b, nil
 }
 
-// SetAvailability sets the headers of a response that carry the sender's
-// availability.
+// SetAvailability sets HeaderHeld and HeaderExists to the bitmaps of a, the chunks
+// that the sender holds and those that its region is known to hold.
 func SetAvailability(h http.Header, a transfer.Availability) {
 	h.Set(HeaderHeld, EncodeBits(a.Held))
 	h.Set(HeaderExists, EncodeBits(a.Exists))
 }
 
-// ParseAvailability parses the headers set by SetAvailability for a version of
-// the given number of chunks. A bitmap that is missing or invalid is nil, and
-// both are if that of HeaderHeld is.
+// ParseAvailability parses the headers set by SetAvailability, for a version with
+// the given number of chunks. If HeaderHeld is missing or invalid, both bitmaps of
+// the result are nil, which means unknown. If only HeaderExists is missing or
+// invalid, only Exists is nil.
 func ParseAvailability(h http.Header, chunks int) transfer.Availability {
 	held, err := DecodeBits(h.Get(HeaderHeld), chunks)
 	if err != nil {
@@ -320,12 +329,12 @@
 	Code      string          `json:"code"`
 	Outcome   outcome.Outcome `json:"outcome"`
 	RequestID string          `json:"request_id"`
-	// RetryAfterMS is the delay before a retry, or 0.
+	// RetryAfterMS is the delay before the caller may retry, in milliseconds, or 0.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Token returns the shared key of the processes. An empty key turns
-// authentication off.
+// Token returns the key that the processes share to authenticate calls between them.
+// An empty key turns authentication off.
 type Token func() string
 
 // Authorized reports whether r has the key as its bearer token, or the key is
@@ -335,8 +344,8 @@
 	return key == "" || r.Header.Get("Authorization") == "Bearer "+key
 }
 
-// NewClient returns a client for calls between the processes. It sends the key
-// of t unless that is empty when NewClient is called.
+// NewClient returns a client for calls between the processes. It sends the key of t
+// with each call, unless t returns an empty key when NewClient is called.
 func NewClient(o call.Options, t Token) *call.Client {
 	if t() != "" {
 		o.Token = t
@@ -344,7 +353,7 @@
 	return call.New("peer", o)
 }
 
-// TimeLeft parses HeaderTimeout. It returns false if that is missing or invalid.
+// TimeLeft parses HeaderTimeout. It returns false if the header is missing or invalid.
 func TimeLeft(h http.Header) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(h.Get(HeaderTimeout), 10, 64)
 	return time.Duration(ms) * time.Millisecond, err == nil
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -35,13 +35,14 @@
 	})
 }
 
-// TestBitmapLengthMismatch guards against allocating the length that a bitmap
-// claims: a huge one crashed the process.
+// TestBitmapLengthMismatch guards against allocating memory for a huge length in the
+// header of a bitmap.
 func TestBitmapLengthMismatch(t *testing.T) {
 	_, err := DecodeBits("00000000000000000000000000000000", 117)
 	assert.Assert(t, errors.Is(err, errors.NotValid), "%v", err)
 }
 
+// TestJoinAndSplitRefs checks that SplitRefs reverses JoinRefs and skips invalid refs.
 func TestJoinAndSplitRefs(t *testing.T) {
 	refs := []weights.Ref{{Model: "a", Version: "1"}, {Model: "b+x", Version: "2"}}
 	assert.DeepEqual(t, SplitRefs(JoinRefs(refs)), refs)
--- a/route/route.go
+++ b/route/route.go
@@ -2,12 +2,13 @@
 
 // Package route chooses the endpoint for a request and limits retries.
 //
-// A Table holds a gateway's view of each endpoint: what it serves, the load that
-// it reported last, and this gateway's own requests in flight there, which are
-// exact. Choose takes the less loaded of two random endpoints. Requests with a
-// prompt prefix go to the same endpoint while that is not much busier than the
-// rest. Draining endpoints are never chosen, ejected ones only if there is no
-// other. A Budget limits retries to a share of the requests, against retry storms.
+// A Table holds a gateway's view of each endpoint: the versions that it serves, the
+// load that it reported last, and the number of this gateway's requests in flight
+// there. Choose returns the less loaded of two random endpoints. Requests with the
+// same prompt prefix prefer the same endpoint, unless it is much busier than the
+// rest. Draining endpoints are never chosen, and ejected ones only if there is no
+// other. A Budget prevents retry storms by limiting retries to a share of the
+// requests.
 //
 // The package does no I/O and takes the current time as an argument. No other lock
 // is taken while a Table's lock is held.
@@ -27,13 +28,14 @@
 
 // Parameters of Choose and of ejection.
 const (
-	// affinitySlack is how many requests in flight more than the mean the
-	// endpoint of a prefix may have and still be preferred.
+	// affinitySlack bounds the preference for the endpoint that a prefix maps to: it
+	// may have this many requests in flight more than the mean of all candidates.
 	affinitySlack = 4
-	// ejectAfter is how many consecutive failures eject an endpoint.
+	// ejectAfter is the number of consecutive failures after which an endpoint is
+	// ejected, that is, not chosen for a time.
 	ejectAfter = 3
-	// ejectMin is the length of the first ejection; it doubles up to ejectMax
-	// until a request succeeds.
+	// ejectMin is the duration of the first ejection. It doubles with each further
+	// ejection, up to ejectMax, until a request succeeds.
 	ejectMin = time.Second
 	ejectMax = 30 * time.Second
 )
@@ -48,8 +50,8 @@
 	Serving     []weights.Ref
 	// Usable is set if the endpoint takes new requests.
 	Usable bool
-	// Load is the reported number of requests, and Slots how many the endpoint runs
-	// concurrently; an endpoint with 0 slots never counts as full.
+	// Load is the number of requests that the endpoint reported to have. Slots is how
+	// many it runs concurrently; an endpoint with 0 slots never counts as full.
 	Load  int
 	Slots int
 }
@@ -61,10 +63,10 @@
 	// failures counts consecutive failures since the last success or ejection.
 	failures     int
 	ejectedUntil time.Time
-	// ejection is the length of the last ejection, or 0 after a success.
+	// ejection is the duration of the last ejection, or 0 after a success.
 	ejection time.Duration
-	// closedUntil is the end of the time in which the endpoint, by its own signal,
-	// takes no requests.
+	// closedUntil is the time until which the endpoint takes no requests, according to
+	// its own backpressure signal.
 	closedUntil time.Time
 }
 
@@ -75,8 +77,8 @@
 	byBox map[string]*endpoint
 }
 
-// Update replaces the endpoints. The gateway's own state of an endpoint is kept
-// while its incarnation is the same.
+// Update replaces the endpoints. It keeps the gateway's own state of an endpoint, such
+// as its requests in flight, if the incarnation is unchanged.
 func (t *Table) Update(eps []Endpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,20 +96,23 @@
 
 // Criteria are the requirements of a request on its endpoint.
 type Criteria struct {
-	// Service is the name of a plain service; empty for model engines, which must
-	// serve Version.
+	// Version is the version that a model engine must serve. It is not used if Service
+	// is set.
 	Version weights.Ref
+	// Service is the name of a plain service, or empty for model engines.
 	Service string
-	// Zone is the gateway's availability zone, preferred on equal load.
+	// Zone is the gateway's availability zone. Its endpoints are preferred if the loads
+	// are equal.
 	Zone string
-	// Prefix is the start of the prompt, or empty for no preference.
+	// Prefix is the start of the prompt, which maps to a preferred endpoint. If it is
+	// empty, there is no preference.
 	Prefix string
-	// Exclude holds the boxes that have been tried already.
+	// Exclude holds the boxes that the request has been sent to already.
 	Exclude []string
 }
 
-// Choose returns an endpoint for a request and counts the request there until Done.
-// It returns false if no endpoint matches.
+// Choose returns an endpoint for a request. It counts the request as in flight at the
+// endpoint until Done is called. It returns false if no endpoint matches c.
 func (t *Table) Choose(c Criteria, now time.Time) (Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,8 +125,9 @@
 	return e.Endpoint, true
 }
 
-// Take counts a request at the endpoint of a given box until Done, without checking
-// that it matches. It returns false if there is no such endpoint.
+// Take counts a request as in flight at the endpoint of the given box until Done is
+// called. It does not check whether the endpoint takes requests. It returns false if
+// there is no such endpoint.
 func (t *Table) Take(box string, now time.Time) (Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,8 +174,9 @@
 	return c.Service != "" || slices.Contains(e.Serving, c.Version)
 }
 
-// pick returns the endpoint that the prefix maps to, unless that is overloaded, or
-// else the less loaded of two random candidates.
+// pick returns the endpoint that the prefix maps to. If there is no prefix, or that
+// endpoint is full or much busier than the mean, it returns the less loaded of two
+// random candidates.
 func pick(candidates []*endpoint, c Criteria) *endpoint {
 	if c.Prefix != "" {
 		if e := preferred(candidates, c.Prefix); e.inFlight <= meanInFlight(candidates)+affinitySlack && !e.full() {
@@ -245,8 +252,8 @@
 	}
 }
 
-// CloseUntil excludes an endpoint until a time, as signalled by the endpoint. It
-// never shortens an earlier exclusion.
+// CloseUntil excludes an endpoint from Choose until the given time, which the endpoint
+// has signalled. An exclusion that ends later stays in force.
 func (t *Table) CloseUntil(box string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -281,19 +288,19 @@
 // safe for concurrent use.
 type Budget struct {
 	mu sync.Mutex
-	// spent is the number of retries missing from a full budget.
+	// spent is BudgetBurst minus the number of retries left.
 	spent float64
 }
 
 // Parameters of a Budget.
 const (
-	// BudgetShare is the number of retries that each request adds.
+	// BudgetShare is the fraction of a retry that each request adds to the budget.
 	BudgetShare = 0.1
-	// BudgetBurst is the capacity, in retries.
+	// BudgetBurst is the capacity of the budget, in retries.
 	BudgetBurst = 20
 )
 
-// AddRequest adds the share of one request to the budget.
+// AddRequest adds BudgetShare to the budget, for one request.
 func (b *Budget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -30,6 +30,8 @@
 	return t
 }
 
+// Choose must return only endpoints that are usable, serve the version and are not
+// excluded.
 func TestChooseMatchesOnly(t *testing.T) {
 	tb := table(3, v1)
 	_, ok := tb.Choose(Criteria{Version: v2}, epoch)
@@ -44,6 +46,8 @@
 	assert.DeepEqual(t, seen, map[string]bool{"b2": true})
 }
 
+// An endpoint must be ejected after consecutive failures, for a bounded time, and only
+// while there is another.
 func TestEjection(t *testing.T) {
 	tb := table(2, v1)
 	for range ejectAfter {
@@ -66,7 +70,7 @@
 	assert.Assert(t, ok && e.Box == "b0", "an ejected endpoint must be used if there is no other")
 }
 
-// A common prefix must prefer one endpoint, but not overload it.
+// Requests with the same prefix must prefer one endpoint, but must not overload it.
 func TestPrefixAffinityIsBounded(t *testing.T) {
 	tb := table(8, v1)
 	count := map[string]int{}
@@ -79,6 +83,7 @@
 	assert.Assert(t, most <= 80/8+affinitySlack+8, "one endpoint got %d of 80 requests with the same prefix", most)
 }
 
+// Retries must be limited to BudgetShare of the requests plus BudgetBurst.
 func TestBudgetBoundsRetries(t *testing.T) {
 	var b Budget
 	retries := 0
@@ -94,6 +99,7 @@
 	assert.Assert(t, retries > 50)
 }
 
+// A workspace at its limit must not affect another workspace.
 func TestLimits(t *testing.T) {
 	var l Limits
 	assert.Assert(t, l.Acquire("a", 2))
--- a/route/subset.go
+++ b/route/subset.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a subset.
+// Minimum sizes for Subset.
 const (
 	// SubsetMin is the minimum number of endpoints that a gateway uses of a group.
 	SubsetMin = 8
@@ -17,10 +17,11 @@
 	subsetCover = 3
 )
 
-// Subset returns the endpoints of a group that a gateway uses. Of a small group, or
-// with few gateways, these are all. Otherwise they are chosen by rendezvous hashing:
-// the endpoints that rank the gateway among their first subsetCover, so that each
-// endpoint is used, and the first SubsetMin in the gateway's own ranking.
+// Subset returns the endpoints of a group that a gateway uses. If there are at most
+// SubsetMin endpoints or at most subsetCover gateways, it returns all endpoints.
+// Otherwise it selects by rendezvous hashing: each endpoint is assigned to the
+// subsetCover gateways with the highest weights, and each gateway also uses the
+// SubsetMin endpoints with the highest weights.
 func Subset(gateway string, endpoints, gateways []string) []string {
 	if len(endpoints) <= SubsetMin || len(gateways) <= subsetCover {
 		return endpoints
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -30,10 +30,11 @@
 	Streaming Kind = "streaming"
 )
 
-// Share is a service's share of a route's requests.
+// Share is the share of a route's requests that is sent to one service.
 type Share struct {
 	Service string
-	// Weight is relative to the other shares; a negative one counts as 0.
+	// Weight is relative to the weights of the route's other shares. A negative weight
+	// counts as 0.
 	Weight int
 }
 
@@ -45,19 +46,20 @@
 	Kind       Kind
 	// Timeout bounds how long a request may be held; zero is no bound.
 	Timeout time.Duration
-	// TargetLatency is the target for the time to the end of a response, or to the
-	// first event of a stream.
+	// TargetLatency is the operator's target for the time until the end of a response
+	// or, of a stream, until its first event.
 	TargetLatency time.Duration
-	// TargetGap is the target for the longest time between events of a stream.
+	// TargetGap is the operator's target for the longest time between two successive
+	// events of a stream.
 	TargetGap time.Duration
 	// Priority is 0 for the most urgent.
 	Priority int
 	Shares   []Share
 	// MaxAttempts bounds how many endpoints one request may be sent to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public is set if requests need no key.
 	Public bool
-	// Resumable streams may be continued by another endpoint.
+	// Resumable is set if another endpoint may continue a stream that was interrupted.
 	Resumable bool
 }
 
@@ -93,38 +95,40 @@
 	Slots int
 	// Model is the name of the model that the endpoints run.
 	Model string
-	// Chunks is the number of chunks that the weights are transferred in, of
-	// ChunkBytes bytes each.
+	// Chunks is the number of chunks that the model's weights are divided into, and
+	// ChunkBytes the size of each in bytes.
 	Chunks     int
 	ChunkBytes int
-	Layers     int
-	// Step is the time to generate one token without concurrent requests.
+	// Layers is the number of layers of the model.
+	Layers int
+	// Step is the time that an engine needs for one token if it runs a single request.
 	Step time.Duration
 	// Stride is how many steps an engine runs between two checks of its queue.
 	Stride int
-	// PrefillRate is the speed of reading prompts, in tokens a second.
+	// PrefillRate is the rate at which an engine reads prompts, in tokens a second.
 	PrefillRate float64
 	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of a prompt and of
 	// its response.
 	MeanPromptTokens, MeanAnswerTokens int
 }
 
-// Service is a group of endpoints, or the origin server of weights.
+// Service is a group of endpoints, or the origin server, from which model weights are
+// fetched.
 type Service struct {
 	Name           string
 	MaxConnections int
-	// Origin is the address of the origin server of weights, in availability zone
-	// Zone; empty for other services.
+	// Origin is the address of the origin server, and Zone its availability zone.
+	// Origin is empty for other services.
 	Origin string
 	Zone   string
-	// OriginRate is the bandwidth of the origin's link in bytes a second, or zero if
-	// it is not configured.
+	// OriginRate is the bandwidth of the origin server's link in bytes a second, or
+	// zero if it is not configured.
 	OriginRate float64
 	// Engine is nil for a plain service.
 	Engine *Engine
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a customer with the keys that authenticate its requests.
 type Workspace struct {
 	Name string
 	Keys []string
@@ -194,7 +198,8 @@
 	return nil
 }
 
-// Authenticated reports whether requests need a key, because there are workspaces.
+// Authenticated reports whether requests to routes that are not public need a key.
+// They do if any workspace is configured.
 func (c *Configuration) Authenticated() bool { return c.workspaces > 0 }
 
 // Workspace returns the workspace that a key belongs to, or nil.
@@ -216,7 +221,8 @@
 // Get returns the newest configuration, or nil before the first.
 func (t *Table) Get() *Configuration { return t.current.Load() }
 
-// Apply stores c and returns true if c is newer than the configuration held.
+// Apply stores c if its version is higher than that of the current configuration, and
+// reports whether it did.
 func (t *Table) Apply(c *Configuration) bool {
 	for {
 		held := t.current.Load()
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -24,6 +24,8 @@
 		Limits{})
 }
 
+// The route with the longest matching path prefix must be chosen; the case and port of
+// the host must be ignored.
 func TestMatch(t *testing.T) {
 	c := testConfiguration(1)
 	for _, test := range []struct{ host, path, want string }{
@@ -43,6 +45,7 @@
 	}
 }
 
+// Keys must map to their workspace, and unknown or empty keys to none.
 func TestKeys(t *testing.T) {
 	c := testConfiguration(1)
 	assert.Equal(t, c.Workspace("k2").Name, "w")
@@ -52,6 +55,7 @@
 	assert.Equal(t, c.Origin().Name, "o")
 }
 
+// Requests must be split by the weights of the shares; a share of weight 0 gets none.
 func TestServiceSplit(t *testing.T) {
 	r := &Route{Shares: []Share{{"a", 90}, {"b", 10}, {"never", 0}}}
 	assert.Equal(t, r.Service(0), "a")
@@ -60,6 +64,7 @@
 	assert.Equal(t, r.Service(0.9999), "b")
 }
 
+// Only safe requests and resumable streams may run more than once.
 func TestIdempotent(t *testing.T) {
 	assert.Assert(t, (&Route{Kind: Safe}).Idempotent())
 	assert.Assert(t, !(&Route{Kind: Unsafe}).Idempotent())
--- a/transfer/order.go
+++ b/transfer/order.go
@@ -9,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxRanks is the number of boxes that an Order stores for each chunk.
+// maxRanks is the maximum number of boxes that an Order stores for a chunk of a region.
 const maxRanks = 8
 
-// Order is the rendezvous order of a plan: for each region and chunk, the
-// boxes responsible for the chunk's first fetch, by rank. It depends on the
-// plan alone, so all boxes compute the same one.
+// Order is the rendezvous order of a plan. For each region and chunk it holds the boxes
+// responsible for the chunk's first fetch, by rank. It depends only on the plan, so all
+// boxes compute the same order.
 type Order struct {
 	// ranking holds box names by region, chunk and rank.
 	ranking map[string][][]string
@@ -47,16 +47,15 @@
 	return o
 }
 
-// partnerRanks is the number of first ranks of a chunk's order whose boxes are
-// partners: they query each other at the start of a transfer, so that one that
-// does not respond is skipped at once instead of after a TakeOverDelay. With half
-// of a region's boxes down, all three are down for one chunk in eight.
+// partnerRanks is the number of ranks of a chunk, from 0, whose boxes are partners.
+// Partners query each other at the start of a transfer. A partner that does not respond
+// is skipped at once instead of after a TakeOverDelay.
 const partnerRanks = 3
 
-// Partners returns the boxes that share the first partnerRanks ranks of any
-// chunk with box, which is in region: at most partnerRanks-1 for each chunk in
-// which box has such a rank, whatever the size of the region. In a small region
-// they are all other boxes.
+// Partners returns the partners of box, which is in region: for each chunk for which
+// box has one of the first partnerRanks ranks, the other boxes with these ranks. Their
+// number is bounded independently of the size of the region. In a small region they
+// are all other boxes.
 func (o *Order) Partners(region, box string) []string {
 	seen := map[string]bool{box: true}
 	var out []string
@@ -101,8 +100,8 @@
 	return out
 }
 
-// rankAmong returns the rank of box in the rendezvous order of chunk c over
-// itself and peers.
+// rankAmong returns the rank of box in the rendezvous order of chunk c if only box and
+// peers are ordered.
 func rankAmong(c int, box string, peers []*peerState) int {
 	own := weight(c, box)
 	rank := 0
--- a/transfer/picker.go
+++ b/transfer/picker.go
@@ -8,8 +8,8 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Picker chooses the chunk to send to a box that pulls: the one that this box
-// has sent the fewest times, an estimate of rarest first. It is not safe for
+// Picker chooses the chunk to send to a box that pulls: the one that this box has sent
+// the fewest times. This approximates a rarest-first order. It is not safe for
 // concurrent use.
 type Picker struct {
 	sendCounts []int32 // by chunk
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -8,10 +8,10 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Offered records that the response to p carries the given chunk and returns
-// whether to accept it. It returns false if the chunk is held or in
-// flight already, or is not the one that p names; the caller then discards the
-// response and calls Drop. For a pull FromPeer it sets p.Chunk.
+// Offered records that the response to p contains the given chunk, and returns whether
+// to accept the response. For a pull FromPeer it sets p.Chunk, and returns false if the
+// chunk is held or in flight already. For other pulls it returns false if the chunk is
+// not p.Chunk. If it returns false, the caller discards the response and calls Drop.
 func (s *Swarm) Offered(p *Pull, chunk int) bool {
 	if chunk < 0 || chunk >= s.params.Chunks {
 		return false
@@ -28,8 +28,8 @@
 	return true
 }
 
-// Arrived ends a pull whose chunk has been received and verified. a is the
-// sender's availability, and elapsed the duration of the transfer.
+// Arrived ends a pull whose chunk has been received and verified. a is the sender's
+// availability, and elapsed the duration of the chunk's transfer.
 func (s *Swarm) Arrived(p Pull, a Availability, elapsed time.Duration, now time.Time) {
 	s.endPull(p)
 	s.held.Set(uint(p.Chunk))
@@ -46,8 +46,8 @@
 	}
 }
 
-// ewma returns the exponentially weighted moving average after sample; a mean
-// of zero stands for no sample yet.
+// ewma returns the exponentially weighted moving average mean after another sample. A
+// mean of zero means that there is no sample yet.
 func ewma(mean, sample time.Duration) time.Duration {
 	const weight = 8
 	if mean == 0 {
@@ -70,9 +70,9 @@
 // the first chunk.
 func (s *Swarm) ChunkTime() time.Duration { return s.chunkTime }
 
-// NothingUseful ends a pull whose peer has no chunk that this box needs, or
-// not the requested one; a is the peer's availability. The peer is
-// queried again after an exponential backoff.
+// NothingUseful ends a pull whose peer does not hold the requested chunk or, of a pull
+// for any chunk, holds none that this box lacks. a is the peer's availability. The peer
+// is queried again after an exponential backoff.
 func (s *Swarm) NothingUseful(p Pull, a Availability, now time.Time) {
 	s.endPull(p)
 	if p.Kind == FromRemoteRegion {
@@ -87,8 +87,8 @@
 	ps.retryAt = now.Sub(s.start) + ps.idleBackoff
 }
 
-// Busy ends a pull that the sender refused because of load; retryAfter is the
-// delay that the sender requested, or zero.
+// Busy ends a pull that the sender refused because of its load. retryAfter is the delay
+// that the sender requested before the next pull, or zero.
 func (s *Swarm) Busy(p Pull, retryAfter time.Duration, now time.Time) {
 	s.endPull(p)
 	if ps := s.byBox[p.Peer]; ps != nil {
@@ -96,7 +96,8 @@
 	}
 }
 
-// InvalidChunk ends a pull whose response was not the expected chunk.
+// InvalidChunk ends a pull whose chunk did not match its digest, and backs off the
+// sender.
 func (s *Swarm) InvalidChunk(p Pull, now time.Time) { s.penalize(p, penaltyMin, now) }
 
 // ConnectionFailed ends a pull whose connection was refused or broken. It
@@ -106,15 +107,15 @@
 	s.penalize(p, penaltyMin, now)
 }
 
-// Unresponsive ends a pull that timed out without a response. Each further pull
-// from such a peer would cost the whole timeout, so the backoff is longer than
-// after a refused connection.
+// Unresponsive ends a pull that timed out without a response. Each further pull from
+// such a sender may take the whole timeout again, so the backoff is longer than after a
+// refused connection.
 func (s *Swarm) Unresponsive(p Pull, now time.Time) {
 	s.backOffOrigin(p, now)
 	s.penalize(p, stallPenalty, now)
 }
 
-// backOffOrigin delays the next read from the origin if p is one.
+// backOffOrigin delays the next read from the origin if p was a read from the origin.
 func (s *Swarm) backOffOrigin(p Pull, now time.Time) {
 	if p.Kind == FromOrigin {
 		s.originRetry = now.Add(originBackoff)
@@ -122,8 +123,8 @@
 	}
 }
 
-// penalize ends p and backs off its peer, for at least minimum and doubling
-// with each failure up to penaltyMax.
+// penalize ends p and backs off its peer. The backoff doubles with each failure; it is
+// at least minimum and at most penaltyMax.
 func (s *Swarm) penalize(p Pull, minimum time.Duration, now time.Time) {
 	s.endPull(p)
 	ps := s.byBox[p.Peer]
@@ -134,9 +135,9 @@
 	ps.retryAt = now.Sub(s.start) + ps.penalty
 }
 
-// Stalled ends a pull that received no byte for StallTimeout. The peer is
-// penalized only if other chunks arrived meanwhile; otherwise this box's own
-// link is presumed to have stalled.
+// Stalled ends a pull that received no byte for StallTimeout. If another chunk has
+// arrived in that time, the peer is backed off like after a failure. Otherwise this
+// box's own link is presumed to be stalled.
 func (s *Swarm) Stalled(p Pull, now time.Time) {
 	if now.Sub(s.lastArrival) < s.StallTimeout() {
 		s.penalize(p, stallPenalty, now)
@@ -149,7 +150,8 @@
 	}
 }
 
-// Drop ends a pull whose response was discarded or that was cancelled.
+// Drop ends a pull that was cancelled, or whose response was discarded after Offered
+// returned false.
 func (s *Swarm) Drop(p Pull) { s.endPull(p) }
 
 // RemovePeer excludes a box that has left the plan from all further pulls.
@@ -166,9 +168,9 @@
 	}
 }
 
-// mergeAvailability adds a to what is known of ps and, for a peer of the own
-// region, of the region. Bitmaps that are missing or of the wrong length are
-// ignored.
+// mergeAvailability adds the chunks of a to the chunks that ps is known to hold. If ps
+// is in the same region, it also adds them to the chunks that the region is known to
+// hold. Bitmaps that are missing or of the wrong length are ignored.
 func (s *Swarm) mergeAvailability(ps *peerState, a Availability) {
 	if !s.validBitmap(a.Held) {
 		return
@@ -187,7 +189,8 @@
 	return b != nil && b.Len() == uint(s.params.Chunks)
 }
 
-// endPull undoes the accounting of a pull that is no longer in flight.
+// endPull removes a pull that has ended from the counters and bitmaps of pulls in
+// flight.
 func (s *Swarm) endPull(p Pull) {
 	s.pulls--
 	if p.Kind != FromPeer {
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -7,23 +7,24 @@
 // The schedule is computed from the plan alone, so that all boxes agree on it
 // without exchanging messages:
 //
-//   - Every chunk has a rendezvous order over the plan's boxes in each region.
-//     In a region that reads from the origin, the box of rank 0 reads the
-//     chunk from the origin at the chunk's scheduled time: its first fetch. A
-//     box of rank r takes over only after r times TakeOverDelay, and only if
-//     no box of the region is known to hold the chunk. So the origin sends one
-//     copy, and a failed reader is replaced by one box, not by all.
+//   - For every chunk, the boxes of each region are ordered by rendezvous
+//     hashing. The position of a box in that order is its rank for the chunk.
+//   - The first fetch of a chunk is the one that brings it into a region. In a
+//     region that reads from the origin, the box of rank 0 does it: it reads the
+//     chunk from the origin at the chunk's scheduled time. If no box of the
+//     region is known to hold the chunk r times TakeOverDelay later, the box of
+//     rank r takes over. So normally the origin sends each chunk once, and one
+//     box after the other replaces a failed reader.
 //   - In any other region, the same order determines which box fetches the
 //     chunk from a remote region, so that each region receives each chunk
 //     once.
-//   - All other chunks come from peers of the own region. The box that pulls
-//     sends the bitmap of the chunks that it holds or has in flight; the peer
-//     selects the chunk (see Picker), because it has counted which it has sent
-//     least. Each response carries the sender's Availability, so that this needs
-//     no messages of its own.
+//   - A box pulls all other chunks from peers of its own region. It sends the
+//     bitmap of the chunks that it holds or has in flight, and the peer selects
+//     another chunk to send (see Picker). Each response includes the sender's
+//     Availability.
 //
-// A sender whose chunk fails its digest, or that stalls, is backed off
-// exponentially. The package does no I/O and takes the time as a parameter.
+// A sender that sends an invalid chunk or stalls is backed off exponentially. The
+// package does no I/O and takes the time as a parameter.
 package transfer
 
 import (
@@ -42,8 +43,8 @@
 	Region string
 	// Zone is the availability zone.
 	Zone string
-	// Passive boxes are about to leave and do no first fetches, unless the
-	// region has no other boxes. They still serve the chunks that they hold.
+	// Passive is set for a box that is about to leave. It does no first fetches,
+	// unless the region has no other boxes. It still sends the chunks that it holds.
 	Passive bool
 }
 
@@ -52,35 +53,37 @@
 type Params struct {
 	Chunks int
 	Peers  []Peer
-	// OriginRegions read from the origin; the other regions fetch from them.
+	// OriginRegions are the regions whose boxes read from the origin. The other
+	// regions fetch from these regions.
 	OriginRegions []string
-	// ChunkInterval is the time between the scheduled reads of successive
-	// chunks from the origin: a chunk's size over the origin's rate.
+	// ChunkInterval is the time between the scheduled reads of successive chunks from
+	// the origin: a chunk's size divided by the origin's rate.
 	ChunkInterval time.Duration
-	// TakeOverDelay is the additional delay of each further rank before it
-	// does the first fetch of a chunk in place of the rank before it.
+	// TakeOverDelay is how much later than the box of the rank before it a box does
+	// the first fetch of a chunk, if the region does not have the chunk by then.
 	TakeOverDelay time.Duration
 	// ExtraOrigin is the number of chunks that each box may read from the
 	// origin in addition to the schedule, once the scheduled times of all
-	// chunks have passed and no peer can be queried. It trades origin bytes for
-	// time.
+	// chunks have passed and no peer can be queried.
 	ExtraOrigin int
 	// Downloads is the maximum number of pulls in flight; 0 stands for
 	// DefaultDownloads.
 	Downloads int
-	// IdleTimeout is the time without a new chunk after which a transfer
-	// counts as idle and a box recovers chunks whose holders have failed; 0
-	// stands for DefaultIdleTimeout.
+	// IdleTimeout is the time without a new chunk after which a transfer counts as
+	// idle. A box then starts to fetch missing chunks again, whose holders may have
+	// failed. 0 stands for DefaultIdleTimeout.
 	IdleTimeout time.Duration
-	// PauseTakeOver suspends the take-over delays of ranks after the first
-	// while the transfer is idle, so that not all ranks read at once when a
-	// failed sender recovers. It is for transfers that take seconds; in one of
-	// minutes a remote region waits long for its first chunk without a fault.
+	// PauseTakeOver suspends take-over by ranks above 0 while the transfer is idle.
+	// An idle transfer may mean that the origin or the remote region is down; without
+	// the pause, all ranks would read at once when it recovers. It is for transfers
+	// that take seconds. In longer ones a region may wait longer than IdleTimeout for
+	// its first chunk without a fault.
 	PauseTakeOver bool
 }
 
-// ExtraOrigin returns the number of chunks that each of n boxes may read so
-// that together they read the given number of extra copies of the version.
+// ExtraOrigin returns a value for Params.ExtraOrigin: the number of chunks that each
+// of n boxes may read so that together they read the given number of extra copies of
+// the version.
 func ExtraOrigin(chunks, n int, copies float64) int {
 	if n == 0 {
 		return 0
@@ -92,32 +95,29 @@
 const (
 	// DefaultDownloads is the default of Params.Downloads.
 	DefaultDownloads = 6
-	// UploadSlots is the number of chunks that a box sends concurrently. It
-	// equals DefaultDownloads, so that neither end of a link waits for the
-	// other.
+	// UploadSlots is the number of chunks that a box sends concurrently.
 	UploadSlots = 6
-	// UploadQueueLength is the number of pulls that may wait for an upload
-	// slot: one keeps the link busy, more would hold up boxes that could pull
-	// from other peers.
+	// UploadQueueLength is the number of pulls that may wait for an upload slot.
+	// Further pulls are refused, so that their boxes pull from other peers.
 	UploadQueueLength = 1
 	// maxFirstFetches limits the first fetches, and other reads from the
 	// origin, that a box has in flight.
 	maxFirstFetches = 2
 )
 
-// Kind is the kind of source of a pull.
+// Kind is the kind of a pull, by its source.
 type Kind int
 
 // The kinds of a pull.
 const (
-	// None is no pull: nothing to do until Wait has passed or a pull ends.
+	// None means that there is no pull to start until Wait has passed or a pull ends.
 	None Kind = iota
 	// FromOrigin reads Chunk from the origin.
 	FromOrigin
-	// FromPeer requests from Peer, in the own region, any chunk that this box
-	// lacks; Chunk is -1 until Offered.
+	// FromPeer requests any chunk that this box lacks from Peer, a box of the same
+	// region. Chunk is -1 until Offered sets it to the chunk that the peer selected.
 	FromPeer
-	// FromRemoteRegion requests Chunk from Peer, in another region.
+	// FromRemoteRegion requests Chunk from Peer, a box of another region.
 	FromRemoteRegion
 )
 
@@ -125,7 +125,7 @@
 type Pull struct {
 	Kind  Kind
 	Chunk int
-	Peer  string
+	Peer  string // the box to pull from; empty for None and FromOrigin
 	// Wait is the time after which to call Next again, for None.
 	Wait time.Duration
 }
@@ -136,25 +136,25 @@
 	// no useful chunk.
 	idleBackoffMin = 20 * time.Millisecond
 	idleBackoffMax = 640 * time.Millisecond
-	// penaltyMin and penaltyMax bound the backoff of a peer that failed;
-	// stallPenalty is the first backoff of one that stalls or does not respond.
+	// penaltyMin and penaltyMax bound the backoff of a peer after a failure.
+	// stallPenalty is the first backoff of a peer that stalls or does not respond.
 	penaltyMin   = 250 * time.Millisecond
 	penaltyMax   = 2 * time.Minute
 	stallPenalty = 2 * time.Second
-	// stallFactor times the smoothed chunk time is the timeout of a pull that
-	// receives no byte, within stallTimeoutMin and stallTimeoutMax.
+	// stallFactor is multiplied by the smoothed duration of a chunk's transfer. The
+	// product, limited to between stallTimeoutMin and stallTimeoutMax, is the time
+	// without a received byte after which a pull counts as stalled.
 	stallFactor     = 3
 	stallTimeoutMin = 500 * time.Millisecond
 	stallTimeoutMax = 10 * time.Second
-	// senderDownShare is the fraction 1/senderDownShare of the chunks. If more
-	// than that are missing in the region, the sender is presumed down: failed
-	// peers do not explain it, as each is responsible for two or three
-	// of 64 chunks.
+	// senderDownShare is a divisor: if more than 1/senderDownShare of the chunks are
+	// missing in the region of an idle transfer, the sender is presumed down. The
+	// sender is the origin or the remote region.
 	senderDownShare = 4
-	// originBackoff is the backoff of the origin after a failure.
+	// originBackoff is the time after a failed read from the origin until the next.
 	originBackoff = 250 * time.Millisecond
-	// DefaultIdleTimeout is the default of Params.IdleTimeout, for transfers
-	// that take minutes.
+	// DefaultIdleTimeout is the default of Params.IdleTimeout. It suits transfers that
+	// take minutes.
 	DefaultIdleTimeout = 2 * time.Second
 )
 
@@ -162,9 +162,10 @@
 type peerState struct {
 	Peer
 	pulling bool // a pull from the peer is in flight
-	// retryAt is the time since Swarm.start from which the peer may be queried
-	// again. idleBackoff is the backoff after a response without a useful
-	// chunk, penalty that after a failure; both double, and zero is none.
+	// retryAt is the time since Swarm.start from which the peer may be queried again.
+	// idleBackoff is the current backoff after responses without a useful chunk, and
+	// penalty the current backoff after failures. Both double each time; zero means
+	// no backoff.
 	retryAt     time.Duration
 	idleBackoff time.Duration
 	penalty     time.Duration
@@ -183,27 +184,28 @@
 	inFlight     *bitset.BitSet // chunks on their way to this box
 	exists       *bitset.BitSet // chunks known to be held in the own region
 	peers        []*peerState   // peers of the own region
-	remote       []*peerState   // boxes of the origin regions, if this region is none of them
+	remote       []*peerState   // boxes of the origin regions; empty if this box is in one
 	byBox        map[string]*peerState
-	schedule     []scheduledFetch // first fetches that this box may have to do
+	schedule     []scheduledFetch // first fetches that this box may have to do, by time
 	unresponsive map[string]bool  // boxes reported by MarkUnresponsive
 	scheduleDone int              // entries of schedule before this index are done
 	firstFetches int              // pulls in flight from the origin or a remote region
 	extraReads   int              // reads counted against Params.ExtraOrigin
 	pulls        int              // all pulls in flight
 	lastArrival  time.Time
-	// catchUpAt is the time since start by which a sender that recovered from
-	// an outage is expected to have sent the chunks that were missing. With
-	// PauseTakeOver, take-over delays count from then on.
+	// catchUpAt is the time since start by which the origin or the remote region is
+	// expected, after an outage, to have sent the chunks that were missing. With
+	// PauseTakeOver, take-over delays start at that time.
 	catchUpAt time.Duration
 	// originRetry is the time from which the origin may be queried again.
 	originRetry time.Time
-	// lastSenderFailure is the time of the last failed read from the origin or
-	// of the last response of a remote box that did not hold the chunk.
+	// lastSenderFailure is the later of two times: of the last failed read from the
+	// origin, and of the last response of a remote box that did not hold the chunk.
 	lastSenderFailure time.Time
 	// chunkTime is the smoothed duration of a chunk's transfer.
 	chunkTime time.Duration
-	// localStall is true while this box's own link seems to stall.
+	// localStall is set while this box's own link seems to be stalled, because a pull
+	// has stalled and no other chunk has arrived.
 	localStall bool
 }
 
@@ -211,18 +213,17 @@
 // the first ranks.
 type scheduledFetch struct {
 	chunk int
-	// ahead are the boxes of lower rank in the chunk's order, and rank is the
-	// number of those that are not known to be unresponsive.
+	// ahead are the boxes before this one in the chunk's order. rank is the number of
+	// boxes in ahead that are not known to be unresponsive.
 	ahead []string
 	rank  int
-	// due is when the box of rank 0 fetches the chunk, and at is when this box
-	// does, both as the time since Swarm.start.
+	// due is the time since Swarm.start at which the box of rank 0 fetches the chunk.
+	// at is the time since Swarm.start at which this box does.
 	due, at time.Duration
 }
 
-// NewSwarm returns the swarm of box self. held are the chunks that it has
-// already, o is the order of p, and start is the time at which the box saw the
-// plan confirmed.
+// NewSwarm returns the swarm of box self. held are the chunks that the box holds
+// already, o is NewOrder(p), and start is the time from which the schedule counts.
 func NewSwarm(p Params, o *Order, self string, held *bitset.BitSet, start time.Time) *Swarm {
 	if p.Downloads <= 0 {
 		p.Downloads = DefaultDownloads
@@ -277,8 +278,8 @@
 	return slices.Contains(s.params.OriginRegions, s.self.Region)
 }
 
-// InheritTiming copies the start time and the timing state of an earlier swarm
-// of the same copy, so that the schedule and delays that have begun continue.
+// InheritTiming copies the start time and the timing state of an earlier swarm for
+// the same version, so that its schedule and delays continue.
 func (s *Swarm) InheritTiming(earlier *Swarm) {
 	s.start = earlier.start
 	s.lastArrival = earlier.lastArrival
@@ -288,8 +289,8 @@
 	s.chunkTime = earlier.chunkTime
 }
 
-// buildSchedule computes the first fetches of the chunks for which this box has
-// one of the first ranks in its region.
+// buildSchedule computes the first fetches of those missing chunks for which this box
+// has one of the first maxRanks ranks in its region.
 func (s *Swarm) buildSchedule(o *Order) {
 	for c, ranked := range o.ranking[s.self.Region] {
 		rank := slices.Index(ranked, s.self.Box)
@@ -324,9 +325,9 @@
 	s.scheduleDone = 0
 }
 
-// MarkUnresponsive records that a box of the own region did not respond to a query:
-// its first fetches are taken over without delay, and it is backed off like a
-// peer that stalls.
+// MarkUnresponsive records that a box of this box's region did not respond to a query.
+// The box no longer counts in the ranks of the first fetches, so that the next rank
+// need not wait for it. It is backed off like a peer that stalls.
 func (s *Swarm) MarkUnresponsive(box string, now time.Time) {
 	if s.unresponsive[box] {
 		return
@@ -364,9 +365,9 @@
 type Availability struct {
 	// Held are the chunks that the sender holds.
 	Held *bitset.BitSet
-	// Exists are the chunks that, as far as the sender knows, are held by some
-	// box of its region. Boxes propagate it, so that one of a later rank does
-	// not fetch a chunk that its region has already.
+	// Exists are the chunks that, as far as the sender knows, are held by some box of
+	// its region. A box adds the chunks of a peer's bitmap to its own, so that no box
+	// does the first fetch of a chunk that the region has already.
 	Exists *bitset.BitSet
 }
 
@@ -398,8 +399,9 @@
 	return Pull{Wait: idleBackoffMin}
 }
 
-// readExtraChunk returns a read of a random missing chunk from the origin,
-// within Params.ExtraOrigin, once the whole schedule has passed.
+// readExtraChunk starts the read of a random missing chunk from the origin in addition
+// to the schedule. It returns false if the scheduled times of all chunks have not
+// passed yet or Params.ExtraOrigin is used up.
 func (s *Swarm) readExtraChunk(since time.Duration) (Pull, bool) {
 	passed := since > time.Duration(s.params.Chunks)*s.params.ChunkInterval
 	if !passed || s.extraReads >= s.params.ExtraOrigin || s.firstFetches >= maxFirstFetches {
@@ -417,8 +419,8 @@
 	return Pull{Kind: FromOrigin, Chunk: int(chunk)}, true
 }
 
-// pullLimit returns the maximum number of pulls in flight: one, as a probe,
-// while the box's own link seems to stall.
+// pullLimit returns the maximum number of pulls in flight. It is 1, for a probe, while
+// the box's own link seems to be stalled.
 func (s *Swarm) pullLimit() int {
 	if s.localStall {
 		return 1
@@ -426,8 +428,9 @@
 	return s.params.Downloads
 }
 
-// nextScheduled returns the first fetch of a scheduled chunk that is due and
-// that no box of the region is known to hold.
+// nextScheduled starts the earliest first fetch in the schedule whose time has passed,
+// if no box of the region is known to hold the chunk. It returns false if there is
+// none or it must not be started now.
 func (s *Swarm) nextScheduled(now time.Time) (Pull, bool) {
 	if s.firstFetches >= maxFirstFetches || s.readsOrigin() && now.Before(s.originRetry) {
 		return Pull{}, false
@@ -457,22 +460,24 @@
 	return Pull{}, false
 }
 
-// Window of the reads from an origin that is behind schedule.
+// Parameters of the read window: while the origin is behind schedule, such as after an
+// outage, a box reads a chunk only if fewer earlier chunks than the window's size are
+// still missing in its region.
 const (
-	// behindThreshold is the lateness of a first fetch from which the origin
-	// counts as behind schedule.
+	// behindThreshold is how long after its scheduled time a first fetch is subject to
+	// the read window.
 	behindThreshold = 500 * time.Millisecond
-	// propagationTime is the time until the boxes of a region know that one of
-	// them holds a new chunk. The window is the number of chunks that the
-	// origin sends in that time plus windowSlack, which keeps its link busy.
+	// propagationTime is the estimated time until the boxes of a region have received
+	// the information that one of them holds a new chunk. The size of the window is
+	// the number of chunks that the origin sends in that time, plus windowSlack.
 	propagationTime = 400 * time.Millisecond
-	windowSlack     = 4
+	// windowSlack is a number of chunks. It keeps the origin's link busy.
+	windowSlack = 4
 )
 
-// outsideReadWindow reports whether to defer f because a whole window of
-// earlier chunks is still missing in the region. After an outage of the origin
-// all first fetches are overdue; reading all of them concurrently would complete
-// them all late, with no time left to distribute the chunks.
+// outsideReadWindow reports whether to defer f because it is outside the read window.
+// After an outage of the origin all first fetches are overdue. If all chunks were read
+// at once, all would be complete late, with no time left to distribute them.
 func (s *Swarm) outsideReadWindow(f scheduledFetch, since time.Duration) bool {
 	if !s.params.PauseTakeOver || !s.readsOrigin() || since-f.due < behindThreshold {
 		return false
@@ -490,8 +495,8 @@
 	return missingBefore >= window
 }
 
-// takeOverPaused reports whether take-over by later ranks is suspended because
-// the transfer is idle: the sender is presumed down.
+// takeOverPaused reports whether take-over by ranks above 0 is suspended because the
+// transfer is idle, which may mean that the origin or the remote region is down.
 func (s *Swarm) takeOverPaused(now time.Time) bool {
 	return s.params.PauseTakeOver && now.Sub(s.lastArrival) > s.params.IdleTimeout
 }
@@ -502,8 +507,9 @@
 	return s.params.Chunks - int(s.held.UnionCardinality(s.exists))
 }
 
-// NextFirstFetch is like Next but returns scheduled first fetches only, so that
-// a box that makes no other pulls still reads its chunks from the origin.
+// NextFirstFetch is like Next, but returns only scheduled first fetches. It is for a
+// box that must not start other pulls but should still bring its chunks into the
+// region.
 func (s *Swarm) NextFirstFetch(now time.Time) Pull {
 	if s.Done() || s.pulls >= s.pullLimit() {
 		return Pull{Wait: idleBackoffMin}
@@ -532,9 +538,10 @@
 	return Pull{Kind: FromRemoteRegion, Chunk: chunk, Peer: ps.Box}, true
 }
 
-// remoteHolder returns the remote box to request chunk from, or nil: of those that
-// are not backed off, one that is known to hold the chunk, and otherwise the
-// first in the remote region's own order, which fetches it first there.
+// remoteHolder returns the remote box to request chunk from, or nil if there is none.
+// It prefers boxes that are known to hold the chunk. Among equals it returns the first
+// in the chunk's rendezvous order, which does the first fetch in its region. It skips
+// boxes that are backed off or being pulled from.
 func (s *Swarm) remoteHolder(chunk int, since time.Duration) *peerState {
 	var best *peerState
 	var bestWeight uint64
@@ -555,14 +562,14 @@
 	return best
 }
 
-// startPull accounts for a pull of chunk.
+// startPull marks chunk as in flight and counts the pull.
 func (s *Swarm) startPull(chunk int) {
 	s.inFlight.Set(uint(chunk))
 	s.pulls++
 }
 
-// pullFromPeer starts a pull from a peer of the own region: of two random ones
-// that which is known to hold more of the chunks that this box lacks.
+// pullFromPeer starts a pull from a peer of the same region. Of two random peers it
+// selects the one that is known to hold more chunks that this box lacks.
 func (s *Swarm) pullFromPeer(since time.Duration) (Pull, bool) {
 	chosen := s.randomPeer(since)
 	if chosen == nil {
@@ -577,8 +584,8 @@
 	return Pull{Kind: FromPeer, Chunk: -1, Peer: chosen.Box}, true
 }
 
-// randomPeer returns a random peer of the own region that is neither backed off
-// nor being pulled from, or nil.
+// randomPeer returns a random peer of the same region that is neither backed off nor
+// being pulled from. It returns nil if there is none.
 func (s *Swarm) randomPeer(since time.Duration) *peerState {
 	n := len(s.peers)
 	if n == 0 {
@@ -598,15 +605,16 @@
 // box lacks.
 func (s *Swarm) usefulChunks(ps *peerState) uint { return ps.held.DifferenceCardinality(s.held) }
 
-// recoverLostChunk starts the fetch of a chunk that is not available although
-// its scheduled time has passed, such as one whose holders have failed. It does
-// so after IdleTimeout, plus one TakeOverDelay for each rank of this box in the
-// chunk's order among the responsive peers.
+// recoverLostChunk starts the fetch of a chunk that this box lacks although its
+// scheduled time has passed, such as one whose holders have failed. The transfer must
+// have been idle for IdleTimeout plus r times TakeOverDelay, where r is the rank of
+// this box for the chunk among the responsive peers.
 //
-// With PauseTakeOver, the time until the last failure of the sender does not
-// count; otherwise all boxes would read the missing chunks at once after an
-// outage. And if more than 1/senderDownShare of the chunks are missing in the
-// region, those are left to the boxes that have them in their schedule first.
+// With PauseTakeOver, the idle time starts again with each failure of the sender,
+// which is the origin or the remote region. Otherwise all boxes would read the missing
+// chunks at once after an outage. If more than 1/senderDownShare of the chunks are
+// missing in the region, the rank for these is increased by maxRanks, so that the
+// boxes that have them in their schedule fetch them first.
 func (s *Swarm) recoverLostChunk(now time.Time) (Pull, bool) {
 	idle := now.Sub(s.lastArrival)
 	if s.params.PauseTakeOver && s.lastSenderFailure.After(s.lastArrival) {
@@ -636,8 +644,8 @@
 	return Pull{}, false
 }
 
-// responsivePeers returns the peers of the own region whose last pull did not
-// fail.
+// responsivePeers returns the peers of the same region that have no penalty: their
+// last pull did not fail.
 func (s *Swarm) responsivePeers() []*peerState {
 	var out []*peerState
 	for _, ps := range s.peers {
@@ -648,8 +656,8 @@
 	return out
 }
 
-// TakeOverDelay returns Params.TakeOverDelay for a transfer that takes at least
-// minTime.
+// TakeOverDelay returns a value of Params.TakeOverDelay for a transfer that takes at
+// least minTime.
 func TakeOverDelay(minTime time.Duration) time.Duration {
 	return max(minTime/20, 2*time.Second)
 }
--- a/transfer/swarm_test.go
+++ b/transfer/swarm_test.go
@@ -15,8 +15,8 @@
 // epoch is the start of the test transfers.
 var epoch = time.Unix(1000, 0)
 
-// testParams returns the parameters of a plan over two regions of which A reads
-// from the origin; boxes b0, b2 and so on are in A, the others in B.
+// testParams returns the parameters of a plan over two regions, A and B, of which A
+// reads from the origin. Boxes b0, b2 and so on are in A, the others in B.
 func testParams(boxes, chunks int) Params {
 	p := Params{Chunks: chunks, OriginRegions: []string{"A"}, ChunkInterval: 10 * time.Millisecond, TakeOverDelay: time.Second}
 	for i := range boxes {
@@ -57,8 +57,8 @@
 	return out
 }
 
-// TestChunkReadByOneBox guards against redundant reads: without delays, each
-// chunk is read from the origin by exactly one box, of the origin region.
+// TestChunkReadByOneBox guards against redundant reads: in a transfer without delays,
+// exactly one box, which is in region A, reads each chunk from the origin.
 func TestChunkReadByOneBox(t *testing.T) {
 	p := testParams(8, 64)
 	p.TakeOverDelay = 10 * time.Second
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestTakeOverDelayByRank checks that after each take-over delay one more box
-// is scheduled to fetch a chunk, not all boxes.
+// TestTakeOverDelayByRank guards against all boxes taking over a chunk at once: after
+// each take-over delay, one more box is scheduled to fetch it.
 func TestTakeOverDelayByRank(t *testing.T) {
 	p := testParams(8, 16)
 	o := NewOrder(p)
@@ -199,8 +199,8 @@
 	assert.Equal(t, s.byBox[second.Peer].penalty, stallPenalty)
 }
 
-// TestExtraOriginReadsAreBounded checks that Params.ExtraOrigin bounds the reads
-// that a box makes in addition to its schedule.
+// TestExtraOriginReadsAreBounded checks that a box makes at most Params.ExtraOrigin
+// reads from the origin in addition to its schedule.
 func TestExtraOriginReadsAreBounded(t *testing.T) {
 	p := testParams(4, 40)
 	p.ExtraOrigin = ExtraOrigin(40, 4, 1)
@@ -290,8 +290,8 @@
 	}
 }
 
-// TestReadWindowAfterOutage checks that once the origin recovers, a box reads
-// only chunks of rank 0, and of those only the ones inside the read window.
+// TestReadWindowAfterOutage checks that after an outage of the origin a box reads only
+// the chunks for which it has rank 0 and that are inside the read window.
 func TestReadWindowAfterOutage(t *testing.T) {
 	p := testParams(8, 64)
 	p.PauseTakeOver, p.IdleTimeout = true, 400*time.Millisecond
@@ -330,8 +330,8 @@
 	}
 }
 
-// TestUnresponsiveBoxIsSkipped checks that the box of the next rank, and no other,
-// takes over the first fetch of an unresponsive box without delay.
+// TestUnresponsiveBoxIsSkipped checks that the first fetch of an unresponsive box is
+// taken over without delay, and only by the box of the next rank.
 func TestUnresponsiveBoxIsSkipped(t *testing.T) {
 	p := testParams(12, 48)
 	p.TakeOverDelay = time.Second
@@ -466,8 +466,8 @@
 	assert.Assert(t, read <= (chunks-initial)*3/2, "%d reads of %d chunks", read, chunks-initial)
 }
 
-// TestInheritTiming checks that a swarm that replaces another after an outage
-// reads its overdue chunks at once, and only those of rank 0.
+// TestInheritTiming checks that a swarm that replaces another after an outage reads the
+// overdue chunks for which the box has rank 0 at once, and no others.
 func TestInheritTiming(t *testing.T) {
 	p := testParams(8, 64)
 	p.PauseTakeOver, p.IdleTimeout = true, 400*time.Millisecond
@@ -496,9 +496,9 @@
 	}
 }
 
-// TestNoTakeOverWhileCatchingUp checks that after an outage of the remote region
-// no later rank takes over a chunk before the missing chunks can have been sent
-// and a further TakeOverDelay has passed.
+// TestNoTakeOverWhileCatchingUp checks that after an outage of the remote region no rank
+// above 0 takes over a chunk too early: the region needs time to send all missing
+// chunks, and a TakeOverDelay must pass after that.
 func TestNoTakeOverWhileCatchingUp(t *testing.T) {
 	const (
 		chunks    = 64
--- a/weights/copy.go
+++ b/weights/copy.go
@@ -12,7 +12,7 @@
 
 // The states of a copy, in the order in which a copy goes through them.
 const (
-	// Absent: the copy has no chunks and fetches none.
+	// Absent: the box holds no chunks of the version and fetches none.
 	Absent CopyState = "absent"
 	// Fetching: chunks are being fetched and verified.
 	Fetching CopyState = "fetching"
@@ -34,7 +34,7 @@
 	manifest *Manifest
 	state    CopyState
 	held     *bitset.BitSet // verified chunks
-	fence    int64
+	fence    int64          // fencing token of the last load
 }
 
 // NewCopy returns an absent copy of the version that m describes.
@@ -70,15 +70,15 @@
 	return nil
 }
 
-// LoadFailed returns a copy whose load did not take effect to Verified.
+// LoadFailed moves a copy from Loading back to Verified, after a load that failed.
 func (c *Copy) LoadFailed() error { return c.transition(Loading, Verified) }
 
 // Serve moves a loaded copy from Loading to Serving.
 func (c *Copy) Serve() error { return c.transition(Loading, Serving) }
 
-// Adopt moves an absent copy to Serving, with all chunks held. It is for a
-// sidecar that restarted while its engine, which reports the version as
-// completely loaded, kept running.
+// Adopt moves an absent copy to Serving and marks all chunks as held. It is for a
+// sidecar that has restarted while its engine kept running and reports the version
+// as completely loaded.
 func (c *Copy) Adopt(fence int64) error {
 	if err := c.transition(Absent, Serving); err != nil {
 		return err
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// Drain moves a serving copy to Draining; requests in progress may complete.
+// Drain moves a copy from Serving to Draining.
 func (c *Copy) Drain() error { return c.transition(Serving, Draining) }
 
-// Resume returns a draining copy to Serving, after a rollback.
+// Resume moves a copy from Draining back to Serving, after a rollback.
 func (c *Copy) Resume() error { return c.transition(Draining, Serving) }
 
-// Unload returns a draining copy to Verified. Its chunks stay in staging and are
-// still sent to peers.
+// Unload moves a copy from Draining back to Verified. Its chunks are kept and still
+// sent to peers.
 func (c *Copy) Unload() error { return c.transition(Draining, Verified) }
 
 // Drop makes the copy Absent and clears its chunks. A copy that is Loading,
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// transition moves the copy to another state if it is in state from.
+// transition moves the copy from one state to another. It returns
+// ErrInvalidTransition if the copy is not in state from.
 func (c *Copy) transition(from, to CopyState) error {
 	if c.state != from {
 		return errors.WithType(errors.Errorf("%s: %s to %s", c.manifest.Ref, c.state, to), ErrInvalidTransition)
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -3,11 +3,11 @@
 // Package weights describes the chunks of a version of a model's weights and the
 // state of a box's copy of them.
 //
-// A Manifest lists a version's chunks with their digests. A plan pins the
-// digest of the manifest itself, so that one digest in the log verifies every
-// byte that a box loads. A Copy is the state machine of one box's copy; it
-// accepts a chunk only if its digest matches, and can be loaded only when it
-// holds all chunks.
+// A Manifest lists a version's chunks with their digests. The plan of a rollout,
+// which is stored in the event log, includes the digest of the manifest. So that one
+// digest verifies every byte that a box loads. A Copy is the state machine of one
+// box's copy of a version. It accepts a chunk only if the digest matches, and can be
+// loaded only when it holds all chunks.
 //
 // The package does no I/O.
 package weights
@@ -23,7 +23,7 @@
 	"github.com/juju/errors"
 )
 
-// Errors of manifests and copies, to be tested for with errors.Is.
+// Errors of manifests and copies, for use with errors.Is.
 const (
 	// ErrBadManifest means that a manifest is inconsistent or does not match
 	// its digest.
@@ -40,8 +40,8 @@
 // the bitmaps that are sent with each pull.
 const MaxChunks = 16384
 
-// Ref identifies a version of a model, or of an adapter if Model has the form
-// "base+adapter".
+// Ref identifies a version of a model. If Model has the form "base+adapter", it is a
+// version of that adapter to the base model.
 type Ref struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -64,6 +64,7 @@
 // digits, '.', '+', '_' and '-', not starting with '.'.
 func (r Ref) Valid() bool { return validName(r.Model) && validName(r.Version) }
 
+// validName reports whether s is valid as either name of a Ref.
 func validName(s string) bool {
 	if s == "" || len(s) > 128 || s[0] == '.' {
 		return false
@@ -133,7 +134,8 @@
 	return min(m.ChunkBytes, m.Bytes-int64(i)*m.ChunkBytes)
 }
 
-// CheckSum returns ErrChunkMismatch unless size and sum are those of chunk i.
+// CheckSum returns ErrChunkMismatch if size or sum differs from that of chunk i, or
+// if there is no chunk i.
 func (m *Manifest) CheckSum(i int, size int64, sum Digest) error {
 	if i < 0 || i >= len(m.Chunks) {
 		return errors.WithType(errors.Errorf("%s has no chunk %d", m.Ref, i), ErrChunkMismatch)
@@ -165,8 +167,10 @@
 // Digest returns the digest of the bytes written.
 func (h *Hasher) Digest() Digest { return Digest(hex.EncodeToString(h.hash.Sum(nil))) }
 
-// ParseManifest parses and validates a manifest and checks that its digest is
-// pin. An empty pin accepts any valid manifest; only a planner may use it.
+// ParseManifest parses and validates a manifest. pin is the digest that the plan has
+// for the manifest; it returns ErrBadManifest if the digest differs. If pin is empty,
+// the digest is not checked; only the planner, which puts it into the plan, may omit
+// it.
 func ParseManifest(b []byte, pin Digest) (*Manifest, error) {
 	m := new(Manifest)
 	if err := json.Unmarshal(b, m); err != nil {
