--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -58,7 +58,7 @@
 	isolated bool
 }
 
-// Holds returns the version of model that the endpoint holds completely, or 0 if
+// HeldVersion returns the version of model that the endpoint holds completely, or 0 if
 // there is none. It is also 0 if the last report, of any age, called the engine's
 // weights unverified: the engine may then hold other weights than the report or the
 // record lists.
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,6 +11,7 @@
 	"github.com/mintlift/mintlift/backpressure"
 )
 
+// start is the time at which the tests start.
 var start = time.Unix(1000, 0)
 
 const model = "m"
@@ -26,10 +27,12 @@
 	return f
 }
 
+// query returns the query of an attempt with a short prompt, for engines with 4 slots.
 func query() Query {
 	return Query{Service: "s", Model: model, Slots: 4, MaxLoad: 5, PrefillMS: 50, MeanPrefillMS: 50}
 }
 
+// report returns the load report of the engine with the given id in a fleet of engines.
 func report(id string, version, running, queued int) Report {
 	return Report{Address: id + ":1", Model: model, Version: version, Running: running, Queued: queued}
 }
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -113,7 +113,7 @@
 	corrupt func(sent int) bool
 	// corruptManifests is how many of the next manifests are corrupted.
 	corruptManifests int
-	delay            time.Duration // of each call of Chunk
+	delay            time.Duration // of each call of Chunk and limitedOrigin.Manifest
 }
 
 func (o *fakeOrigin) Manifest(_ context.Context, _ string, version int) (*Manifest, error) {
--- a/installer/load.go
+++ b/installer/load.go
@@ -14,7 +14,7 @@
 type Start struct {
 	Model   string
 	Version int
-	// Cut makes the engine abort its running requests; otherwise it waits until they
+	// AbortRunning makes the engine abort its running requests; otherwise it waits until they
 	// end.
 	Cut bool
 	// Orders is the expected EngineState.Orders, the number of orders that the engine
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -43,9 +43,11 @@
 
 // Limits of calls between sidecars.
 const (
-	peerDialTimeout  = 400 * time.Millisecond
-	peerIdleTimeout  = 5 * time.Second
-	heldTimeout      = 200 * time.Millisecond
+	peerDialTimeout = 400 * time.Millisecond
+	peerIdleTimeout = 5 * time.Second // of a connection without calls
+	heldTimeout     = 200 * time.Millisecond
+	// maxManifestBytes bounds the body of a pull request and of a response other than
+	// a chunk.
 	maxManifestBytes = 4 << 20
 	maxChunkBytes    = 16 << 20
 	// maxQueuedUploads is the maximum number of pulls that wait for an upload slot.
@@ -61,6 +63,7 @@
 	pacer *pacer
 }
 
+// newPeerClient returns a client that receives chunks at the rate of down.
 func newPeerClient(down *pacer) *peerClient {
 	dialer := tcpconn.Dialer(peerDialTimeout, tcpconn.ProbeLater)
 	return &peerClient{pacer: down, client: &http.Client{Transport: &http.Transport{
--- a/installer/start_test.go
+++ b/installer/start_test.go
@@ -49,13 +49,13 @@
 // deadline of the older.
 func TestOlderVersionIsLoadedIfNewerIsLate(t *testing.T) {
 	now := time.Now()
-	far := []target{{version: 2, setAt: now}, {version: 3, setAt: now.Add(4 * time.Second)}}
-	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2), now), 2, "version 3 is too late for the deadline of version 2")
-	assert.Equal(t, nextVersion(newLoadedInstaller(far, 2, 3), now), 3, "both are complete")
-	near := []target{{version: 2, setAt: now}, {version: 3, setAt: now.Add(time.Second)}}
-	assert.Equal(t, nextVersion(newLoadedInstaller(near, 2), now), 0, "version 3 will be served in time")
-	assert.Equal(t, nextVersion(newLoadedInstaller(far), now), 0, "no replica")
-	busy := newLoadedInstaller(far, 2)
+	newerLate := []target{{version: 2, setAt: now}, {version: 3, setAt: now.Add(4 * time.Second)}}
+	assert.Equal(t, nextVersion(newLoadedInstaller(newerLate, 2), now), 2, "version 3 is too late for the deadline of version 2")
+	assert.Equal(t, nextVersion(newLoadedInstaller(newerLate, 2, 3), now), 3, "both are complete")
+	newerInTime := []target{{version: 2, setAt: now}, {version: 3, setAt: now.Add(time.Second)}}
+	assert.Equal(t, nextVersion(newLoadedInstaller(newerInTime, 2), now), 0, "version 3 will be served in time")
+	assert.Equal(t, nextVersion(newLoadedInstaller(newerLate), now), 0, "no replica")
+	busy := newLoadedInstaller(newerLate, 2)
 	busy.engineState.Busy = true
 	assert.Equal(t, nextVersion(busy, now), 0, "the engine executes an order")
 }
--- a/installer/verify.go
+++ b/installer/verify.go
@@ -28,6 +28,7 @@
 	startedMS, orders int64
 }
 
+// loadIDOf returns the id of the load that the engine reports.
 func loadIDOf(s EngineState) loadID { return loadID{s.StartedMS, s.Orders} }
 
 // verifiedVersion returns the version that the engine has loaded, or 0 if the load
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -89,8 +89,8 @@
 	ReasonBusy Reason = "busy"
 	// ReasonNotHome: another sidecar is the home of the idempotency key.
 	ReasonNotHome Reason = "not_home"
-	// ReasonUnknown: an earlier home of the key may have let an attempt run, of which
-	// this home has no record.
+	// ReasonUnknown: another home of the key may have let an attempt run, which the
+	// refusing sidecar cannot determine.
 	ReasonUnknown Reason = "unknowable"
 	// ReasonSeen: the home has an entry of an earlier attempt with the key, or cannot
 	// add an entry.
@@ -99,7 +99,7 @@
 	ReasonDeadline Reason = "deadline"
 	// ReasonEndpoint: the request could not be sent to the endpoint.
 	ReasonEndpoint Reason = "endpoint"
-	// ReasonReplaced: a newer sidecar process runs on the box.
+	// ReasonReplaced: another sidecar process has taken over the box.
 	ReasonReplaced Reason = "replaced"
 	// ReasonClosed: the endpoint has signalled a backoff, or its rate limit is used
 	// up. The request may be retried there after the refusal's retry_after_ms.
@@ -117,7 +117,7 @@
 	Held   int `json:"held"`
 	Chunks int `json:"chunks"`
 	// OriginBytes and PeerBytes are the bytes received from the origin and from
-	// peers. CrossBytes is the part of PeerBytes that came from other regions.
+	// peers. CrossRegionBytes is the part of PeerBytes that came from other regions.
 	OriginBytes int64 `json:"origin_bytes"`
 	PeerBytes   int64 `json:"peer_bytes"`
 	CrossBytes  int64 `json:"cross_bytes"`
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -115,7 +115,9 @@
 // Service is a group of endpoints, or the origin server, from which model weights are
 // fetched.
 type Service struct {
-	Name           string
+	Name string
+	// MaxConnections is the number of connections that each endpoint accepts, from all
+	// gateways together; 0 is no bound.
 	MaxConnections int
 	// Origin is the address of the origin server, and Zone its availability zone.
 	// Origin is empty for other services.
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -70,7 +70,7 @@
 // the first chunk.
 func (s *Swarm) ChunkTime() time.Duration { return s.chunkTime }
 
-// NothingUseful ends a pull whose peer does not hold the requested chunk or, of a pull
+// NoUsefulChunk ends a pull whose peer does not hold the requested chunk or, of a pull
 // for any chunk, holds none that this box lacks. a is the peer's availability. The peer
 // is queried again after an exponential backoff.
 func (s *Swarm) NothingUseful(p Pull, a Availability, now time.Time) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// InvalidChunk ends a pull whose chunk did not match its digest, and backs off the
-// sender.
+// InvalidChunk ends a pull that did not return the expected chunk, and backs off the
+// peer.
 func (s *Swarm) InvalidChunk(p Pull, now time.Time) { s.penalize(p, penaltyMin, now) }
 
 // ConnectionFailed ends a pull whose connection was refused or broken. It
@@ -185,6 +185,7 @@
 	}
 }
 
+// validBitmap reports whether b is set and has one bit for each chunk.
 func (s *Swarm) validBitmap(b *bitset.BitSet) bool {
 	return b != nil && b.Len() == uint(s.params.Chunks)
 }
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -182,8 +182,8 @@
 
 	held         *bitset.BitSet // verified chunks of this box
 	inFlight     *bitset.BitSet // chunks on their way to this box
-	exists       *bitset.BitSet // chunks known to be held in the own region
-	peers        []*peerState   // peers of the own region
+	exists       *bitset.BitSet // chunks known to be held in this region
+	peers        []*peerState   // peers of this region
 	remote       []*peerState   // boxes of the origin regions; empty if this box is in one
 	byBox        map[string]*peerState
 	schedule     []scheduledFetch // first fetches that this box may have to do, by time
@@ -377,7 +377,7 @@
 }
 
 // Next returns the next pull to carry out. The caller must report its end by
-// one of Arrived, NothingUseful, Busy, InvalidChunk, ConnectionFailed,
+// one of Arrived, NoUsefulChunk, Busy, InvalidChunk, ConnectionFailed,
 // Unresponsive, Stalled and Drop, unless its kind is None.
 func (s *Swarm) Next(now time.Time) Pull {
 	if s.Done() || s.pulls >= s.pullLimit() {
--- a/transfer/swarm_test.go
+++ b/transfer/swarm_test.go
@@ -382,7 +382,7 @@
 // respond is longer than that of one that refuses the connection, such as one
 // that restarts.
 func TestUnresponsivePeerBackoff(t *testing.T) {
-	p := testParams(4, 64) // one peer in the own region
+	p := testParams(4, 64) // one peer in the same region
 	pulls := func(report func(*Swarm, Pull, time.Time)) int {
 		s := newTestSwarm(p, "b0")
 		n := 0
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -79,6 +79,8 @@
 	})
 }
 
+// TestManifest checks that invalid manifests, and a manifest that does not match the
+// expected digest, are rejected.
 func TestManifest(t *testing.T) {
 	m := manifest("aaaa", "bb")
 	raw, err := json.Marshal(m)
