--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -184,8 +184,8 @@
 	return activeGatewayShare * sent * (1 - float64(age)/float64(sentVisibleAfter))
 }
 
-// othersPerRequest returns how many requests all other gateways together send
-// for each request of this one.
+// othersPerRequest returns how many requests all other gateways together send, on
+// average, for each request that this gateway sends.
 func (r *Report) othersPerRequest() float64 {
 	if r.DemandShare <= 0 {
 		return float64(max(0, r.Gateways-1))
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -326,7 +326,7 @@
 const (
 	// Responded means that the endpoint gave a valid response.
 	Responded Result = iota
-	// Failed means an error response or an invalid one.
+	// Failed means that the endpoint gave an error response or an invalid response.
 	Failed
 	// Broken means that the connection could not be made or was lost.
 	Broken
--- a/installer/installer.go
+++ b/installer/installer.go
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package installer updates the engine beside a sidecar to the newest target
+// Package installer updates the engine on a sidecar's box to the newest target
 // version. A target version is a version of the model that the operator has set to
 // be served; log lines call it named.
 //
 // Every sidecar plans its own updates from the same records, without a
 // coordinator. It fetches the version's chunks from the origin and from other
-// sidecars by the rules of package transfer. It stages the chunks beside the
-// engine, where they survive a restart of the sidecar, verifies them there, and
-// orders the engine to load them. Each engine has a slot in the rollout of a
+// sidecars by the rules of package transfer. It stages the chunks: it has the
+// engine store them, next to the version that is loaded. It then verifies the staged
+// chunks and orders the engine to load them. Each engine has a slot in the rollout of a
 // version, the time at which its update starts, so that the others serve meanwhile.
 //
 // Installer.mu guards all state; it is never held during a call to another
-// process. Installer.stagingMu guards the chunks staged beside the engine.
+// process. Installer.stagingMu guards the staged chunks.
 package installer
 
 import (
@@ -84,7 +84,7 @@
 	Signal backpressure.Signal
 }
 
-// Engine is the engine beside the sidecar.
+// Engine is the model engine on the sidecar's box.
 type Engine interface {
 	// State reads the engine's state.
 	State(ctx context.Context) (EngineState, error)
@@ -113,7 +113,7 @@
 	Address string
 	Region  string
 	Zone    string
-	// Draining is set while the endpoint beside the sidecar is being drained.
+	// Draining is set while the endpoint on the sidecar's box is being drained.
 	Draining bool
 }
 
--- a/installer/load.go
+++ b/installer/load.go
@@ -9,8 +9,8 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Start is an order to the engine to load the chunks that are staged beside it, in
-// place of the version that it has loaded.
+// Start is an order to the engine to load the staged chunks in place of the version
+// that it has loaded.
 type Start struct {
 	Model   string
 	Version int
@@ -148,8 +148,8 @@
 	return outcome
 }
 
-// awaitStart waits until the engine has loaded the version of s, whose start it
-// accepted, and verifies the load. before is the engine's state before the start.
+// awaitStart waits until the engine has loaded the version of s and verifies the load.
+// The engine has accepted the start order; before is its state before that.
 // It returns false if the engine restarted, did not load the version within
 // startTimeout, or the verification failed.
 func (i *Installer) awaitStart(ctx context.Context, s *updateStep, before EngineState) bool {
--- a/installer/obtain.go
+++ b/installer/obtain.go
@@ -190,7 +190,7 @@
 }
 
 // openReplica returns the replica of the task's version. If there is none, it creates
-// one with those chunks staged beside the engine that match the manifest. It returns
+// one with those staged chunks that match the manifest. It returns
 // nil if the manifest could not be fetched.
 func (i *Installer) openReplica(ctx context.Context, task fetchTask) *replica {
 	if r := i.replica(task.version); r != nil {
--- a/installer/stage.go
+++ b/installer/stage.go
@@ -6,8 +6,8 @@
 	"context"
 )
 
-// Staged chunks are stored by the engine, which keeps one copy of the model beside
-// the version that it has loaded. They outlive the sidecar's process.
+// Staged chunks are stored by the engine, which has room for one copy of the model in
+// addition to the version that it has loaded. They outlive the sidecar's process.
 // Installer.stagingMu is held during every change to them. It is also held during a
 // load, from the first check of the staged chunks to the last, so that no chunk of
 // another version is staged in between.
--- a/installer/start.go
+++ b/installer/start.go
@@ -178,8 +178,8 @@
 }
 
 // slotTime returns the time of the engine's slot for the update to the version of r.
-// setAt is when the target was set whose deadline must be met, and position is the
-// result of slotPositionLocked. Installer.mu is held.
+// setAt is when the operator set the target whose deadline the engine must meet.
+// position is the result of slotPositionLocked. Installer.mu is held.
 func (i *Installer) slotTime(r *replica, setAt time.Time, position float64) time.Time {
 	first := setAt.Add(time.Duration(firstSlotShare * float64(i.params.Deadline)))
 	last := setAt.Add(lastSlot(i.params.Deadline))
--- a/installer/uploads.go
+++ b/installer/uploads.go
@@ -132,8 +132,8 @@
 	return 2*int(r.held.Count()) >= len(r.chunks) || r.held.DifferenceCardinality(has) > 0
 }
 
-// send responds with the given chunk or, if chunk is -1, with one that is held and not
-// in has. It responds with status 204 if it does not hold such a chunk.
+// send responds with the given chunk. If chunk is -1, it selects a chunk that this box
+// holds and that is not in has. It responds with status 204 if there is none.
 func (u *uploads) send(w http.ResponseWriter, r *http.Request, found *replica, chunk int, has *bitset.BitSet) {
 	i := u.installer
 	i.mu.Lock()
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -112,7 +112,7 @@
 	// Plan is the id of the plan by which the box fetches the version.
 	Plan  string            `json:"plan"`
 	State weights.CopyState `json:"state"`
-	// Held is the number of verified chunks, and Chunks that of all chunks of the
+	// Held is the number of verified chunks. Chunks is the number of all chunks of the
 	// version.
 	Held   int `json:"held"`
 	Chunks int `json:"chunks"`
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -172,7 +172,7 @@
 	held        *bitset.BitSet // chunks that the peer is known to hold
 }
 
-// Swarm is one box's view of one version's transfer. It is not safe for
+// Swarm schedules one box's pulls of the chunks of one version. It is not safe for
 // concurrent use.
 type Swarm struct {
 	params Params
@@ -190,7 +190,7 @@
 	unresponsive map[string]bool  // boxes reported by MarkUnresponsive
 	scheduleDone int              // entries of schedule before this index are done
 	firstFetches int              // pulls in flight from the origin or a remote region
-	extraReads   int              // reads counted against Params.ExtraOrigin
+	extraReads   int              // reads started so far within Params.ExtraOrigin
 	pulls        int              // all pulls in flight
 	lastArrival  time.Time
 	// catchUpAt is the time since start by which the origin or the remote region is
@@ -209,8 +209,8 @@
 	localStall bool
 }
 
-// scheduledFetch is the first fetch of a chunk for which this box has one of
-// the first ranks.
+// scheduledFetch is the first fetch of a chunk that this box does, at its scheduled
+// time, if no box of a lower rank has done it by then.
 type scheduledFetch struct {
 	chunk int
 	// ahead are the boxes before this one in the chunk's order. rank is the number of
@@ -252,7 +252,7 @@
 	return s
 }
 
-// addPeers adds the boxes that this one may pull from: the peers of its region
+// addPeers adds the boxes that this box may pull from: the peers of its region
 // and, if it does not read from the origin, the boxes of the origin regions.
 func (s *Swarm) addPeers() {
 	fetchesRemotely := !s.readsOrigin()
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -4,8 +4,8 @@
 // state of a box's copy of them.
 //
 // A Manifest lists a version's chunks with their digests. The plan of a rollout,
-// which is stored in the event log, includes the digest of the manifest. So that one
-// digest verifies every byte that a box loads. A Copy is the state machine of one
+// which is stored in the event log, includes the digest of the manifest. So every byte
+// that a box loads can be verified by the plan alone. A Copy is the state machine of one
 // box's copy of a version. It accepts a chunk only if the digest matches, and can be
 // loaded only when it holds all chunks.
 //
