--- a/installer/stage_test.go
+++ b/installer/stage_test.go
@@ -13,12 +13,11 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// A sidecar that is killed during a fetch continues with the staged chunks after
-// its restart.
+// A sidecar that restarts during a fetch must continue with the staged chunks.
 func TestStagedChunksSurviveRestart(t *testing.T) {
 	c := newCluster(t, 1, 1, 20*time.Second, engineLoadedWith(1))
 	c.origin.delay = 2 * time.Millisecond
-	c.announce(2)
+	c.addTarget(2)
 	staged := func() int {
 		c.engines[0].mu.Lock()
 		defer c.engines[0].mu.Unlock()
@@ -40,11 +39,11 @@
 	assert.Assert(t, int(r.held.Count()) >= testChunks/2, "%d chunks found", r.held.Count())
 }
 
-// While an older version's update is pending, the staged chunks are not replaced by
-// those of a newer version of which fewer chunks are held.
+// The staged chunks of a version must not be replaced by those of a newer version of
+// which fewer chunks are held.
 func TestFullestReplicaIsStaged(t *testing.T) {
 	now := time.Now()
-	i := newLoadedInstaller([]target{{version: 2, namedAt: now}, {version: 3, namedAt: now}}, 2)
+	i := newLoadedInstaller([]target{{version: 2, setAt: now}, {version: 3, setAt: now}}, 2)
 	newer := newReplica(manifestOf(3), "box0")
 	newer.held.Set(0)
 	i.replicas = append(i.replicas, newer)
