--- a/admin/plans.go
+++ b/admin/plans.go
@@ -285,7 +285,7 @@
 	}
 	p.OriginBytes += bp.Copy.OriginBytes
 	p.PeerBytes += bp.Copy.PeerBytes
-	p.CrossBytes += bp.Copy.CrossBytes
+	p.CrossBytes += bp.Copy.CrossRegionBytes
 	p.BadChunks += bp.Copy.BadChunks
 	if bp.Copy.State == weights.Serving {
 		p.Serving++
--- a/admin/server.go
+++ b/admin/server.go
@@ -61,9 +61,9 @@
 
 // Server serves the API. All fields are required.
 type Server struct {
-	Replica *state.Replica
-	Journal *eventlog.Client
-	Cluster Cluster
+	Replica  *state.Replica
+	EventLog *eventlog.Client
+	Cluster  Cluster
 	// Bootstrap returns the key of the bootstrap operator, or "" if there is none.
 	Bootstrap func() string
 	Logger    logr.Logger
@@ -154,7 +154,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), commitTimeout)
 	defer cancel()
-	return rec.ID, eventlog.Commit(ctx, s.Journal, s.Replica, rec)
+	return rec.ID, eventlog.Commit(ctx, s.EventLog, s.Replica, rec)
 }
 
 // Status is the response to GET /status.
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -34,7 +34,7 @@
 
 // HandleTargetVersion implements platform.OperatorHandler.
 func (o gatewayOperator) HandleTargetVersion(n platform.TargetVersion, first bool) {
-	o.NameVersion(n.Model, n.Version, first, clock.Now())
+	o.SetTargetVersion(n.Model, n.Version, first, clock.Now())
 }
 
 // reportHandler handles the messages that sidecars send to a gateway. It passes reports
@@ -223,7 +223,7 @@
 		}
 		notice := loadreport.Notice{
 			Model: service.Engine.Model, Region: s.Region, Read: progress.position.Offset, Era: progress.position.Era, VersionSum: progress.versionSum,
-			Demand: math.Round(server.Demand(name, now)), NamedVersions: targetVersions(server, service.Engine.Model, now),
+			Demand: math.Round(server.Demand(name, now)), TargetVersions: targetVersions(server, service.Engine.Model, now),
 		}
 		weights, ok := c.Weights(name)
 		current, outdated := server.EngineAddresses(name, weights.Checksum(), now)
@@ -284,10 +284,10 @@
 
 // targetVersions returns the target versions of a model, those that the operator has
 // set to be served, as sent to sidecars in notices.
-func targetVersions(server *ingress.Server, model string, now time.Time) []loadreport.NamedVersion {
-	var out []loadreport.NamedVersion
-	for _, n := range server.NamedVersions(model) {
-		version := loadreport.NamedVersion{Version: n.Version, AgeMS: loadreport.UnknownAge, PastCutoff: n.Overdue(now)}
+func targetVersions(server *ingress.Server, model string, now time.Time) []loadreport.TargetVersion {
+	var out []loadreport.TargetVersion
+	for _, n := range server.TargetVersions(model) {
+		version := loadreport.TargetVersion{Version: n.Version, AgeMS: loadreport.UnknownAge, PastCutoff: n.PastCutoff(now)}
 		if !n.AgeUnknown {
 			version.AgeMS = now.Sub(n.LearnedAt).Milliseconds()
 		}
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -74,8 +74,8 @@
 		s.apply(*n.Weights)
 	}
 	now := clock.Now()
-	for _, version := range n.NamedVersions {
-		if setAt := version.NamedAt(now); !setAt.IsZero() {
+	for _, version := range n.TargetVersions {
+		if setAt := version.SetAt(now); !setAt.IsZero() {
 			s.installer.AddTarget(n.Model, version.Version, setAt)
 			continue
 		}
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -97,8 +97,8 @@
 	server.Apply(c)
 	server.SetEndpoints([]fleet.Record{{ID: "e", Service: "s", Address: "127.0.0.1:9"}, {ID: "p", Service: "plain", Address: "127.0.0.1:8"}})
 	now := time.Now()
-	server.NameVersion("m", 2, true, now)
-	server.NameVersion("m", 3, false, now.Add(-2*time.Second))
+	server.SetTargetVersion("m", 2, true, now)
+	server.SetTargetVersion("m", 3, false, now.Add(-2*time.Second))
 	select {
 	case <-server.NoticeDue():
 	default:
@@ -118,7 +118,7 @@
 	state := &sidecarState{settings: settings}
 	state.installer = installer.New(installer.Settings{Box: "127.0.0.1"}, nil, nil, nil, logr.Discard(), telemetry.NewMetrics())
 	first := notice()
-	assert.DeepEqual(t, first.NamedVersions, []loadreport.NamedVersion{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
+	assert.DeepEqual(t, first.TargetVersions, []loadreport.TargetVersion{{Version: 2, AgeMS: loadreport.UnknownAge}, {Version: 3, AgeMS: 2000}})
 	state.handleNotice(first)
 	want, _ := c.Weights("s")
 	assert.DeepEqual(t, state.weightsConfig(), want)
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -80,7 +80,7 @@
 	if q.Model == "" {
 		return true
 	}
-	version := e.Holds(q.Model, now)
+	version := e.HeldVersion(q.Model, now)
 	if version < q.NextMinVersion && !e.startsAtOnce(q, now) {
 		return false
 	}
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -62,7 +62,7 @@
 // there is none. It is also 0 if the last report, of any age, called the engine's
 // weights unverified: the engine may then hold other weights than the report or the
 // record lists.
-func (e *Endpoint) Holds(model string, now time.Time) int {
+func (e *Endpoint) HeldVersion(model string, now time.Time) int {
 	if e.report.Unverified {
 		return 0
 	}
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -69,13 +69,13 @@
 	fresh := Report{Address: "a:1", StartedMS: 2000}
 	e, changed := f.ApplyReport(fresh, -1, start.Add(time.Millisecond))
 	assert.Assert(t, e != nil && changed)
-	assert.Equal(t, e.Holds(model, start.Add(2*time.Millisecond)), 0)
-	assert.Equal(t, e.Holds(model, start.Add(time.Minute)), 0, "the list still has the earlier incarnation after the report has expired")
+	assert.Equal(t, e.HeldVersion(model, start.Add(2*time.Millisecond)), 0)
+	assert.Equal(t, e.HeldVersion(model, start.Add(time.Minute)), 0, "the list still has the earlier incarnation after the report has expired")
 	late, _ := f.ApplyReport(old, -1, start.Add(2*time.Millisecond))
 	assert.Assert(t, late == nil)
 	assert.Equal(t, chosen(f, query(), start.Add(3*time.Millisecond)), "")
 	f.Put(incarnation(1000))
-	assert.Equal(t, e.Holds(model, start.Add(time.Minute)), 0)
+	assert.Equal(t, e.HeldVersion(model, start.Add(time.Minute)), 0)
 	f.Put(incarnation(2000))
-	assert.Equal(t, f.byID["a"].Holds(model, start.Add(time.Minute)), 1, "the list has the new incarnation")
+	assert.Equal(t, f.byID["a"].HeldVersion(model, start.Add(time.Minute)), 1, "the list has the new incarnation")
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,7 +94,7 @@
 	}
 	api := &admin.Server{
 		Replica:   d.Replica,
-		Journal:   d.EventLog,
+		EventLog:  d.EventLog,
 		Cluster:   d,
 		Bootstrap: operatorKey.Key,
 		Logger:    telemetry.NamedLogger(d.Log, "admin"),
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -54,7 +54,7 @@
 	if e.Signals.Draining() || e.Signals.BackingOff(now) || x.quarantined(now) || !x.takePermit(e, now) {
 		return false
 	}
-	return x.model == "" || e.MayServe(e.Holds(x.model, now), s.minVersion(x.model, now), s.minVersion(x.model, now.Add(-scheduledUpdateLead)), now)
+	return x.model == "" || e.MayServe(e.HeldVersion(x.model, now), s.minVersion(x.model, now), s.minVersion(x.model, now.Add(-scheduledUpdateLead)), now)
 }
 
 // verdict classifies the response to an attempt.
@@ -175,7 +175,7 @@
 	x.sentAt = now
 	x.endpointStartedMS = s.fleet.StartedMSAt(e.Address)
 	x.expectedFirstByte = enginePassTime + time.Duration((backlog+x.prefillMS)*float64(time.Millisecond))
-	load, age, holds, lowest := e.Load(now), e.ReportAge(now), e.Holds(x.model, now), s.minVersion(x.model, now)
+	load, age, holds, lowest := e.Load(now), e.ReportAge(now), e.HeldVersion(x.model, now), s.minVersion(x.model, now)
 	s.mu.Unlock()
 	s.log.Info("attempt", "request", x.id, "attempt", x.attempts, "endpoint", e.ID, "service", x.service,
 		"load", load, "backlog_ms", int(backlog), "work_ms", int(x.prefillMS), "report_ms", age.Milliseconds(), "delay_ms", delay.Milliseconds(), "holds", holds, "min_version", lowest, "at_ms", now.Sub(x.start).Milliseconds())
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -92,7 +92,7 @@
 	fleet          *fleet.Fleet
 	queues         map[string]*queue
 	budgets        map[string]*retrybudget.Budget
-	targetVersions map[string][]NamedVersion // by model, oldest first
+	targetVersions map[string][]TargetVersion // by model, oldest first
 	stats          map[string]*requestStats
 	timeouts       map[string]*timeoutHistogram // by route
 	// gateways is the number of gateways among which shared limits are divided.
@@ -110,7 +110,7 @@
 }
 
 // TargetVersion is a version of a model that the operator has set to be served.
-type NamedVersion struct {
+type TargetVersion struct {
 	Version int
 	// LearnedAt is when this gateway first read the target version. AgeUnknown reports
 	// that the version had already been set, at an unknown time, when the process
@@ -123,7 +123,7 @@
 }
 
 // PastCutoff reports whether engines with older versions get no more requests.
-func (n NamedVersion) Overdue(now time.Time) bool { return !now.Before(n.cutoff) }
+func (n TargetVersion) PastCutoff(now time.Time) bool { return !now.Before(n.cutoff) }
 
 // New returns a server without configuration and endpoints.
 func New(s Settings, log, events logr.Logger, m *telemetry.Metrics) *Server {
@@ -140,7 +140,7 @@
 		fleet:                 fleet.New(s.Place),
 		queues:                make(map[string]*queue),
 		budgets:               make(map[string]*retrybudget.Budget),
-		targetVersions:        make(map[string][]NamedVersion),
+		targetVersions:        make(map[string][]TargetVersion),
 		stats:                 make(map[string]*requestStats),
 		timeouts:              make(map[string]*timeoutHistogram),
 		crashedAt:             make(map[string]time.Time),
@@ -187,7 +187,7 @@
 // SetTargetVersion records a new target version of a model. A version that is not
 // higher than the last one is ignored. first means that the version had already been
 // set when the process started, so that its age is unknown.
-func (s *Server) NameVersion(model string, version int, first bool, now time.Time) {
+func (s *Server) SetTargetVersion(model string, version int, first bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.targetVersions[model]
@@ -198,7 +198,7 @@
 	if first && s.anyEndpointHolds(model, version, now) {
 		cutoff = now
 	}
-	s.targetVersions[model] = append(list, NamedVersion{Version: version, LearnedAt: now, AgeUnknown: first, cutoff: cutoff})
+	s.targetVersions[model] = append(list, TargetVersion{Version: version, LearnedAt: now, AgeUnknown: first, cutoff: cutoff})
 	s.events.Info("version named", "model", model, "version", version, "age_unknown", first, "due", cutoff)
 	s.requestNoticeLocked()
 }
@@ -256,7 +256,7 @@
 	}
 	for name := range c.Services {
 		for _, e := range s.fleet.Endpoints(name) {
-			if e.Holds(model, now) >= version {
+			if e.HeldVersion(model, now) >= version {
 				return true
 			}
 		}
@@ -299,7 +299,7 @@
 	}
 	s.raiseGateways(r.Gateways)
 	if changed {
-		s.cutOffOlderVersions(r.Model, e.Holds(r.Model, now), now)
+		s.cutOffOlderVersions(r.Model, e.HeldVersion(r.Model, now), now)
 		s.events.Info("engine reported", "endpoint", e.ID, "model", r.Model, "version", r.Version, "busy", r.Busy, "doubted", r.Unverified, "draining", r.Draining, "limited", r.Limited, "rate", r.Limit)
 	}
 	s.dispatch(e.Service, now)
@@ -326,7 +326,7 @@
 
 // TargetVersions returns the most recent target versions of a model, newest last, at
 // most maxTargetVersions.
-func (s *Server) NamedVersions(model string) []NamedVersion {
+func (s *Server) TargetVersions(model string) []TargetVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.targetVersions[model]
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -151,7 +151,7 @@
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
 	now := time.Now()
-	g.server.NameVersion(testModel, 2, false, now.Add(-g.server.settings.VersionDeadline))
+	g.server.SetTargetVersion(testModel, 2, false, now.Add(-g.server.settings.VersionDeadline))
 	r, _ := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusServiceUnavailable, "the only engine holds an older version")
 	newer := g.records["a"]
@@ -167,7 +167,7 @@
 	g := newTestGateway(t)
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondEvents(lastEvent, lastEvent))
-	g.server.NameVersion(testModel, 2, true, time.Now())
+	g.server.SetTargetVersion(testModel, 2, true, time.Now())
 	r, _ := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK, "no engine holds it yet")
 
@@ -177,7 +177,7 @@
 	g.server.HandleReport(fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1}, 0)
 	g.startEndpoint("b", "engine", respondEvents(lastEvent, lastEvent))
 	g.server.HandleReport(fleet.Report{Address: g.records["b"].Address, Model: testModel, Version: 2}, 0)
-	g.server.NameVersion(testModel, 2, true, time.Now().Add(-time.Millisecond))
+	g.server.SetTargetVersion(testModel, 2, true, time.Now().Add(-time.Millisecond))
 	for range 5 {
 		g.do("POST", "/stream/1", "x")
 	}
@@ -211,7 +211,7 @@
 	full := fleet.Report{Address: g.records["a"].Address, Model: testModel, Version: 1, Running: 5}
 	g.server.HandleReport(full, 0)
 	learnedAt := time.Now().Add(150*time.Millisecond + maxVersionMargin - g.server.settings.VersionDeadline)
-	g.server.NameVersion(testModel, 2, false, learnedAt)
+	g.server.SetTargetVersion(testModel, 2, false, learnedAt)
 	time.AfterFunc(250*time.Millisecond, func() {
 		full.Running = 0
 		g.server.HandleReport(full, 0)
@@ -231,7 +231,7 @@
 	report := func(id string, version int) {
 		g.server.HandleReport(fleet.Report{Address: g.records[id].Address, Model: testModel, Version: version}, -1)
 	}
-	g.server.NameVersion(testModel, 2, true, time.Now())
+	g.server.SetTargetVersion(testModel, 2, true, time.Now())
 	report("old", 1)
 	report("new", 1)
 	r, _ := g.do("POST", "/stream/1", "x")
@@ -296,7 +296,7 @@
 	e := g.server.fleet.Choose(fleet.Query{Service: "engine", Model: testModel}, time.Now())
 	g.server.mu.Unlock()
 	assert.Assert(t, g.server.stillEligible(x, e))
-	g.server.NameVersion(testModel, 2, false, time.Now().Add(-g.server.settings.VersionDeadline))
+	g.server.SetTargetVersion(testModel, 2, false, time.Now().Add(-g.server.settings.VersionDeadline))
 	assert.Assert(t, !g.server.stillEligible(x, e))
 	draining := g.records["old"]
 	draining.Draining = true
@@ -320,7 +320,7 @@
 			respondEvents(lastEvent, lastEvent)(rw, r)
 		})
 		g.server.HandleReport(fleet.Report{Address: g.records["old"].Address, Model: testModel, Version: 1}, 0)
-		g.server.NameVersion(testModel, 2, false, deadline.Add(-g.server.settings.VersionDeadline))
+		g.server.SetTargetVersion(testModel, 2, false, deadline.Add(-g.server.settings.VersionDeadline))
 		g.do("POST", "/stream/1", "x", withHeader(testHeaders.Deadline, "3000"))
 		assert.Assert(t, began.IsZero() || began.Before(deadline), "sent %s before the deadline, started %s after it", before, began.Sub(deadline))
 	}
--- a/ingress/suspend_test.go
+++ b/ingress/suspend_test.go
@@ -59,7 +59,7 @@
 	g := newTestGateway(t)
 	g.configure(1)
 	g.startEndpoint("a", "engine", respondEvents(3, 3))
-	g.server.NameVersion(testModel, 2, false, clock.Now())
+	g.server.SetTargetVersion(testModel, 2, false, clock.Now())
 	r, _ := g.do("POST", "/stream/1", "x")
 	assert.Equal(t, r.StatusCode, http.StatusOK)
 	clock.SuspendForTest(t, g.server.settings.VersionDeadline)
--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -306,7 +306,7 @@
 	case ctx.Err() != nil:
 		swarm.Drop(p) // the replica is complete, or the task was cancelled
 	case errors.Is(err, errNoUsefulChunk):
-		swarm.NothingUseful(p, availability, now)
+		swarm.NoUsefulChunk(p, availability, now)
 	case errors.Is(err, errChunkNotNeeded):
 		swarm.Drop(p)
 	case errors.Is(err, errBusy):
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -89,7 +89,7 @@
 	e.started = append(e.started, version)
 	e.state.Version, e.state.Model = version, testModel
 	e.state.Orders++
-	if s.Cut {
+	if s.AbortRunning {
 		e.cut += e.running
 		e.running = 0
 	}
--- a/installer/load.go
+++ b/installer/load.go
@@ -16,7 +16,7 @@
 	Version int
 	// AbortRunning makes the engine abort its running requests; otherwise it waits until they
 	// end.
-	Cut bool
+	AbortRunning bool
 	// Orders is the expected EngineState.Orders, the number of orders that the engine
 	// has accepted. The engine refuses the order if its count differs, so it accepts
 	// a repeated order only once.
@@ -128,7 +128,7 @@
 	m := s.replica.manifest
 	i.expectStart(state)
 	began := clock.Now()
-	outcome, err := i.engine.Start(ctx, Start{Model: m.Model, Version: m.Version, Cut: state.Version != 0, Orders: state.Orders})
+	outcome, err := i.engine.Start(ctx, Start{Model: m.Model, Version: m.Version, AbortRunning: state.Version != 0, Orders: state.Orders})
 	took := clock.Since(began).Milliseconds()
 	switch outcome {
 	case Unknown:
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -210,7 +210,7 @@
 		return err
 	}
 	sent := d.lab.Store.OriginBytes() - before
-	d.violations = append(d.violations, invariant.Origin(sent, modelBytes, 1.5)...)
+	d.violations = append(d.violations, invariant.CheckOriginBytes(sent, modelBytes, 1.5)...)
 	d.addFigure("first version: %d replicas in %.2f s; origin %.3f copies, across regions %.3f copies", done.Serving, time.Since(began).Seconds(), copies(sent), copies(done.CrossBytes))
 	return nil
 }
@@ -271,7 +271,7 @@
 func (d *demo) checkTraffic(t *traffic) {
 	d.violations = append(d.violations, t.violations...)
 	for _, f := range t.failed {
-		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: f})
+		d.violations = append(d.violations, invariant.Violation{Name: invariant.CompleteAnswer, Detail: f})
 	}
 }
 
@@ -299,7 +299,7 @@
 	d.printf("all %d remaining engines serve %s", done.Serving, modelRef("v3"))
 	d.addFigure("box killed during the transfer: %d remaining replicas in %.2f s", done.Serving, time.Since(began).Seconds())
 	if !killed {
-		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeVersion, Detail: "not checked: the transfer ended before the box was killed"})
+		d.violations = append(d.violations, invariant.Violation{Name: invariant.CompleteWeights, Detail: "not checked: the transfer ended before the box was killed"})
 	}
 	return nil
 }
@@ -358,7 +358,7 @@
 	}
 	d.printf("plain service %s: outcome %s, response %s", lab.ServiceName, r.outcome, r.text)
 	if r.outcome != outcome.Completed {
-		d.violations = append(d.violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: "service: " + r.text})
+		d.violations = append(d.violations, invariant.Violation{Name: invariant.CompleteAnswer, Detail: "service: " + r.text})
 	}
 	return nil
 }
@@ -379,7 +379,7 @@
 // printSummary prints the figures of the run and the violated invariants.
 func (d *demo) printSummary() error {
 	runs := d.journal()
-	d.violations = append(d.violations, invariant.Journal(runs)...)
+	d.violations = append(d.violations, invariant.CheckRuns(runs)...)
 	fmt.Fprintln(d.out, "\nfigures of this run")
 	for _, f := range d.figures {
 		fmt.Fprintln(d.out, "  "+f)
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -143,7 +143,7 @@
 		return
 	}
 	t.versions[r.version]++
-	t.violations = append(t.violations, invariant.Answer(r.text, r.version, r.request, tokenCount)...)
+	t.violations = append(t.violations, invariant.CheckAnswer(r.text, r.version, r.request, tokenCount)...)
 }
 
 // stopAndWait stops the callers and waits until their requests in flight have
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -24,19 +24,19 @@
 
 // Texts of the invariants, used as names of violations.
 const (
-	WholeAnswer  = "every caller gets the whole answer to its own request, by one version"
-	WholeVersion = "no box serves partial or mixed weights"
-	AtMostOnce   = "a request that is not repeatable runs at most once"
-	TrueNotRun   = "a request refused as not run did not run"
-	OriginBudget = "bytes from the origin stay within the plan's budget"
-	FenceOrder   = "an engine's fence never falls"
-	NoRevert     = "a configuration in force never reverts"
+	CompleteAnswer  = "every caller gets the whole answer to its own request, by one version"
+	CompleteWeights = "no box serves partial or mixed weights"
+	AtMostOnce      = "a request that is not repeatable runs at most once"
+	RefusedNeverRan = "a request refused as not run did not run"
+	OriginBudget    = "bytes from the origin stay within the plan's budget"
+	FenceOrder      = "an engine's fence never falls"
+	NoRevert        = "a configuration in force never reverts"
 )
 
 // CheckAnswer checks the text of an answer, streamed or not. The text must consist of
 // exactly the tokens 0 to tokens-1 that this version generates for this request, in
 // order.
-func Answer(text, version, request string, tokens int) []Violation {
+func CheckAnswer(text, version, request string, tokens int) []Violation {
 	var want strings.Builder
 	for i := range tokens {
 		want.WriteString(standin.Token(version, request, i))
@@ -44,18 +44,18 @@
 	if text == want.String() {
 		return nil
 	}
-	return []Violation{{WholeAnswer, fmt.Sprintf("request %s, version %s: got %.200q", request, version, text)}}
+	return []Violation{{CompleteAnswer, fmt.Sprintf("request %s, version %s: got %.200q", request, version, text)}}
 }
 
 // CheckRuns checks the requests that the endpoints ran. Each request must have run on
 // completely loaded weights, and a workspace's requests with the same idempotency key
 // must have run at most once.
-func Journal(runs []standin.Run) []Violation {
+func CheckRuns(runs []standin.Run) []Violation {
 	var out []Violation
 	keys := make(map[string]string)
 	for _, r := range runs {
 		if !r.Whole {
-			out = append(out, Violation{WholeVersion, fmt.Sprintf("request %s ran on %s whose weights were not completely loaded", r.Request, r.Version)})
+			out = append(out, Violation{CompleteWeights, fmt.Sprintf("request %s ran on %s whose weights were not completely loaded", r.Request, r.Version)})
 		}
 		if r.Key == "" {
 			continue
@@ -71,7 +71,7 @@
 
 // CheckNotRun checks requests whose refusal stated that they did not run: none of the
 // request IDs in refused may occur in runs.
-func NotRun(refused []string, runs []standin.Run) []Violation {
+func CheckNotRun(refused []string, runs []standin.Run) []Violation {
 	ran := make(map[string]bool, len(runs))
 	for _, r := range runs {
 		ran[r.Request] = true
@@ -79,7 +79,7 @@
 	var out []Violation
 	for _, id := range refused {
 		if ran[id] {
-			out = append(out, Violation{TrueNotRun, "request " + id + " was refused as not run but ran"})
+			out = append(out, Violation{RefusedNeverRan, "request " + id + " was refused as not run but ran"})
 		}
 	}
 	return out
@@ -87,7 +87,7 @@
 
 // CheckOriginBytes checks that the origin sent at most budget copies of a model. sent
 // and size, the size of one copy, are in bytes.
-func Origin(sent, size int64, budget float64) []Violation {
+func CheckOriginBytes(sent, size int64, budget float64) []Violation {
 	if copies := float64(sent) / float64(size); copies > budget {
 		return []Violation{{OriginBudget, fmt.Sprintf("%.3f copies, budget %.3f", copies, budget)}}
 	}
@@ -96,7 +96,7 @@
 
 // CheckNonDecreasing checks that a sequence of offsets or fences never decreases. name
 // is the invariant that a decrease violates.
-func NonDecreasing(name string, values []int64) []Violation {
+func CheckNonDecreasing(name string, values []int64) []Violation {
 	for i := 1; i < len(values); i++ {
 		if values[i] < values[i-1] {
 			return []Violation{{name, fmt.Sprintf("%d after %d", values[i], values[i-1])}}
--- a/internal/lab/load_test.go
+++ b/internal/lab/load_test.go
@@ -106,7 +106,7 @@
 		assert.Equal(t, c.Broken, 0)
 		assert.Equal(t, c.Outcomes[outcome.Unknown]+c.Outcomes[outcome.Failed], 0, "%s: %v", c.Name, c.Outcomes)
 	}
-	assert.Equal(t, len(invariant.NotRun(r.NotRun, l.engineRuns())), 0)
+	assert.Equal(t, len(invariant.CheckNotRun(r.NotRun, l.engineRuns())), 0)
 }
 
 // loadRow is a row of the table that TestMeasureLoad logs: its results at one
--- a/internal/lab/once_test.go
+++ b/internal/lab/once_test.go
@@ -93,7 +93,7 @@
 		assert.Equal(t, retried, outcome.Completed, text)
 		assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1, "a retry ran")
 	}
-	assert.Equal(t, len(invariant.Journal(l.serviceRuns())), 0)
+	assert.Equal(t, len(invariant.CheckRuns(l.serviceRuns())), 0)
 }
 
 // TestLostResponseIsNotRetried checks that a request does not run again if its
@@ -224,7 +224,7 @@
 	wg.Wait()
 	assert.Assert(t, counts[outcome.NotRun] > 0, "nothing was refused: %v", counts)
 	assert.Equal(t, counts[outcome.Unknown], 0, "%v", counts)
-	assert.Equal(t, len(invariant.NotRun(refused, l.serviceRuns())), 0)
+	assert.Equal(t, len(invariant.CheckNotRun(refused, l.serviceRuns())), 0)
 	assert.Equal(t, len(l.serviceRuns())-before, counts[outcome.Completed], "%v", counts)
 	t.Logf("outcomes %v", counts)
 }
--- a/internal/lab/pairs_test.go
+++ b/internal/lab/pairs_test.go
@@ -113,17 +113,17 @@
 	assert.NilError(t, l.resend(ctx))
 
 	runs := append(l.engineRuns(), l.serviceRuns()...)
-	violations := invariant.Journal(runs)
-	violations = append(violations, invariant.NotRun(r.NotRun, runs)...)
+	violations := invariant.CheckRuns(runs)
+	violations = append(violations, invariant.CheckNotRun(r.NotRun, runs)...)
 	for _, c := range r.Classes {
 		if c.Broken > 0 && !cutsCallers(a) && !cutsCallers(b) {
-			violations = append(violations, invariant.Violation{Name: invariant.WholeAnswer, Detail: fmt.Sprintf("%s: %d broken responses", c.Name, c.Broken)})
+			violations = append(violations, invariant.Violation{Name: invariant.CompleteAnswer, Detail: fmt.Sprintf("%s: %d broken responses", c.Name, c.Broken)})
 		}
 	}
 	assert.Equal(t, len(violations), 0, "%v", violations)
 	model := r.Classes[0]
 	assert.Assert(t, model.Outcomes[outcome.Completed] > model.Sent/4, "too few requests completed: %v of %d", model.Outcomes, model.Sent)
-	assert.Equal(t, len(invariant.NonDecreasing(invariant.FenceOrder, l.fences())), 0)
+	assert.Equal(t, len(invariant.CheckNonDecreasing(invariant.FenceOrder, l.fences())), 0)
 }
 
 // cutsCallers reports whether a failure closes connections to callers.
--- a/internal/lab/stream_test.go
+++ b/internal/lab/stream_test.go
@@ -118,7 +118,7 @@
 			text, done, err := readStream(resp.Body)
 			assert.NilError(t, err)
 			assert.Assert(t, done, "the stream ended without [DONE]: %s", text)
-			assert.DeepEqual(t, invariant.Answer(text, v1.String(), resp.Header.Get("Mintlift-Request-Id"), tokens), []invariant.Violation(nil))
+			assert.DeepEqual(t, invariant.CheckAnswer(text, v1.String(), resp.Header.Get("Mintlift-Request-Id"), tokens), []invariant.Violation(nil))
 		})
 	}
 	assert.Assert(t, proxy.cutCount() > 0, "the proxy cut no connection")
@@ -217,7 +217,7 @@
 		r := <-results
 		assert.NilError(t, r.err)
 		assert.Assert(t, r.done, "a planned stop cut a stream")
-		assert.Equal(t, len(invariant.Answer(r.text, v1.String(), r.id, tokens)), 0)
+		assert.Equal(t, len(invariant.CheckAnswer(r.text, v1.String(), r.id, tokens)), 0)
 	}
 	assert.NilError(t, <-stopped)
 	assert.NilError(t, <-stopped)
--- a/internal/linksim/linksim.go
+++ b/internal/linksim/linksim.go
@@ -346,7 +346,7 @@
 	if chunk < 0 {
 		s.releaseSlot(r.to)
 		s.schedule(s.latency(r.from, r.to), func() {
-			r.from.swarm.NothingUseful(r.pull, available, s.time())
+			r.from.swarm.NoUsefulChunk(r.pull, available, s.time())
 			s.startPulls(r.from)
 		})
 		return
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -51,7 +51,7 @@
 	// Region is the gateway's region.
 	Region string `json:"region,omitempty"`
 	// TargetVersions are the model's newest target versions, the newest last.
-	NamedVersions []NamedVersion `json:"named,omitempty"`
+	TargetVersions []TargetVersion `json:"named,omitempty"`
 	// Read is the offset up to which the gateway has read the operator's records, or
 	// -1 if it has read none. Era is the era of that offset; it increases each time
 	// the store is restored from an older copy.
@@ -73,7 +73,7 @@
 }
 
 // TargetVersion is a version of a model that the operator has set to be served.
-type NamedVersion struct {
+type TargetVersion struct {
 	Version int `json:"version"`
 	// AgeMS is the time in milliseconds since the gateway read that the version was
 	// set, or UnknownAge if it was set before the gateway started.
@@ -88,7 +88,7 @@
 
 // SetAt returns when the target version was set. now is the time at which it had the
 // age AgeMS. SetAt returns the zero time if the age is unknown.
-func (n NamedVersion) NamedAt(now time.Time) time.Time {
+func (n TargetVersion) SetAt(now time.Time) time.Time {
 	if n.AgeMS < 0 {
 		return time.Time{}
 	}
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -99,9 +99,9 @@
 		received = n
 	})
 	notice := Notice{
-		Model:         "m",
-		Weights:       &routing.WeightsConfig{Version: 7, Model: "m", Layers: 4, Chunks: 64, ChunkBytes: 4096, Origin: "127.0.0.1:9", OriginZone: "z", OriginRate: 1e6},
-		NamedVersions: []NamedVersion{{Version: 2, AgeMS: UnknownAge}, {Version: 3, AgeMS: 1500}},
+		Model:          "m",
+		Weights:        &routing.WeightsConfig{Version: 7, Model: "m", Layers: 4, Chunks: 64, ChunkBytes: 4096, Origin: "127.0.0.1:9", OriginZone: "z", OriginRate: 1e6},
+		TargetVersions: []TargetVersion{{Version: 2, AgeMS: UnknownAge}, {Version: 3, AgeMS: 1500}},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -164,8 +164,8 @@
 // SetAt subtracts the age, and returns the zero time for an unknown age.
 func TestTargetVersionSetAt(t *testing.T) {
 	now := time.Now()
-	assert.Assert(t, NamedVersion{AgeMS: UnknownAge}.NamedAt(now).IsZero())
-	assert.Equal(t, NamedVersion{AgeMS: 1500}.NamedAt(now), now.Add(-1500*time.Millisecond))
+	assert.Assert(t, TargetVersion{AgeMS: UnknownAge}.SetAt(now).IsZero())
+	assert.Equal(t, TargetVersion{AgeMS: 1500}.SetAt(now), now.Add(-1500*time.Millisecond))
 }
 
 // A sidecar's response carries the furthest position in the operator's records that any
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -90,7 +90,7 @@
 	}
 	subscription, err := json.Marshal(gatewayDatagram{
 		Notice: Notice{
-			Model: "a-model-with-a-long-name", Region: "a-region", NamedVersions: []NamedVersion{{1 << 20, 1 << 30, true}, {1 << 20, 1 << 30, true}}, Read: 1 << 40, Demand: 1e6,
+			Model: "a-model-with-a-long-name", Region: "a-region", TargetVersions: []TargetVersion{{1 << 20, 1 << 30, true}, {1 << 20, 1 << 30, true}}, Read: 1 << 40, Demand: 1e6,
 			Weights:  &routing.WeightsConfig{Version: 1 << 40, Model: "a-model-with-a-long-name", Layers: 1000, Chunks: 1 << 20, ChunkBytes: 1 << 30, Origin: "255.255.255.255:65535", OriginZone: "an-availability-zone", OriginRate: 1e9},
 			Suspects: table.Records(now),
 		},
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -118,9 +118,9 @@
 	Chunks int `json:"chunks"`
 	// OriginBytes and PeerBytes are the bytes received from the origin and from
 	// peers. CrossRegionBytes is the part of PeerBytes that came from other regions.
-	OriginBytes int64 `json:"origin_bytes"`
-	PeerBytes   int64 `json:"peer_bytes"`
-	CrossBytes  int64 `json:"cross_bytes"`
+	OriginBytes      int64 `json:"origin_bytes"`
+	PeerBytes        int64 `json:"peer_bytes"`
+	CrossRegionBytes int64 `json:"cross_bytes"`
 	// BadChunks is the number of received chunks that failed verification.
 	BadChunks int64 `json:"bad_chunks"`
 	// Blocked is why the copy makes no progress, or empty.
--- a/sidecar/copies.go
+++ b/sidecar/copies.go
@@ -89,13 +89,13 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := peer.CopyStatus{
-		Ref:         j.ref,
-		State:       weights.Absent,
-		OriginBytes: j.originBytes.Load(),
-		PeerBytes:   j.peerBytes.Load(),
-		CrossBytes:  j.crossRegionBytes.Load(),
-		BadChunks:   j.badChunks.Load(),
-		Blocked:     j.blockedReason,
+		Ref:              j.ref,
+		State:            weights.Absent,
+		OriginBytes:      j.originBytes.Load(),
+		PeerBytes:        j.peerBytes.Load(),
+		CrossRegionBytes: j.crossRegionBytes.Load(),
+		BadChunks:        j.badChunks.Load(),
+		Blocked:          j.blockedReason,
 	}
 	if j.plan != nil {
 		r.Plan = j.plan.ID
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -105,7 +105,7 @@
 	case err == nil:
 		j.swarm.Arrived(p, availability, now.Sub(start), now)
 	case errors.Is(err, errNoUsefulChunk):
-		j.swarm.NothingUseful(p, availability, now)
+		j.swarm.NoUsefulChunk(p, availability, now)
 	case errors.Is(err, errDuplicateChunk):
 		j.swarm.Drop(p)
 	case errors.Is(err, errSenderBusy):
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -73,7 +73,7 @@
 // NoUsefulChunk ends a pull whose peer does not hold the requested chunk or, of a pull
 // for any chunk, holds none that this box lacks. a is the peer's availability. The peer
 // is queried again after an exponential backoff.
-func (s *Swarm) NothingUseful(p Pull, a Availability, now time.Time) {
+func (s *Swarm) NoUsefulChunk(p Pull, a Availability, now time.Time) {
 	s.endPull(p)
 	if p.Kind == FromRemoteRegion {
 		s.lastSenderFailure = now
--- a/transfer/swarm_test.go
+++ b/transfer/swarm_test.go
@@ -50,7 +50,7 @@
 				s.endPull(p)
 				s.held.Set(uint(p.Chunk))
 			default:
-				s.NothingUseful(p, Availability{}, epoch.Add(at))
+				s.NoUsefulChunk(p, Availability{}, epoch.Add(at))
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 					continue
 				}
 				assert.Assert(t, pull.Kind != FromOrigin)
-				s.NothingUseful(pull, Availability{}, epoch.Add(at))
+				s.NoUsefulChunk(pull, Availability{}, epoch.Add(at))
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 				useful := sender.held.Difference(s.HeldOrInFlight())
 				chunk, ok := useful.NextSet(0)
 				if !ok {
-					s.NothingUseful(p, sender.Availability(), now)
+					s.NoUsefulChunk(p, sender.Availability(), now)
 					continue
 				}
 				assert.Assert(t, s.Offered(&p, int(chunk)))
@@ -452,7 +452,7 @@
 				sender := swarms[slices.IndexFunc(swarms, func(o *Swarm) bool { return o.self.Box == next.Peer })]
 				chunk, ok := sender.held.Difference(s.HeldOrInFlight()).NextSet(0)
 				if !ok {
-					s.NothingUseful(next, sender.Availability(), now)
+					s.NoUsefulChunk(next, sender.Availability(), now)
 					continue
 				}
 				assert.Assert(t, s.Offered(&next, int(chunk)))
