--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -38,10 +38,10 @@
 	BoxesReplacedPerDay  int     `json:"boxes_replaced_a_day"`
 	BoxesFailedPerDay    int     `json:"boxes_failed_a_day"`
 	Workspaces           int     `json:"workspaces"`
-	PlansInForce         int     `json:"plans_in_force"`
+	PlansInForce         int     `json:"plans_in_force"` // confirmed plans
 	RolloutsPerDay       int     `json:"rollouts_a_day"`
-	WavesPerRollout      int     `json:"waves_a_rollout"`
-	RecordsPerCheckpoint int     `json:"records_a_checkpoint"`
+	WavesPerRollout      int     `json:"waves_a_rollout"`      // steps in which the boxes change
+	RecordsPerCheckpoint int     `json:"records_a_checkpoint"` // log records between two checkpoints
 }
 
 // Bounds are the users' limits on the control plane: CPU, memory and traffic
@@ -56,8 +56,8 @@
 	InForceSeconds   float64 `json:"in_force_seconds"`
 }
 
-// IdleMeasurement is the resource usage of one process of Role without
-// requests.
+// IdleMeasurement is the resource usage of one process of the given role, in a
+// deployment of that many sidecars, while no requests are sent.
 type IdleMeasurement struct {
 	Sidecars               int     `json:"sidecars"`
 	Role                   string  `json:"role"`
@@ -75,8 +75,9 @@
 	SidecarCPUMS      float64 `json:"sidecar_cpu_ms_a_request"`
 }
 
-// StateMeasurement is the size of the checkpoint of a state with the given
-// numbers of workspaces, boxes of one plan, and homes.
+// StateMeasurement is the size in bytes of the checkpoint of a state with the
+// given numbers of workspaces, boxes of one plan, and homes. A home is a
+// sidecar process that stores what is known of idempotency keys.
 type StateMeasurement struct {
 	Workspaces int `json:"workspaces"`
 	PlanBoxes  int `json:"plan_boxes"`
@@ -84,18 +85,18 @@
 	Bytes      int `json:"bytes"`
 }
 
-// Simulation holds the results of the tests in virtual time: the log's reads per
-// second, with peaks for all processes starting at once, and the seconds until a
-// configuration change is in force at all processes.
+// Simulation holds the results of the tests in virtual time. These are reads of
+// the event log per second, with the peaks while all processes start at once,
+// and the seconds until a configuration change is in force at all processes.
 type Simulation struct {
 	Processes            int     `json:"processes"`
 	PeakLogReads         int     `json:"log_reads_a_second_peak"`
-	PeakLogReadsInOutage int     `json:"log_reads_a_second_peak_log_down"`
-	CheckpointsRead      int     `json:"checkpoints_read"`
+	PeakLogReadsInOutage int     `json:"log_reads_a_second_peak_log_down"` // while the log is down
+	CheckpointsRead      int     `json:"checkpoints_read"`                 // from the log, at the start
 	IdleLogReads         float64 `json:"log_reads_a_second_idle"`
-	InForceNormal        float64 `json:"in_force_seconds_calm"`
+	InForceNormal        float64 `json:"in_force_seconds_calm"` // without faults
 	InForceGatewayFrozen float64 `json:"in_force_seconds_gateway_frozen"`
-	InForceAfterOutage   float64 `json:"in_force_seconds_after_outage"`
+	InForceAfterOutage   float64 `json:"in_force_seconds_after_outage"` // of the log
 }
 
 // Parse decodes the content of docs/capacity.json. Data without measurements
@@ -119,7 +120,8 @@
 	// MaxRelativeError is the largest error of the line at a measurement,
 	// relative to that measurement.
 	MaxRelativeError float64
-	MaxMeasured      float64
+	// MaxMeasured is the largest y of the measurements.
+	MaxMeasured float64
 }
 
 // Fit returns the least-squares line through the points (x[i], y[i]).
@@ -170,7 +172,8 @@
 	return Fit(x, y)
 }
 
-// fitRequests fits CPU time per request over the tokens of its response.
+// fitRequests fits a CPU time per request over the number of tokens of the
+// response.
 func (d *Data) fitRequests(value func(RequestMeasurement) float64) Line {
 	var x, y []float64
 	for _, r := range d.Requests {
@@ -180,8 +183,8 @@
 	return Fit(x, y)
 }
 
-// RowsFromJSON returns the rows of the page for the contents of docs/capacity.json
-// and docs/transfer.json.
+// RowsFromJSON returns the rows of docs/CAPACITY.md, given the contents of
+// docs/capacity.json (data) and docs/transfer.json (transfer).
 func RowsFromJSON(data, transfer []byte) ([]Row, error) {
 	d, err := Parse(data)
 	if err != nil {
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -24,9 +24,9 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// Guards against wrong weights when an engine accepts a start order late: the order has
-// no response, and chunks of other versions are staged before it is carried out.
-func TestStartAcceptedLate(t *testing.T) {
+// Guards against an engine that loads wrong weights because it accepts a start order
+// late, after chunks of a newer version have been staged.
+func TestDelayedStartOrderDoesNotLoadWrongChunks(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 4)
 	ordered := make(chan struct{}, len(d.boxes))
@@ -42,30 +42,30 @@
 			}
 		})
 	}
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	for range d.boxes {
 		<-ordered
 	}
-	d.nameVersion(3)
+	d.setTargetVersion(3)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 3)
 }
 
-// Guards against a staged chunk that was corrupted between its verification and the
-// load.
-func TestChunkCorruptedAfterRead(t *testing.T) {
+// Guards against requests being served with a chunk that was corrupted after its
+// verification and before the load.
+func TestChunkCorruptedAfterVerification(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	d.onFirstStart(2, func(b *weightsBox) { b.engine.Corrupt(3, enginetest.CorruptionGrace+time.Second) })
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	d.sendRequestsFor(2 * time.Second)
-	d.nameVersion(3)
+	d.setTargetVersion(3)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 3)
 }
 
-// Checks a corrupted chunk when no newer version is named: the engine reports the
-// version as loaded, and loads it again only after another version.
+// Guards against corrupted weights of the newest target version: the engine reports the
+// version as loaded, and can only load it again after it has loaded another version.
 func TestCorruptNewestVersionIsReloaded(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -73,25 +73,26 @@
 		b.engine.StageAndLoad(1)
 	}
 	d.onFirstStart(2, func(b *weightsBox) { b.engine.Corrupt(3, enginetest.CorruptionGrace+time.Second) })
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	d.sendRequestsFor(12 * time.Second)
 	d.checkVersions(t, 2)
 }
 
-// Guards against an engine that restarts between verification and start order and loses
-// the staged chunks, while the order's sequence number fits the new incarnation.
-func TestEngineRestartBeforeStart(t *testing.T) {
+// Guards against an engine that restarts after the verification of its staged chunks
+// and loses them: the restarted engine would accept the start order.
+func TestEngineRestartBeforeStartOrder(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
 	d.onFirstStart(2, func(b *weightsBox) { b.engine.Restart(true) })
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 2)
 }
 
-// Guards against a chunk of an older version that is written while a newer one is
-// verified and loaded, with engines that read all chunks at once or one by one.
-func TestChunkWrittenLate(t *testing.T) {
+// Guards against wrong weights when the write of a chunk of version 2 is delayed until
+// version 3 is being verified or loaded. The delay differs among the engines, and every
+// second engine loads its chunks one by one, the others all at once.
+func TestDelayedChunkWriteOfOlderVersion(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 8)
 	for n, b := range d.boxes {
@@ -106,15 +107,15 @@
 			}
 		})
 	}
-	d.nameVersion(2)
+	d.setTargetVersion(2)
 	time.Sleep(time.Second)
-	d.nameVersion(3)
+	d.setTargetVersion(3)
 	d.sendRequestsFor(9 * time.Second)
 	d.checkVersions(t, 3)
 }
 
-// onFirstStart makes each engine call do before it accepts its first start order for a
-// version.
+// onFirstStart makes each engine call do once, before it accepts its first start order
+// for a version.
 func (d *weightsDeployment) onFirstStart(version int, do func(*weightsBox)) {
 	for _, b := range d.boxes {
 		var once sync.Once
@@ -131,12 +132,12 @@
 // weightsModel is small, so that transfers add little to the time of a rollout.
 var weightsModel = enginetest.Weights{Model: "m", Chunks: 16, ChunkBytes: 4096, Layers: 4}
 
-// weightsDeployment is a set of gateways, and engines with sidecars, on loopback
-// addresses.
+// weightsDeployment is a set of gateways and of engines with sidecars, on loopback
+// addresses, for tests of the rollout of weights.
 type weightsDeployment struct {
 	network string // the first three numbers of all addresses
 	store   *storetest.Store
-	// storeAddress is the IP:PORT of the store, and config its first configuration.
+	// storeAddress is the IP:PORT of the store. config is the first configuration in it.
 	storeAddress, config string
 	boxes                []*weightsBox
 	daemons              []*taskGroup
@@ -236,8 +237,9 @@
 	_, _ = fmt.Fprintf(w, "id: 1\ndata: %d\n\n", version)
 }
 
-// nameVersion writes the operator's record that names a version.
-func (d *weightsDeployment) nameVersion(version int) {
+// setTargetVersion sets the target version of the model: it writes the record with
+// which an operator orders a version to be served.
+func (d *weightsDeployment) setTargetVersion(version int) {
 	d.store.Put(storetest.Operator, "version/m", fmt.Sprintf(`{"model":"m","version":%d}`, version))
 }
 
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -17,7 +17,8 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// newSuspectTable returns a table with one quarantined request, and its ID.
+// newSuspectTable returns a table with one request that has crashed enough endpoints to
+// be quarantined, and the request's ID.
 func newSuspectTable(now time.Time) (*quarantine.Table, quarantine.ID) {
 	table := quarantine.New()
 	id := quarantine.Identify(quarantine.Request{Target: "/x"})
@@ -28,8 +29,8 @@
 	return table, id
 }
 
-// Suspects that one gateway reports to a sidecar reach all gateways that subscribe
-// there: those that have subscribed at once, and a new one with its first response.
+// A sidecar sends the suspects that one gateway reports to all its subscribers: to
+// current ones at once, and to a new one in the first response.
 func TestSuspectsReachAllSubscribers(t *testing.T) {
 	publisher, reporting := newPair(t, func(Notice) {})
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
@@ -66,11 +67,12 @@
 	await(t, "suspects at a new gateway", hasSuspect(subscribe()))
 }
 
-// The longest delay between a crash and its report at another gateway, with one
-// datagram lost on each of the two hops, is below the limit.
+// Guards against suspects that reach another gateway too late. The delay must be below
+// the limit even if a datagram is lost on the way to the sidecar and another one on the
+// way to the gateway.
 func TestSuspectPropagationIsWithinLimit(t *testing.T) {
 	const limit = 3 * time.Second
-	toSidecar := minRoundInterval + SubscribeInterval // the first subscription is lost
+	toSidecar := minRoundInterval + SubscribeInterval // one subscription is lost
 	toGateway := 2 * SubscribeInterval                // the unsolicited datagram and a response are lost
 	assert.Assert(t, toSidecar+toGateway < limit, "%s", toSidecar+toGateway)
 }
@@ -88,7 +90,7 @@
 	}
 	subscription, err := json.Marshal(gatewayDatagram{
 		Notice: Notice{
-			Model: "a-model-with-a-long-name", Region: "a-region", NamedVersions: []NamedVersion{{1 << 20, 1 << 30, true}, {1 << 20, 1 << 30, true}}, Read: 1 << 40, Demand: 1e6,
+			Model: "a-model-with-a-long-name", Region: "a-region", TargetVersions: []TargetVersion{{1 << 20, 1 << 30, true}, {1 << 20, 1 << 30, true}}, Read: 1 << 40, Demand: 1e6,
 			Weights:  &routing.WeightsConfig{Version: 1 << 40, Model: "a-model-with-a-long-name", Layers: 1000, Chunks: 1 << 20, ChunkBytes: 1 << 30, Origin: "255.255.255.255:65535", OriginZone: "an-availability-zone", OriginRate: 1e9},
 			Suspects: table.Records(now),
 		},
@@ -108,8 +110,7 @@
 	assert.Assert(t, len(response) < maxDatagram, "%d bytes", len(response))
 }
 
-// maxEndpointRecords returns as many and as large records of endpoints as a sidecar
-// sends at most.
+// maxEndpointRecords returns the largest set of endpoint records that a sidecar sends.
 func maxEndpointRecords(now time.Time) []backpressure.Record {
 	quotas := backpressure.NewQuotas()
 	for n := range 100 {
@@ -118,7 +119,8 @@
 	return quotas.Records(now)
 }
 
-// A sidecar evicts suspects that gateways have stopped reporting.
+// A sidecar no longer suspects a request quarantine.CrashTTL after its last crash, if
+// the gateways have stopped reporting it.
 func TestSuspectsExpireAtSidecar(t *testing.T) {
 	publisher, reporting := newPair(t, func(Notice) {})
 	ctx, cancel := context.WithCancel(t.Context())
