--- a/capacity/page.go
+++ b/capacity/page.go
@@ -144,6 +144,9 @@
 	return probeBytes*probesPerSecond(probed) + sidecarBytes*sidecars, source
 }
 
+// stateRow returns the row for the size of a process's copy of the cluster state, computed
+// from the measured bytes per workspace, per box of a plan and per home. A home is
+// a sidecar process that stores what is known of idempotency keys.
 func (d *Data) stateRow() Row {
 	perWorkspace := d.fitState(func(s StateMeasurement) int { return s.Workspaces })
 	perPlanBox := d.fitState(func(s StateMeasurement) int { return s.PlanBoxes })
@@ -158,6 +161,8 @@
 	}
 }
 
+// requestRows returns the rows for the CPU use of a gateway and of a sidecar at the
+// peak request rate.
 func (d *Data) requestRows() []Row {
 	gateway := d.fitRequests(func(r RequestMeasurement) float64 { return r.GatewayCPUMS })
 	sidecar := d.fitRequests(func(r RequestMeasurement) float64 { return r.SidecarCPUMS })
@@ -183,6 +188,8 @@
 	return n + n/float64(s.RecordsPerCheckpoint)
 }
 
+// logRows returns the rows for the load on the event log, the box list and the weight
+// store, and for the delay until a configuration change is in force.
 func (d *Data) logRows() []Row {
 	s, sim := d.Sizes, d.Simulation
 	perGateway := sim.IdleLogReads / float64(s.Gateways)
@@ -210,6 +217,8 @@
 // in package relay.
 const boxListPollSeconds = 2.0
 
+// transferRows returns the rows for a rollout to 410 boxes, taken from the simulated
+// transfers.
 func (d *Data) transferRows(transfers []Transfer) []Row {
 	var out []Row
 	for _, t := range transfers {
@@ -239,6 +248,7 @@
 	}
 }
 
+// formatValue formats a value of the table with fewer decimals the larger it is.
 func formatValue(v float64) string {
 	switch {
 	case v >= 100:
--- a/capacity/state.go
+++ b/capacity/state.go
@@ -49,6 +49,7 @@
 	return StateMeasurement{Workspaces: workspaces, PlanBoxes: planBoxes, Homes: homes, Bytes: len(r.Checkpoint().State)}
 }
 
+// samplePlan returns a rollout plan with one step for each of the given number of boxes.
 func samplePlan(boxes int) intent.Plan {
 	p := intent.Plan{ID: "plan-1", Intent: intent.Intent{ID: "intent-1", Ref: weights.Ref{Model: "model", Version: "v1"}, Workspaces: []string{"workspace-0001"}}, ManifestDigest: weights.Sum(nil), ExpiresAt: 1_900_000_000_000}
 	for i := range boxes {
@@ -57,6 +58,8 @@
 	return p
 }
 
+// sampleHomes returns a record that adds n homes, the sidecar processes that store what
+// is known of idempotency keys.
 func sampleHomes(n int) state.HomesChanged {
 	var c state.HomesChanged
 	for i := range n {
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -14,7 +14,7 @@
 	"github.com/juju/errors"
 )
 
-// Sweep is a report of the users' benchmark, which replays the same test day at
+// Sweep is a report of the users' benchmark, which replays the same test day
 // several sizes of a deployment. The field names of Sweep, SweepDay and SweepRow
 // are part of the output of "mintlift capacity --json".
 type Sweep struct {
@@ -31,8 +31,8 @@
 // SweepDay is the benchmark's result at one size of the deployment.
 type SweepDay struct {
 	Name string
-	// Worth is the share of the day's credit that was earned, Served the share
-	// of requests served.
+	// Worth is the benchmark's score: the share of the day's credit that was
+	// earned. Served is the share of requests served.
 	Worth, Served float64
 	// Broken lists the benchmark's rules that were violated; empty means none.
 	Broken string
@@ -50,6 +50,8 @@
 	Power, AtTarget string
 }
 
+// Patterns of the report's lines: the header of the table, the line of a test day,
+// and the space between two cells of a row.
 var (
 	sweepHeaderPattern = regexp.MustCompile(`^((?:\s+\d+)+)\s+power\s+at (\d+|null)\s*$`)
 	sweepDayPattern    = regexp.MustCompile(`^(sweep-\d+)\s+\d+/\d+\s+-?[\d.]+\s+(-?[\d.]+)\s+([\d.]+)\s`)
@@ -80,6 +82,9 @@
 	return s, nil
 }
 
+// addDay parses the line of one size of the deployment and appends it to s.Days. The
+// line has the score, the share of requests served and, after "BROKEN: ", the rules
+// of the benchmark that were violated. It must match sweepDayPattern.
 func (s *Sweep) addDay(line string) error {
 	m := sweepDayPattern.FindStringSubmatch(line)
 	worth, err := strconv.ParseFloat(m[2], 64)
@@ -95,6 +100,9 @@
 	return nil
 }
 
+// addHeader parses the header line of the table, which has the sizes of the deployment
+// and the target size, or "null" if there is no target. It must match
+// sweepHeaderPattern.
 func (s *Sweep) addHeader(line string) error {
 	m := sweepHeaderPattern.FindStringSubmatch(line)
 	for _, field := range strings.Fields(m[1]) {
--- a/docs/plot/main.go
+++ b/docs/plot/main.go
@@ -38,6 +38,7 @@
 	} `json:"windows"`
 }
 
+// main plots the reports of two benchmark runs, before and after a change.
 func main() {
 	title := flag.String("title", "", "title of the plot")
 	out := flag.String("out", "worth.svg", "file to write; its suffix chooses the format")
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -55,6 +55,7 @@
 // Version selects the lines about a version of the weights.
 func Version(version string) Filter { return Filter{versionFields, version} }
 
+// matches reports whether any of the filter's fields has the filter's value.
 func (f Filter) matches(fields map[string]any) bool {
 	for _, name := range f.Fields {
 		if value, ok := fields[name]; ok && fmt.Sprint(value) == f.Value {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -341,6 +341,7 @@
 	return nil
 }
 
+// firstError returns the first error that is not nil, or nil.
 func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,6 +18,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
+// v1 is the first version of the model weights that the tests install.
 var v1 = weights.Ref{Model: "celeste-draft", Version: "v1"}
 
 // startLab starts a lab for a test and waits until its gateways reach its
--- a/internal/lab/once_test.go
+++ b/internal/lab/once_test.go
@@ -71,6 +71,7 @@
 	return nil
 }
 
+// newKey returns a new idempotency key.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
 // TestSameKeyThroughAllGateways checks that a request runs once if it is sent
@@ -112,9 +113,11 @@
 	assert.Equal(t, runsWithKey(l.serviceRuns(), key), 1)
 }
 
-// TestHomeDies checks that a request is not run again, and has outcome
-// unknown, after the sidecar that stored its idempotency key was killed.
-func TestHomeDies(t *testing.T) {
+// TestRetryAfterHomeCrash checks that a request is not run again, and has outcome
+// unknown, after the key's home was killed, both before and after the event log
+// assigns another home. The home is the sidecar that stores what is known of the
+// request's idempotency key.
+func TestRetryAfterHomeCrash(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 3})
 	key := newKey()
 	_, o, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
@@ -138,9 +141,9 @@
 	home.Sidecar = nil
 }
 
-// TestHomeRestarts checks that a request is not run again after the sidecar
-// that stored its idempotency key has restarted and lost it.
-func TestHomeRestarts(t *testing.T) {
+// TestRetryAfterHomeRestart checks that a request is not run again after the
+// home of its idempotency key, the sidecar that stored it, has restarted and lost it.
+func TestRetryAfterHomeRestart(t *testing.T) {
 	l, ctx := startServices(t, Config{Gateways: 2, Services: 2})
 	key := newKey()
 	_, o, text := l.callService(t, 0, http.MethodPost, "caption", map[string]string{"Idempotency-Key": key})
--- a/internal/lab/outcome_test.go
+++ b/internal/lab/outcome_test.go
@@ -45,6 +45,7 @@
 	requests int // requests read in full since setCut
 }
 
+// newFaultyService starts a faultyService on a loopback port for the time of the test.
 func newFaultyService(t *testing.T) *faultyService {
 	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
@@ -54,6 +55,7 @@
 	return f
 }
 
+// accept serves connections until the listener is closed.
 func (f *faultyService) accept() {
 	for {
 		conn, err := f.ln.Accept()
--- a/internal/lab/proxy_test.go
+++ b/internal/lab/proxy_test.go
@@ -25,6 +25,7 @@
 	cuts        int // connections closed by cutAfter
 }
 
+// newFaultyProxy starts a proxy to the address target for the time of the test.
 func newFaultyProxy(t *testing.T, target string) *faultyProxy {
 	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
@@ -75,6 +76,7 @@
 	c.conns = nil
 }
 
+// accept connects each new connection to the target until the listener is closed.
 func (c *faultyProxy) accept() {
 	for {
 		conn, err := c.ln.Accept()
--- a/internal/lab/rollover_test.go
+++ b/internal/lab/rollover_test.go
@@ -18,6 +18,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
+// v2 is the version that replaces v1 in the tests of a version change.
 var v2 = weights.Ref{Model: v1.Model, Version: "v2"}
 
 // TestRolloverKeepsFloor checks a version change under traffic on engines whose
--- a/internal/lab/tls_test.go
+++ b/internal/lab/tls_test.go
@@ -31,6 +31,8 @@
 	lastSerial int64
 }
 
+// newTestCA creates a self-signed CA and writes its certificate to ca.pem in a
+// temporary directory.
 func newTestCA(t *testing.T) *testCA {
 	a := &testCA{dir: t.TempDir(), lastSerial: 1}
 	var err error
--- a/internal/linksim/linksim_test.go
+++ b/internal/linksim/linksim_test.go
@@ -15,6 +15,7 @@
 // committedFile is the transfer table in JSON: an array of Row.
 const committedFile = "../../docs/transfer.json"
 
+// committedRows reads the transfer table from docs/transfer.json.
 func committedRows(t *testing.T) []Row {
 	t.Helper()
 	b, err := os.ReadFile(committedFile)
@@ -24,6 +25,7 @@
 	return out
 }
 
+// findRow returns the row with the given name and number of boxes, or fails the test.
 func findRow(t *testing.T, all []Row, name string, boxes int) Row {
 	t.Helper()
 	for _, r := range all {
--- a/internal/linksim/table.go
+++ b/internal/linksim/table.go
@@ -37,9 +37,11 @@
 
 // Configuration common to all rows of the transfer table (see Row).
 const (
-	tableChunks = 1024            // chunks of the version
-	tableWindow = 4 * time.Minute // Config.Window, which sets the link rates
-	tableSeed   = 1               // of the random numbers
+	tableChunks = 1024 // chunks of the version
+	// tableWindow sets the link rates (see Config.Window): a box's link carries two
+	// copies of the version in this time, the origin's link four.
+	tableWindow = 4 * time.Minute
+	tableSeed   = 1 // seed of the random number generator
 )
 
 // baseConfig returns the configuration of a swarm of n boxes without faults.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -154,6 +154,7 @@
 	})
 }
 
+// state responds with the engine's state: epoch, fence, loaded and staged versions, and load.
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -172,6 +173,8 @@
 	writeJSON(w, http.StatusOK, s)
 }
 
+// claim starts a new epoch and responds with it and the highest fence (fencing token)
+// of the orders so far.
 func (e *Engine) claim(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	e.epoch++
@@ -180,6 +183,8 @@
 	writeJSON(w, http.StatusOK, c)
 }
 
+// stage creates the staging area of a version from the manifest in the body. An existing
+// staging area is kept.
 func (e *Engine) stage(w http.ResponseWriter, r *http.Request) {
 	m := new(weights.Manifest)
 	if json.NewDecoder(r.Body).Decode(m) != nil {
@@ -193,6 +198,8 @@
 	}
 }
 
+// putChunk stages one chunk. With DiscardChunks, it does not keep the bytes of a correct
+// chunk; getChunk generates them again.
 func (e *Engine) putChunk(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -213,6 +220,7 @@
 	st.chunks[i] = b
 }
 
+// getChunk responds with a staged chunk, which the fault settings may corrupt.
 func (e *Engine) getChunk(w http.ResponseWriter, r *http.Request) {
 	i, _ := strconv.Atoi(r.PathValue("chunk")) // an invalid number selects chunk 0
 	e.mu.Lock()
@@ -238,6 +246,7 @@
 	_, _ = w.Write(b) // fails only if the client has disconnected
 }
 
+// dropStaging discards the manifest and chunks staged for a version.
 func (e *Engine) dropStaging(_ http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -257,6 +266,8 @@
 	return true
 }
 
+// load loads a staged version into memory, as ordered by the body. It responds 404 if
+// nothing is staged and 507 if the memory does not suffice.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if json.NewDecoder(r.Body).Decode(&o) != nil {
@@ -314,6 +325,7 @@
 	e.loaded = slices.DeleteFunc(e.loaded, func(l loadedVersion) bool { return l.Ref == ref })
 }
 
+// unload removes a version from memory, as ordered by the body.
 func (e *Engine) unload(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if json.NewDecoder(r.Body).Decode(&o) != nil {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -137,6 +137,7 @@
 	return n
 }
 
+// handle replaces the fault settings by those in the body.
 func (f *Faults) handle(w http.ResponseWriter, r *http.Request) {
 	var s FaultSettings
 	if err := json.NewDecoder(r.Body).Decode(&s); err != nil {
--- a/internal/standin/generate.go
+++ b/internal/standin/generate.go
@@ -35,6 +35,7 @@
 	MaxTokens int  `json:"max_tokens"`
 }
 
+// generate serves a chat or text completion with the version named in the header.
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	var body generateRequest
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -148,6 +149,7 @@
 	}
 }
 
+// addToken appends a token and wakes the readers that wait for it.
 func (g *generation) addToken(token string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -203,6 +205,7 @@
 	}
 }
 
+// resume streams a generation again, from the token after the ones that the client has.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	g := e.generations[r.PathValue("id")]
@@ -215,6 +218,7 @@
 	e.respond(w, r, g, after, true)
 }
 
+// cancelRun stops a generation. An unknown ID is ignored.
 func (e *Engine) cancelRun(_ http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	g := e.generations[r.PathValue("id")]
@@ -312,6 +316,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
+// message is the text of a completion, or the part of it in one chunk of a stream.
 type message struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
@@ -325,11 +330,13 @@
 	Choices []choice `json:"choices"`
 }
 
+// completionChunkJSON returns the JSON of a streamed chunk with one token.
 func completionChunkJSON(id string, g *generation, token string) []byte {
 	b, _ := json.Marshal(completionResponse{ID: id, Object: "chat.completion.chunk", Model: g.version.String(), Choices: []choice{{Delta: &message{Content: token}}}}) // plain fields always marshal
 	return b
 }
 
+// newCompletion returns the complete, unstreamed response of a generation.
 func newCompletion(g *generation, text string) completionResponse {
 	stop := "stop"
 	return completionResponse{ID: g.id, Object: "chat.completion", Model: g.version.String(), Choices: []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &stop}}}
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -81,6 +81,8 @@
 	return s
 }
 
+// append appends the record in the body to a stream, subject to the rate limit and the
+// faults, and responds with the record's offset.
 func (l *Log) append(w http.ResponseWriter, r *http.Request) {
 	if !l.Faults.beforeCall(w) {
 		return
@@ -135,6 +137,8 @@
 	s.changed = make(chan struct{})
 }
 
+// read responds with the entries from an offset on. It waits up to wait_ms for an entry if
+// there is none, and responds 410 if the offset is no longer retained.
 func (l *Log) read(w http.ResponseWriter, r *http.Request) {
 	if !l.Faults.beforeCall(w) {
 		return
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -48,6 +48,7 @@
 	return mux
 }
 
+// handleCall adds the request to the journal and, after Latency, responds with an Echo.
 func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	if !s.Faults.beforeCall(w) {
 		return
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -114,10 +114,12 @@
 	return mux
 }
 
+// refFromPath returns the model and version that a request's path names.
 func refFromPath(r *http.Request) weights.Ref {
 	return weights.Ref{Model: r.PathValue("model"), Version: r.PathValue("version")}
 }
 
+// manifest responds with a version's manifest, subject to the request rate limit.
 func (s *Store) manifest(w http.ResponseWriter, r *http.Request) {
 	if !s.Faults.beforeCall(w) {
 		return
@@ -138,6 +140,8 @@
 	_, _ = w.Write(b) // fails only if the client has disconnected
 }
 
+// chunk responds with a chunk of a version, which the fault settings may corrupt, at the
+// origin's bandwidth.
 func (s *Store) chunk(w http.ResponseWriter, r *http.Request) {
 	if !s.Faults.beforeCall(w) {
 		return
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -81,6 +81,7 @@
 	return f, nil
 }
 
+// load reads the key from path. On an error the previous key stays in use.
 func (f *File) load(path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -115,6 +116,7 @@
 	clientCAs *x509.CertPool // nil without a client CA file
 }
 
+// openKeyPair loads the certificate, its key and the client CAs from the files of t.
 func openKeyPair(t settings.TLS) (*keyPair, error) {
 	p := new(keyPair)
 	files := []string{t.CertFile, t.KeyFile}
@@ -128,6 +130,7 @@
 	return p, nil
 }
 
+// load reads the files of t. On an error the previous certificates stay in use.
 func (p *keyPair) load(t settings.TLS) error {
 	cert, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
 	if err != nil {
--- a/load/load.go
+++ b/load/load.go
@@ -153,6 +153,7 @@
 	notRun        []string
 }
 
+// newRecorder returns an empty recorder for the class with the given name.
 func newRecorder(name string) *recorder {
 	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(histogramMin, histogramMax, histogramDigits) }
 	return &recorder{
--- a/load/send.go
+++ b/load/send.go
@@ -65,11 +65,15 @@
 // sender sends requests over pooled connections.
 type sender struct{ client *http.Client }
 
+// newSender returns a sender that keeps up to 4096 idle connections per host.
 func newSender() *sender {
 	const perHost = 4096
 	return &sender{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: perHost, DisableCompression: true}}}
 }
 
+// send sends one request to the address target and reads its whole response. It does
+// not retry. A failed request has outcome unknown unless a
+// complete response states another.
 func (s *sender) send(ctx context.Context, target string, spec requestSpec) (result response) {
 	defer func() { result.end = time.Now() }()
 	result.outcome = outcome.Unknown
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -288,6 +288,7 @@
 	return string(b)
 }
 
+// gateway checks all settings of a gateway.
 func (c *checker) gateway(s *Gateway) {
 	c.node(s.Node)
 	c.platform(s.Platform)
@@ -309,6 +310,7 @@
 	c.telemetry(s.Log, s.Trace)
 }
 
+// sidecar checks all settings of a sidecar.
 func (c *checker) sidecar(s *Sidecar) {
 	c.node(s.Node)
 	c.platform(s.Platform)
@@ -341,6 +343,7 @@
 	c.rate("links.box_bytes_per_second", l.Box)
 }
 
+// telemetry checks the settings of logs and traces.
 func (c *checker) telemetry(l telemetry.LogSettings, t telemetry.TraceSettings) {
 	c.choice("log.level", l.Level, telemetry.LevelError, telemetry.LevelInfo, telemetry.LevelDebug)
 	c.choice("trace.exporter", t.Exporter, telemetry.ExportNone, telemetry.ExportFile, telemetry.ExportOTLP)
@@ -352,12 +355,15 @@
 	}
 }
 
+// name reports a setting that is not a valid name. As for the checks below, path is the
+// setting's path in the file.
 func (c *checker) name(path, v string) {
 	if v == "" || len(v) > 64 || strings.ContainsAny(v, " /\\\"") {
 		c.report(path, strconv.Quote(v), "a name of 1 to 64 characters without space, slash or quote")
 	}
 }
 
+// address reports a setting that is not an IP address and port.
 func (c *checker) address(path, v string) {
 	host, port, err := net.SplitHostPort(v)
 	n, portErr := strconv.Atoi(port)
@@ -390,6 +396,7 @@
 	}
 }
 
+// file reports a file that does not exist. An empty v means that no file is set.
 func (c *checker) file(path, v string) {
 	if v == "" {
 		return
@@ -399,6 +406,8 @@
 	}
 }
 
+// tls reports TLS files that do not exist, and a certificate without a key or a key
+// without a certificate.
 func (c *checker) tls(path string, t TLS) {
 	if (t.CertFile == "") != (t.KeyFile == "") {
 		c.report(path, "one of cert_file and key_file is missing", "both or neither")
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -48,6 +48,7 @@
 // single requests.
 func (s *Sink) PriorityWriter() io.Writer { return priorityWriter{s} }
 
+// priorityWriter is the io.Writer that Sink.PriorityWriter returns.
 type priorityWriter struct{ sink *Sink }
 
 func (w priorityWriter) Write(line []byte) (int, error) { return w.sink.add(line, sinkCapacity) }
