--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -89,7 +89,8 @@
 
 // Simulation holds the results of the tests in virtual time. These are reads of
 // the event log per second, with the peaks while all processes start at once,
-// and the seconds until a configuration change is in force at all processes.
+// and the duration, in seconds, until a configuration change is in force at all
+// processes.
 type Simulation struct {
 	Processes            int     `json:"processes"`
 	PeakLogReads         int     `json:"log_reads_a_second_peak"`
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -14,7 +14,7 @@
 	"github.com/juju/errors"
 )
 
-// Sweep is a report of the users' benchmark, which replays the same test day
+// Sweep is a report of the users' benchmark, which replays the same test day at
 // several sizes of a deployment. The field names of Sweep, SweepDay and SweepRow
 // are part of the output of "mintlift capacity --json".
 type Sweep struct {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -173,6 +173,7 @@
 
 func (l *Lab) zone(i int) membership.AvailabilityZone { return l.Zones[i%len(l.Zones)] }
 
+// nodeSettings returns the settings of a process on the given box and zone.
 func nodeSettings(box string, z membership.AvailabilityZone) settings.Node {
 	return settings.Node{Box: box, Region: z.Region, Zone: z.Zone}
 }
--- a/internal/lab/pairs_test.go
+++ b/internal/lab/pairs_test.go
@@ -26,6 +26,7 @@
 	recover func(l *Lab) error
 }
 
+// noRecovery is the recover function of failures that need no recovery.
 func noRecovery(*Lab) error { return nil }
 
 // failures returns the failures that can be injected in one process.
--- a/internal/standin/boxes.go
+++ b/internal/standin/boxes.go
@@ -23,7 +23,8 @@
 	reads   int
 }
 
-// boxSnapshot is the content of the list from time at on.
+// boxSnapshot is the content of the box list from the moment at on, until the next
+// snapshot.
 type boxSnapshot struct {
 	at    time.Time
 	boxes []membership.Box
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -18,7 +18,8 @@
 	"github.com/mintlift/mintlift/engine"
 )
 
-// FaultSettings are the faults that a stand-in injects.
+// FaultSettings are the faults that a stand-in, a test double of a service of the
+// platform, injects.
 type FaultSettings struct {
 	// Down rejects every call with 503.
 	Down bool `json:"down"`
@@ -27,7 +28,7 @@
 	// DropResponses is the number of next state-changing calls that take effect
 	// but get no response: the connection is cut.
 	DropResponses int `json:"lose_answers"`
-	// LagMS is the delay in milliseconds after which readers see a change.
+	// LagMS is the delay, in milliseconds, until readers see a change.
 	LagMS int `json:"lag_ms"`
 	// CorruptEvery corrupts one in this many chunks sent; 0 corrupts none.
 	CorruptEvery int `json:"corrupt_every"`
@@ -174,6 +175,7 @@
 // Close stops the server and closes all connections.
 func (s *Server) Close() { _ = s.http.Close() }
 
+// writeJSON responds with the given HTTP status and body encoded as JSON.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/load/send.go
+++ b/load/send.go
@@ -72,8 +72,8 @@
 }
 
 // send sends one request to the address target and reads its whole response. It does
-// not retry. A failed request has outcome unknown unless a
-// complete response states another.
+// not retry. A failed request has outcome unknown unless a complete response states
+// another.
 func (s *sender) send(ctx context.Context, target string, spec requestSpec) (result response) {
 	defer func() { result.end = time.Now() }()
 	result.outcome = outcome.Unknown
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -94,8 +94,8 @@
 	RequestTimeout time.Duration `json:"request_timeout"`
 	// DrainTimeout is the timeout of a graceful shutdown.
 	DrainTimeout time.Duration `json:"drain_timeout"`
-	// Weighing selects which of two costs plans keep low. An intent can
-	// override it.
+	// Weighing selects what plans minimize: the time until all replicas are ready, or
+	// the bytes read from the origin. An intent can override it.
 	Weighing intent.Weighing `json:"weighing"`
 	Links    Links           `json:"links"`
 	// PlanTTL is the time within which a proposed plan can be confirmed.
@@ -325,12 +325,14 @@
 	c.telemetry(s.Log, s.Trace)
 }
 
+// node checks the names of the box, region and availability zone.
 func (c *checker) node(n Node) {
 	c.name("node.box", n.Box)
 	c.name("node.region", n.Region)
 	c.name("node.availability_zone", n.Zone)
 }
 
+// platform checks the addresses of the platform's services.
 func (c *checker) platform(p Platform) {
 	c.address("platform.log", p.Log)
 	c.address("platform.weight_store", p.WeightStore)
@@ -338,6 +340,7 @@
 	c.address("platform.box_list", p.BoxList)
 }
 
+// links checks the link rates.
 func (c *checker) links(l Links) {
 	c.rate("links.origin_bytes_per_second", l.Origin)
 	c.rate("links.box_bytes_per_second", l.Box)
@@ -372,24 +375,28 @@
 	}
 }
 
+// intRange reports a number outside of low to high, both inclusive.
 func (c *checker) intRange(path string, v, low, high int) {
 	if v < low || v > high {
 		c.report(path, strconv.Itoa(v), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
+// durationRange reports a duration outside of low to high, both inclusive.
 func (c *checker) durationRange(path string, v, low, high time.Duration) {
 	if v < low || v > high {
 		c.report(path, v.String(), fmt.Sprintf("%v to %v", low, high))
 	}
 }
 
+// rate reports a rate in bytes per second that is negative or above 1e12; 0 means unknown.
 func (c *checker) rate(path string, v float64) {
 	if v < 0 || v > 1e12 {
 		c.report(path, strconv.FormatFloat(v, 'g', -1, 64), "0 (unknown) to 1e12 bytes per second")
 	}
 }
 
+// choice reports a value that is not one of the allowed ones.
 func (c *checker) choice(path, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
 		c.report(path, strconv.Quote(v), "one of "+strings.Join(allowed, ", "))
