--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -31,8 +31,8 @@
 // SweepDay is the benchmark's result at one size of the deployment.
 type SweepDay struct {
 	Name string
-	// Worth is the benchmark's score: the share of the day's credit that was
-	// earned. Served is the share of requests served.
+	// Worth is the share of the credit for the day's requests that was earned.
+	// Served is the share of requests served.
 	Worth, Served float64
 	// Broken lists the benchmark's rules that were violated; empty means none.
 	Broken string
@@ -83,8 +83,9 @@
 }
 
 // addDay parses the line of one size of the deployment and appends it to s.Days. The
-// line has the score, the share of requests served and, after "BROKEN: ", the rules
-// of the benchmark that were violated. It must match sweepDayPattern.
+// line has the worth, the share of requests served (see SweepDay) and, after
+// "BROKEN: ", the rules of the benchmark that were violated. It must match
+// sweepDayPattern.
 func (s *Sweep) addDay(line string) error {
 	m := sweepDayPattern.FindStringSubmatch(line)
 	worth, err := strconv.ParseFloat(m[2], 64)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -115,6 +115,7 @@
 	return nil
 }
 
+// modelRef returns the given version of the demo's model.
 func modelRef(version string) weights.Ref { return weights.Ref{Model: model, Version: version} }
 
 // prepare waits for the boxes and adds the workspace.
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -111,7 +111,8 @@
 	return l, nil
 }
 
-// start starts the stand-ins, the gateways and the boxes.
+// start starts the stand-ins (test doubles of the platform's services), the gateways
+// and the boxes.
 func (l *Lab) start() error {
 	dir, err := os.MkdirTemp("", "mintlift-lab-")
 	if err != nil {
@@ -154,6 +155,7 @@
 	l.initial = append(l.initial, b)
 }
 
+// keyFile returns the path of the file with the operator's key.
 func (l *Lab) keyFile() string { return filepath.Join(l.dir, "operator.key") }
 
 // startPlatform starts the stand-ins for the log, the store and the box list.
@@ -171,6 +173,7 @@
 	return nil
 }
 
+// zone returns the zone with the given index, modulo the number of zones.
 func (l *Lab) zone(i int) membership.AvailabilityZone { return l.Zones[i%len(l.Zones)] }
 
 // nodeSettings returns the settings of a process on the given box and zone.
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -50,10 +50,10 @@
 	return resp, string(b)
 }
 
-// TestWholePath checks that a version that an operator's intent rolls out to
+// TestRolloutServesBothGateways checks that a version that an operator's intent rolls out to
 // six engines is loaded once by each, and that callers get streamed responses
 // from it through both gateways.
-func TestWholePath(t *testing.T) {
+func TestRolloutServesBothGateways(t *testing.T) {
 	l, ctx := startLab(t, Config{Gateways: 2, Engines: 6, ChecksFences: true, Zones: []membership.AvailabilityZone{{Region: "r1", Zone: "a"}, {Region: "r2", Zone: "b"}}})
 	l.Store.Publish(standin.NewManifest(v1, 4<<20, 64<<10))
 	assert.NilError(t, l.AddWorkspace(ctx, "liceo", 40, 1))
--- a/internal/lab/outcome_test.go
+++ b/internal/lab/outcome_test.go
@@ -255,10 +255,10 @@
 	}
 }
 
-// TestUnknownOutlastsLaterRefusals checks that a request has outcome unknown
+// TestUnknownOutcomeIfRetryIsRefused checks that a request has outcome unknown
 // after one endpoint read it and closed the connection, even if a second
 // endpoint refuses the retry.
-func TestUnknownOutlastsLaterRefusals(t *testing.T) {
+func TestUnknownOutcomeIfRetryIsRefused(t *testing.T) {
 	f := newFaultyService(t)
 	f.setCut(cutsNever)
 	closed, err := net.Listen("tcp", anyLoopbackPort)
