--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -65,7 +65,7 @@
 	SidecarSettings func(*settings.Sidecar)
 }
 
-// Box is an endpoint box of the lab.
+// Box is a machine of the lab that runs an endpoint and its sidecar.
 type Box struct {
 	Entry    membership.Box   // its entry in the box list
 	Engine   *standin.Engine  // nil if the endpoint is a plain service
--- a/load/load.go
+++ b/load/load.go
@@ -104,9 +104,9 @@
 	histogramDigits = 3
 )
 
-// ClassReport summarizes the requests of a class. Times are in milliseconds and
-// start at the time drawn for the request (see the package comment), except
-// BetweenToken.
+// ClassReport summarizes the requests of a class. Durations are in milliseconds and
+// measured from the start time drawn for the request (see the package comment),
+// except BetweenToken: the durations between consecutive tokens.
 type ClassReport struct {
 	Name     string                  `json:"name"`
 	Sent     int                     `json:"sent"`
@@ -117,7 +117,7 @@
 	FirstToken   Quantiles `json:"first_token_ms"`
 	BetweenToken Quantiles `json:"between_tokens_ms"`
 	Total        Quantiles `json:"total_ms"`
-	// Refused is the time until the refusal, of requests with outcome not run.
+	// Refused is the duration until the refusal of a request with outcome not run.
 	Refused Quantiles `json:"refused_ms"`
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -288,7 +288,7 @@
 	return string(b)
 }
 
-// gateway checks all settings of a gateway.
+// gateway checks the settings of a gateway.
 func (c *checker) gateway(s *Gateway) {
 	c.node(s.Node)
 	c.platform(s.Platform)
@@ -310,7 +310,7 @@
 	c.telemetry(s.Log, s.Trace)
 }
 
-// sidecar checks all settings of a sidecar.
+// sidecar checks the settings of a sidecar.
 func (c *checker) sidecar(s *Sidecar) {
 	c.node(s.Node)
 	c.platform(s.Platform)
