--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -44,7 +44,8 @@
 	RefusalTTL = 10 * time.Second
 )
 
-// HomeOf returns the home of a key, or false when there are no homes.
+// HomeOf returns the home of a key, the sidecar process that stores what is known of it,
+// or false when there are no homes.
 func HomeOf(key string, homes []state.Home) (state.Home, bool) {
 	var best state.Home
 	var bestWeight uint64
--- a/dedup/dedup_test.go
+++ b/dedup/dedup_test.go
@@ -16,6 +16,7 @@
 	"github.com/mintlift/mintlift/state"
 )
 
+// epoch is the time at which the simulated clocks start.
 var epoch = time.UnixMilli(1_800_000_000_000)
 
 // keyAt returns a UUIDv7 with the given creation time; each n gives a different one.
@@ -31,11 +32,14 @@
 	return u.String()
 }
 
-// logModel is an event log of home changes.
+// logModel is an event log with records that change the homes of idempotency keys. A home
+// is the sidecar process that stores what is known of a key.
 type logModel struct {
 	entries []eventlog.Entry
 }
 
+// appendChange appends a record that adds homes to, or removes homes from, the set among
+// which keys are distributed. at is the record's time.
 func (log *logModel) appendChange(at time.Time, c state.HomesChanged) {
 	r, err := eventlog.NewRecord(state.KindHomesChanged, "test", at, c)
 	if err != nil {
@@ -59,11 +63,13 @@
 	return out
 }
 
-// home returns the home with the given numbers of box and incarnation.
+// home returns the sidecar process with the given numbers of box and incarnation, as a
+// home of keys.
 func home(box int, incarnation int) state.Home {
 	return state.Home{Box: fmt.Sprintf("b%d", box), Incarnation: fmt.Sprintf("n%d", incarnation)}
 }
 
+// self returns the home h as the Self argument of Admit.
 func self(h state.Home) Self { return Self{Box: h.Box, Incarnation: h.Incarnation} }
 
 // TestAdmit checks the verdicts for the current home of a key and for other sidecars,
@@ -112,7 +118,7 @@
 	assert.Equal(t, Admit(newKey, self(home(2, 3)), s, afterChange, afterChange), Unknown, "a new incarnation on the same box has no record of the keys")
 }
 
-// homeBox returns the box of a key's home.
+// homeBox returns the box of the sidecar process that is the key's home in state s.
 func homeBox(key string, s *state.State) string {
 	h, _ := HomeOf(key, s.HomesOf(""))
 	return h.Box
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -25,7 +25,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// Weighing selects which cost of a rollout a plan minimizes.
+// Weighing selects which cost of a rollout a plan minimizes: the time until all replicas
+// serve (TimeToReplicas) or the bytes read from the origin (OriginBytes).
 type Weighing string
 
 const (
@@ -57,12 +58,14 @@
 	// Priority is the plan's priority, 1 to 100. 0 means the highest priority of
 	// the workspaces.
 	Priority int `json:"priority,omitempty"`
-	// Weighing overrides the deployment's setting if it isn't empty.
+	// Weighing is the cost that the plan minimizes. It overrides the deployment's
+	// setting if it isn't empty.
 	Weighing Weighing `json:"weighing,omitempty"`
 }
 
 // Validate checks the fields without regard to a cluster. It returns a NotValid error
-// for the first invalid one.
+// for the first invalid one. A Weighing, the cost that the plan is to minimize, must be
+// empty or one of the two defined ones.
 func (in *Intent) Validate() error {
 	switch {
 	case !in.Valid():
@@ -79,7 +82,8 @@
 	return nil
 }
 
-// Status is the state of a plan. It depends only on the order of records in the log.
+// Status is the state of a plan. It depends only on the sequence of records in the event
+// log.
 type Status string
 
 const (
@@ -115,7 +119,7 @@
 	Evicts []weights.Ref `json:"evicts,omitempty"`
 }
 
-// Forecast is the estimated cost of a plan under one weighing.
+// Forecast is the estimated cost of a plan that minimizes the cost given by Weighing.
 type Forecast struct {
 	Weighing Weighing `json:"weighing"`
 	// TimeToReplicas is the estimated time until all boxes have the version. It is 0
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -173,7 +173,8 @@
 	return out
 }
 
-// addSteps adds one step per box and assigns the waves.
+// addSteps adds one step per box and divides the steps into waves. It returns ErrNoMemory
+// if the version is larger than the memory of a box's engine.
 func (p *Plan) addSteps(boxes []Candidate, m *weights.Manifest, snap Snapshot) error {
 	origin := originRegion(boxes)
 	var evicting []int // indices of the steps that evict a version
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -16,6 +16,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
+// v1 and v2 are two versions of one model.
 var (
 	v1 = weights.Ref{Model: "m", Version: "v1"}
 	v2 = weights.Ref{Model: "m", Version: "v2"}
@@ -56,6 +57,8 @@
 	return snap
 }
 
+// TestWeighingSelectsExtraCopies checks that only a plan that minimizes the rollout time
+// reads extra copies of the weights from the origin.
 func TestWeighingSelectsExtraCopies(t *testing.T) {
 	in := Intent{Ref: v2, Workspaces: []string{"a", "b"}}
 	fastest, err := NewPlan(in, manifest(v2), testSnapshot(12, 0, 0))
@@ -65,7 +68,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, fastest.ExtraCopies, 1.0)
 	assert.Equal(t, cheapest.ExtraCopies, 0.0)
-	assert.DeepEqual(t, fastest.Forecasts, cheapest.Forecasts) // each plan has a forecast for both weighings
+	assert.DeepEqual(t, fastest.Forecasts, cheapest.Forecasts) // each plan has the forecasts for both costs
 	assert.Assert(t, fastest.Forecasts[0].TimeToReplicas < fastest.Forecasts[1].TimeToReplicas)
 	assert.Assert(t, fastest.Forecasts[0].OriginBytes > fastest.Forecasts[1].OriginBytes)
 	assert.Equal(t, fastest.Priority, 60, "the highest priority of its workspaces")
--- a/loadreport/gateways.go
+++ b/loadreport/gateways.go
@@ -51,10 +51,11 @@
 	return local, remote
 }
 
-// maxVersionSumLocked returns the highest Notice.VersionSum among the current
-// subscribers and the IP address of the gateway that sent it. That gateway holds the
-// newest operator's records; a gateway with a lower sum can fetch them from it.
-// Without a subscriber the results are 0 and "". Publisher.mu must be held.
+// maxVersionSumLocked returns the highest version sum among the current subscribers, which
+// are gateways, and the IP address of the gateway that sent it. A version sum is the sum of
+// the versions of all operator's records that a gateway holds. Versions only increase, so
+// gateways with a lower sum can fetch newer records from the returned one. Without a
+// subscriber the results are 0 and "". Publisher.mu must be held.
 func (p *Publisher) maxVersionSumLocked(now time.Time) (versionSum int64, gateway string) {
 	for from, s := range p.subs {
 		if now.Sub(s.subscribedAt) <= subscriptionTTL && s.versionSum > versionSum {
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -32,6 +32,7 @@
 	endpoints []backpressure.Record
 }
 
+// HandleSuspects implements Handler.
 func (h *recorder) HandleSuspects(suspects []quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,18 +44,21 @@
 	}
 }
 
+// HandleGrant implements Handler.
 func (h *recorder) HandleGrant(g backpressure.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.grants = append(h.grants, g)
 }
 
+// HandleEndpoints implements Handler.
 func (h *recorder) HandleEndpoints(records []backpressure.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.endpoints = append(h.endpoints, records...)
 }
 
+// HandleReport implements Handler.
 func (h *recorder) HandleReport(r fleet.Report, e *Echo) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/loadreport/subscriber.go
+++ b/loadreport/subscriber.go
@@ -35,8 +35,8 @@
 	// reported to the sidecar.
 	Read history.Position
 	// VersionSum is the highest Notice.VersionSum of the sidecar's current
-	// subscribers. VersionSumGateway is the IP address of the gateway that sent it,
-	// which holds the newest operator's records.
+	// subscribers. VersionSumGateway is the IP address of the gateway that sent it;
+	// gateways with a lower sum can fetch newer records of the operator from it.
 	VersionSum        int64
 	VersionSumGateway string
 	// Readers are the IP addresses of the reader gateways of the subscriber's region,
--- a/relay/scale_test.go
+++ b/relay/scale_test.go
@@ -29,6 +29,7 @@
 	networkDelay     = 5 * time.Millisecond // delay of each read
 )
 
+// errUnavailable is the error of reads while the log service is down.
 var errUnavailable = errors.New("log service unavailable")
 
 // fakeLog simulates the log service. changed is closed and replaced at each append.
@@ -42,6 +43,7 @@
 	readsPerSecond  map[int64]int // by Unix second
 }
 
+// newFakeLog returns an empty log that is available.
 func newFakeLog() *fakeLog {
 	return &fakeLog{changed: make(chan struct{}), readsPerSecond: make(map[int64]int)}
 }
--- a/sidecar/claims.go
+++ b/sidecar/claims.go
@@ -32,7 +32,8 @@
 	httpserve.WriteJSON(w, http.StatusOK, claimed)
 }
 
-// claimKey grants the key to the attempt, or returns the reason why it must not run.
+// claimKey grants the idempotency key to an attempt to run its request, or returns the
+// reason why the attempt must not run.
 func (d *Daemon) claimKey(claim peer.Claim, now time.Time) peer.ClaimResult {
 	key := scopedKey(claim.Workspace, claim.Key)
 	if e, ok := d.keys.Lookup(key, now); ok && e.Status != dedup.Refused && e.Attempt != claim.Request {
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -274,19 +274,22 @@
 	}
 }
 
-// watchdog calls a function once limit has passed since its start or its last reset.
+// watchdog calls a function when limit has passed since newWatchdog or the last reset.
 type watchdog struct {
 	limit time.Duration
 	timer *time.Timer
 }
 
-// newWatchdog starts a watchdog that calls onTimeout.
+// newWatchdog starts a watchdog that calls onTimeout if it is not reset for limit.
 func newWatchdog(limit time.Duration, onTimeout func()) *watchdog {
 	return &watchdog{limit: limit, timer: time.AfterFunc(limit, onTimeout)}
 }
 
+// reset starts the limit anew.
 func (w *watchdog) reset() { w.timer.Reset(w.limit) }
-func (w *watchdog) stop()  { w.timer.Stop() }
+
+// stop ends the watchdog: it no longer calls its function.
+func (w *watchdog) stop() { w.timer.Stop() }
 
 // watchdogReader resets its watchdog at each read that returns bytes.
 type watchdogReader struct {
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -57,8 +57,8 @@
 	f.lastTick = now
 }
 
-// applyClaim records the result of a claim of the engine. Later orders must not have a
-// lower fence than the claim.
+// applyClaim records the result of a claim, by which this sidecar takes over the control
+// of the engine. Later orders to the engine must not have a lower fence than the claim.
 func (f *fencing) applyClaim(claim engine.Claim) {
 	f.epoch = claim.Epoch
 	f.highestFence = max(f.highestFence, claim.Fence)
--- a/sidecar/orders_test.go
+++ b/sidecar/orders_test.go
@@ -12,6 +12,7 @@
 	"github.com/mintlift/mintlift/engine"
 )
 
+// epoch is an arbitrary time at which the tests start.
 var epoch = time.Unix(1000, 0)
 
 // TestOlderFenceRejected guards against orders with a lower fence than an earlier order or
--- a/state/record.go
+++ b/state/record.go
@@ -77,7 +77,8 @@
 	Since int64 `json:"since"`
 }
 
-// HomesChanged is the body of KindHomesChanged, which adds and removes homes. A box
+// HomesChanged is the body of KindHomesChanged, which adds and removes homes: sidecar
+// processes that store what is known of idempotency keys. A box
 // has at most one home: adding another incarnation removes the previous one.
 type HomesChanged struct {
 	Add []Home `json:"add,omitempty"`
--- a/state/state.go
+++ b/state/state.go
@@ -360,7 +360,7 @@
 	return &p
 }
 
-// changeHomes adds and removes homes and records the change of each service. It is
+// changeHomes adds and removes homes of idempotency keys and stores the change for each service. It is
 // idempotent, since several gateways may write the same change.
 func (s *State) changeHomes(r eventlog.Record, b HomesChanged) {
 	changes := make(map[string]*HomeChange)
@@ -411,7 +411,8 @@
 	})
 }
 
-// HomesOf returns the homes of a service, sorted by box.
+// HomesOf returns the homes of a service's idempotency keys, sorted by box. A home is a
+// sidecar process that stores what is known of a key.
 func (s *State) HomesOf(service string) []Home {
 	var out []Home
 	for _, h := range s.Homes {
@@ -437,7 +438,7 @@
 	return out
 }
 
-// Desired returns the plans that a box must carry out, by descending fence. For each
+// Desired returns the plans that a box must execute, by descending fence. For each
 // model this is the plan in effect with the highest fence among those that have a step
 // for the box.
 func (s *State) Desired(box string) []*intent.Plan {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -19,6 +19,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
+// startTime is the time of the first record in tests.
 var startTime = time.UnixMilli(1_000_000)
 
 // newEntry returns an entry at offset 0 with a record of the given id and body.
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -96,6 +96,7 @@
 	ConfirmList(now time.Time)
 }
 
+// ingress.Server must implement Target.
 var _ Target = (*ingress.Server)(nil)
 
 // Follower receives the endpoint list from a reader gateway: one of the gateways of the
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -25,7 +25,7 @@
 // budget is the freshness budget in tests.
 var budget = freshness.New(2 * time.Second)
 
-// prompt is the maximum time of a response that must not wait for a change. It is less
+// prompt is the maximum duration of a response that must not wait for a change. It is less
 // than the wait of a long poll.
 const prompt = 700 * time.Millisecond
 
@@ -43,6 +43,7 @@
 	return server, strings.TrimPrefix(s.URL, "http://")
 }
 
+// records is an endpoint list with two services, for startGateway.
 var records = []fleet.Record{
 	{ID: "a", Service: "models & more", Address: "127.0.0.1:9", Zone: "a", Slots: 3, Models: map[string]int{"m": 2}},
 	{ID: "b", Service: "models & more", Address: "127.0.0.2:9", Zone: "b", Draining: true},
@@ -86,12 +87,14 @@
 	era       int64
 }
 
+// SetEndpoints implements Target.
 func (l *fakeTarget) SetEndpoints(records []fleet.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lists = append(l.lists, records)
 }
 
+// SetEra implements Target. It returns false for an era below the highest one set.
 func (l *fakeTarget) SetEra(era int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,6 +102,7 @@
 	return era == l.era
 }
 
+// ConfirmList implements Target.
 func (l *fakeTarget) ConfirmList(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/storerelay/readers.go
+++ b/storerelay/readers.go
@@ -17,6 +17,7 @@
 	"github.com/mintlift/mintlift/loadreport"
 )
 
+// Timing of queries to reader gateways.
 const (
 	// backoff is how long a gateway is not queried after a failure or stale data.
 	backoff = 2 * time.Second
@@ -49,10 +50,10 @@
 	}
 }
 
-// Add records the gateways that a sidecar reports as the region's readers. Sidecars
-// select them from the gateways that subscribe to them, so their reports can differ.
-// The readers are selected in the same way from all reported gateways; see
-// loadreport.SelectReaders.
+// Add adds the gateways with the given IP addresses, which a sidecar has reported as the
+// region's reader gateways: those that read the store for the others. Each sidecar selects
+// them from its own subscribers, so two sidecars can report different ones; candidates
+// makes the final selection from all gateways reported within readerTTL.
 func (r *Readers) Add(ips []string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,8 +62,9 @@
 	}
 }
 
-// candidates returns the reader gateways to query now, without those that are backed
-// off. It returns none if this gateway is a reader itself.
+// candidates selects the reader gateways from those that sidecars have reported recently,
+// by loadreport.SelectReaders. It returns them without those that are backed off, and
+// returns none if this gateway is a reader itself.
 func (r *Readers) candidates(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +83,7 @@
 	return slices.DeleteFunc(selected, func(ip string) bool { return now.Before(r.backoffUntil[ip]) })
 }
 
-// backOff excludes a gateway from candidates until a time.
+// backOff excludes the gateway with the address ip from candidates until the given time.
 func (r *Readers) backOff(ip string, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -17,6 +17,7 @@
 )
 
 // fakeRecordSource is a RecordSource whose records have the offsets 0, 1, 2 and so on.
+// Since returns confirmed, behind and changed in the fields of Records with these names.
 type fakeRecordSource struct {
 	mu        sync.Mutex
 	records   []Record
@@ -44,7 +45,8 @@
 	l.changed = make(chan struct{})
 }
 
-// confirm sets the time as of which the records are complete to now.
+// confirm simulates a read of the store that finds no new records: it sets
+// Records.Confirmed to the current time.
 func (l *fakeRecordSource) confirm() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,6 +68,8 @@
 // position returns the position at an offset of era 0.
 func position(offset int64) history.Position { return history.Position{Offset: offset} }
 
+// Since implements RecordSource. It returns the records from a position on, or all records
+// if the position is of another era.
 func (l *fakeRecordSource) Since(from history.Position) (Records, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/storewatch/follow_test.go
+++ b/storewatch/follow_test.go
@@ -23,8 +23,11 @@
 	othersLate bool
 }
 
+// OthersLate implements storewatch.Store.
 func (l *fakeStore) OthersLate(string, time.Time) bool { return l.othersLate }
-func (l *fakeStore) Era() int64                        { return 0 }
+
+// Era implements storewatch.Store.
+func (l *fakeStore) Era() int64 { return 0 }
 
 // Guards against changes that take effect too late after an outage: the retry delay and
 // the next read together must take less than the bound. That also holds if only one
--- a/storewatch/reader.go
+++ b/storewatch/reader.go
@@ -17,7 +17,7 @@
 	next    history.Position
 }
 
-// Reader returns a reader of s.
+// Reader returns a Reader of the topic s, which has not read anything yet.
 func (w *Watcher) Reader(s *Source) *Reader {
 	return &Reader{watcher: w, source: s, next: history.Unread}
 }
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -61,7 +61,8 @@
 	peerVersionSumAt time.Time
 }
 
-// peerVersionSumTTL is the age above which a reported version sum is ignored.
+// peerVersionSumTTL is the age above which a version sum reported for another process is
+// ignored; see Watcher.VersionSum.
 const peerVersionSumTTL = 4 * time.Second
 
 // versionedRecord is a record that the operator wrote.
