--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -27,8 +27,9 @@
 	"github.com/mintlift/mintlift/state"
 )
 
+// Timing of grants of idempotency keys.
 const (
-	// Lease is how long a home may grant keys after its last contact with the
+	// Lease is how long the home of a key may grant it after its last contact with the
 	// event log.
 	Lease = 20 * time.Second
 	// MaxClockSkew is the assumed bound on the difference between the clocks
@@ -58,9 +59,10 @@
 	return best, len(homes) > 0
 }
 
-// Verdict is the result of Admit.
+// Verdict is the result of Admit: whether a sidecar may grant a key, and if not, why.
 type Verdict int
 
+// Verdicts of Admit.
 const (
 	// Run means that the request may run: no other home can have granted the
 	// key.
--- a/dedup/dedup_test.go
+++ b/dedup/dedup_test.go
@@ -208,8 +208,9 @@
 	})
 }
 
-// TestHomeAddedAfterAllRemoved guards against treating a home that is added after
-// all homes were removed as the first home ever.
+// TestHomeAddedAfterAllRemoved guards against treating a home that is added after all
+// homes were removed as the first home ever, which has no predecessor that may have
+// granted a key.
 func TestHomeAddedAfterAllRemoved(t *testing.T) {
 	var log logModel
 	log.appendChange(epoch, state.HomesChanged{Add: []state.Home{home(1, 1)}})
@@ -241,6 +242,7 @@
 	assert.Equal(t, table.Begin("c", "1", epoch.Add(KeyTTL+time.Second)).Status, New)
 }
 
+// TestKeyTime checks that only UUIDv7 keys have a creation time.
 func TestKeyTime(t *testing.T) {
 	at, ok := KeyTime(keyAt(epoch, 1))
 	assert.Assert(t, ok)
--- a/dedup/table.go
+++ b/dedup/table.go
@@ -10,6 +10,7 @@
 // Status is the state of a key in a Table.
 type Status int
 
+// Statuses of a key.
 const (
 	// New means that Begin granted the key to the attempt; the table now holds
 	// it as Running.
@@ -25,6 +26,7 @@
 	Full
 )
 
+// Bounds of a Table's size.
 const (
 	// DefaultCapacity is the maximum number of keys in a table by default.
 	DefaultCapacity = 180000
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -117,6 +117,7 @@
 	Address string
 }
 
+// Limits of a Client.
 const (
 	// pageLimit is the maximum number of records that a read returns.
 	pageLimit = 500
--- a/gateway/cluster_tasks.go
+++ b/gateway/cluster_tasks.go
@@ -52,11 +52,10 @@
 	}
 }
 
-// recordHomes compares the homes in the log with the sidecars and writes the
-// changes to the log. It adds new incarnations of sidecars that are ready, and
-// removes the homes of boxes that are no longer in the box list. An unresponsive
-// box that is still listed keeps its home, because there may only be a network
-// partition.
+// recordHomes compares the homes of idempotency keys in the log with the sidecars and
+// writes the changes to the log. It adds new incarnations of sidecars that are ready, and
+// removes the homes of boxes that are no longer in the box list. An unresponsive box that
+// is still listed keeps its home, because there may only be a network partition.
 func (d *Daemon) recordHomes(ctx context.Context) {
 	listed, _ := d.endpoints()
 	if len(listed) == 0 {
@@ -95,9 +94,9 @@
 	return slices.DeleteFunc(add, func(h state.Home) bool { return missing[h.Service] > 0 && !timedOut })
 }
 
-// homeChanges compares the recorded homes, by box, with the statuses of the listed
-// boxes, and returns the homes to add and to remove. It fetches the status of boxes for
-// which there is neither a status nor a recorded home.
+// homeChanges compares the recorded homes of idempotency keys, by box, with the statuses
+// of the listed boxes, and returns the homes to add and to remove. It fetches the status
+// of boxes for which there is neither a status nor a recorded home.
 func (d *Daemon) homeChanges(ctx context.Context, listed []membership.Box, recorded map[string]state.Home) state.HomesChanged {
 	var change state.HomesChanged
 	present := make(map[string]bool, len(listed))
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -91,8 +91,8 @@
 	return state.Home{}, peer.ClaimResult{}, fail
 }
 
-// homeOf returns a key's home according to this gateway's replica, and the
-// replica's offset.
+// homeOf returns the home of the request's key, the sidecar process that stores what is
+// known of it, according to this gateway's replica, and the replica's offset.
 func (d *Daemon) homeOf(q *request) (home state.Home, offset int64, ok bool) {
 	d.Replica.View(func(s *state.State) {
 		offset = s.Offset
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -86,6 +86,7 @@
 // log.
 type Status string
 
+// Statuses of a plan.
 const (
 	// Proposed is the initial status; only a proposed plan can be confirmed.
 	Proposed  Status = "proposed"
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -77,6 +77,8 @@
 	assert.Equal(t, fastest.Base, int64(7))
 }
 
+// TestOneRegionReadsFromTheOrigin checks that the other regions read their first copy of
+// the weights from the region that reads it from the origin.
 func TestOneRegionReadsFromTheOrigin(t *testing.T) {
 	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), testSnapshot(4, 0, 0))
 	assert.NilError(t, err)
@@ -90,6 +92,7 @@
 	}
 }
 
+// TestReplicasSpreadOverZones guards against putting most replicas in one zone.
 func TestReplicasSpreadOverZones(t *testing.T) {
 	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}, Replicas: 4}, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
@@ -160,6 +163,8 @@
 	assert.Assert(t, !NextWaveKeepsFloor(p, snap.Boxes[3:], snap.Workspaces), "3 boxes are available, 2 would stop, floor 2")
 }
 
+// TestInvalidIntents checks the errors for invalid intents, and for valid ones that the
+// cluster cannot satisfy.
 func TestInvalidIntents(t *testing.T) {
 	for name, in := range map[string]Intent{
 		"no version":   {Workspaces: []string{"a"}},
--- a/loadreport/gateways.go
+++ b/loadreport/gateways.go
@@ -29,8 +29,8 @@
 	return gateways[:min(ReadersPerRegion, len(gateways))]
 }
 
-// readersLocked returns the IP addresses of the reader gateways among the region's
-// current subscribers. Publisher.mu must be held.
+// readersLocked returns the IP addresses of the reader gateways, which read the store for
+// the others, among the region's current subscribers. Publisher.mu must be held.
 func (p *Publisher) readersLocked(region string) []string {
 	local, _ := p.gatewaysLocked(region, clock.Now())
 	return SelectReaders(local)
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -28,6 +28,7 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
+// Timing of subscriptions and reports, and the size of datagrams.
 const (
 	// SubscribeInterval is the time between two subscriptions of a gateway.
 	SubscribeInterval = 500 * time.Millisecond
--- a/loadreport/publisher.go
+++ b/loadreport/publisher.go
@@ -89,13 +89,14 @@
 	}
 }
 
-// minSuspectInterval is the minimum time between two rounds in which suspects are sent
-// to all subscribers. Later changes are sent with the responses to subscriptions.
+// minSuspectInterval is the minimum time between two rounds in which the suspects, the
+// requests during which endpoints crashed, are sent to all subscribers. Later changes are
+// sent with the responses to subscriptions.
 const minSuspectInterval = 50 * time.Millisecond
 
-// sendSuspects sends the suspects to all subscribers at once, unless it did so less than
-// minSuspectInterval ago. If they were sent only in responses to subscriptions, a
-// suspect request could crash further endpoints before they arrive.
+// sendSuspects sends the suspect requests to all subscribers at once, unless it did so
+// less than minSuspectInterval ago. If they were sent only in responses to subscriptions,
+// a suspect request could crash further endpoints before they arrive.
 func (p *Publisher) sendSuspects(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/loadreport/subscriber.go
+++ b/loadreport/subscriber.go
@@ -24,7 +24,8 @@
 	started time.Time
 }
 
-// stamp returns the time since the subscriber started, in microseconds.
+// stamp returns the time since the subscriber started, in microseconds. Sidecars return
+// it in their responses, which gives the round-trip time.
 func (s *Subscriber) stamp() int64 { return clock.Since(s.started).Microseconds() }
 
 // Echo is a sidecar's response to a subscription, beside its report.
--- a/loadreport/suspects_test.go
+++ b/loadreport/suspects_test.go
@@ -17,8 +17,8 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// newSuspectTable returns a table with one request that has crashed enough endpoints to
-// be quarantined, and the request's ID.
+// newSuspectTable returns a table with one suspect: a request that has crashed enough
+// endpoints to be quarantined, and the request's ID.
 func newSuspectTable(now time.Time) (*quarantine.Table, quarantine.ID) {
 	table := quarantine.New()
 	id := quarantine.Identify(quarantine.Request{Target: "/x"})
@@ -29,8 +29,9 @@
 	return table, id
 }
 
-// A sidecar sends the suspects that one gateway reports to all its subscribers: to
-// current ones at once, and to a new one in the first response.
+// A sidecar sends the suspects (requests during which endpoints crashed) that one gateway
+// reports to all its subscribers: to current ones at once, and to a new one in the first
+// response.
 func TestSuspectsReachAllSubscribers(t *testing.T) {
 	publisher, reporting := newPair(t, func(Notice) {})
 	publisher.Publish(fleet.Report{Address: "a:1"}, false, time.Now())
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -94,7 +94,8 @@
 	d.stale = true
 }
 
-// isStale reports whether a refresh is due soon.
+// isStale reports whether the box list should be read again soon, before the next regular
+// refresh.
 func (d *Directory) isStale() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,8 +122,8 @@
 	return slices.Clone(d.boxes), d.contentTag
 }
 
-// nextRefreshDelay returns the time until the next refresh and clears the stale
-// mark.
+// nextRefreshDelay returns how long to wait before the next refresh. It also resets the
+// flag that marks the box list as stale.
 func (d *Directory) nextRefreshDelay() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -285,10 +285,11 @@
 	return &watchdog{limit: limit, timer: time.AfterFunc(limit, onTimeout)}
 }
 
-// reset starts the limit anew.
+// reset postpones the call of the function to the time at which limit will have passed
+// from now.
 func (w *watchdog) reset() { w.timer.Reset(w.limit) }
 
-// stop ends the watchdog: it no longer calls its function.
+// stop stops the timer. A call of the function that has begun already continues.
 func (w *watchdog) stop() { w.timer.Stop() }
 
 // watchdogReader resets its watchdog at each read that returns bytes.
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -28,7 +28,9 @@
 	errPaused = errors.ConstError("process was paused and has not heard the log since")
 )
 
+// Timing of orders to the engine and of the detection of pauses.
 const (
+	// tickInterval is the time between two calls of fencing.recordTick.
 	tickInterval = 100 * time.Millisecond
 	// pauseThreshold is the time between two ticks above which the process is assumed
 	// to have been paused meanwhile.
@@ -78,8 +80,9 @@
 	return nil
 }
 
-// orders holds the state of the claim of the engine and of the orders to it. mu is held
-// while an order is sent, so that only one order is in flight.
+// orders holds the state of the claim of the engine, by which this sidecar takes control
+// of it, and of the orders to load and unload versions. mu is held
+// while such an order is sent, so that only one is in flight.
 type orders struct {
 	mu      sync.Mutex
 	fencing fencing
@@ -99,8 +102,9 @@
 	}
 }
 
-// replaced reports whether the last change of this incarnation's home in the event log
-// removed it. It returns false if the incarnation was never added.
+// replaced reports whether the event log has removed this incarnation of the sidecar,
+// without adding it again, from the homes, the processes that store what is known of
+// idempotency keys. It returns false if the incarnation was never added.
 func (d *Daemon) replaced() bool {
 	removed := false
 	d.Replica.View(func(s *state.State) {
--- a/state/follower.go
+++ b/state/follower.go
@@ -38,13 +38,16 @@
 // Failed implements Sources.
 func (o SingleSource) Failed(Source) {}
 
+// Timing of a Follower's reads.
 const (
 	// longPollWait is how long a read waits for a record before the log responds
 	// with an empty page.
 	longPollWait = 3 * time.Second
-	readTimeout  = longPollWait + 1500*time.Millisecond
-	backoffMin   = 100 * time.Millisecond
-	backoffMax   = time.Second
+	// readTimeout bounds a read, including its wait.
+	readTimeout = longPollWait + 1500*time.Millisecond
+	// backoffMin and backoffMax bound the delay before a failed read is retried.
+	backoffMin = 100 * time.Millisecond
+	backoffMax = time.Second
 	// maxRelayAge is the maximum age of the data that a relay serves. If they are older,
 	// another source is tried.
 	maxRelayAge = 6 * time.Second
--- a/state/state.go
+++ b/state/state.go
@@ -18,6 +18,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
+// Bounds of what a State retains.
 const (
 	// maxRecentIDs is the number of record ids retained to detect duplicate records.
 	// It must exceed the number of records that other writers append while one writer
@@ -360,8 +361,8 @@
 	return &p
 }
 
-// changeHomes adds and removes homes of idempotency keys and stores the change for each service. It is
-// idempotent, since several gateways may write the same change.
+// changeHomes adds and removes homes of idempotency keys and stores the change for each
+// service. It is idempotent, since several gateways may write the same change.
 func (s *State) changeHomes(r eventlog.Record, b HomesChanged) {
 	changes := make(map[string]*HomeChange)
 	changeOf := func(service string) *HomeChange {
@@ -396,15 +397,15 @@
 	s.pruneChanges(r.At)
 }
 
-// noRecentHomes reports whether the service has no home and had none within
-// changeRetention. No sidecar can then hold keys of the service.
+// noRecentHomes reports whether the service has no home of idempotency keys and had none
+// within changeRetention. No sidecar can then hold keys of the service.
 func (s *State) noRecentHomes(service string) bool {
 	return len(s.HomesOf(service)) == 0 && !slices.ContainsFunc(s.HomeChanges, func(c HomeChange) bool { return c.Service == service })
 }
 
-// pruneChanges removes the changes of homes that are older than changeRetention. now is
-// the time of the applied record in Unix milliseconds; with the local clock instead,
-// replicas would differ.
+// pruneChanges removes the recorded changes of homes (see HomeChange) that are older than
+// changeRetention. now is the time of the applied record in Unix milliseconds; with the
+// local clock instead, replicas would differ.
 func (s *State) pruneChanges(now int64) {
 	s.HomeChanges = slices.DeleteFunc(slices.Clone(s.HomeChanges), func(c HomeChange) bool {
 		return now-c.At > changeRetention.Milliseconds()
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -92,6 +92,7 @@
 	r.View(func(s *State) { assert.Equal(t, s.Plans["1"].Status, intent.Conflicted) })
 }
 
+// TestExpiredPlanIsNotConfirmed guards against confirming a plan after its ExpiresAt.
 func TestExpiredPlanIsNotConfirmed(t *testing.T) {
 	r := NewReplica()
 	assert.NilError(t, r.Apply(setOffsets([]eventlog.Entry{
--- a/storerelay/records.go
+++ b/storerelay/records.go
@@ -16,7 +16,7 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Record is the newest operator's record of a key; see storewatch.Record.
+// Record is the operator's newest record of a key; see storewatch.Record.
 type Record struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value"`
@@ -40,7 +40,7 @@
 	Changed <-chan struct{}
 }
 
-// RecordSource is a gateway that holds the operator's records.
+// RecordSource provides the operator's records that a gateway holds.
 type RecordSource interface {
 	// Since returns the records from a position on, or false before the first read.
 	Since(from history.Position) (Records, bool)
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -191,7 +191,7 @@
 	return true
 }
 
-// Since returns the newest operator's record of each key from a position on, sorted by
+// Since returns the operator's newest record of each key from a position on, sorted by
 // offset. It also returns the progress, and a channel that is closed when the progress
 // advances. For an unknown position or one of another era it returns all records.
 // Records that were read in an earlier era have the offset -1. Since returns false
