--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -56,9 +56,9 @@
 	return fail
 }
 
-// claimKey requests a grant for the key from its home. It retries, with the same
-// request ID, if no response arrives or if the sidecar is not the key's home. The
-// result may be a denial. The failure is not nil if there is no result.
+// claimKey requests a grant for the key, permission to run its request, from its home. It
+// retries, with the same request ID, if no response arrives or if the sidecar is not the
+// key's home. The result may be a denial. The failure is not nil if there is no result.
 func (d *Daemon) claimKey(q *request) (state.Home, peer.ClaimResult, *failure) {
 	var lastError string
 	for attempt := range maxClaimAttempts {
--- a/loadreport/demand.go
+++ b/loadreport/demand.go
@@ -13,7 +13,7 @@
 	"github.com/mintlift/mintlift/fleet"
 )
 
-// subscriber is a gateway with a subscription.
+// subscriber is a gateway that subscribes to the reports of this sidecar.
 type subscriber struct {
 	subscribedAt time.Time
 	region       string
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -66,8 +66,9 @@
 	f.highestFence = max(f.highestFence, claim.Fence)
 }
 
-// check returns an error if an order with the given fence must not be sent, and records
-// the fence otherwise. contact is the time of the last contact with the event log.
+// check returns an error if an order with the given fence must not be sent: a log offset
+// that must not be lower than in earlier orders. Otherwise check stores the fence.
+// contact is the time of the last contact with the event log.
 func (f *fencing) check(fence int64, contact, now time.Time) error {
 	f.recordTick(now)
 	if !f.resumedAt.IsZero() && !contact.After(f.resumedAt) {
@@ -124,10 +125,11 @@
 	return removed
 }
 
-// sendOrder sends one order for the version ref by calling send. It sends none and returns
-// errStaleFence if wanted returns false for the current state. The order's fence is the
-// offset of that state. sendOrder claims the engine first if necessary. Further errors are
-// errReplaced, errPaused, and those of the claim and of send.
+// sendOrder makes the engine load or unload the version ref, by calling send with an
+// order. It does not call send and returns errStaleFence if wanted returns false for the
+// current state. The order's fence is the offset of that state. sendOrder claims the
+// engine first if necessary. Further errors are errReplaced, errPaused, and those of the
+// claim and of send.
 func (d *Daemon) sendOrder(ctx context.Context, ref weights.Ref, wanted func(*state.State) bool, send func(context.Context, engine.Order) error) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/sidecar/orders_test.go
+++ b/sidecar/orders_test.go
@@ -15,8 +15,8 @@
 // epoch is an arbitrary time at which the tests start.
 var epoch = time.Unix(1000, 0)
 
-// TestOlderFenceRejected guards against orders with a lower fence than an earlier order or
-// than the claim of the engine.
+// TestOlderFenceRejected guards against sending the engine an outdated order: one with a
+// lower fence than an earlier order, or than the highest that the engine has received.
 func TestOlderFenceRejected(t *testing.T) {
 	var f fencing
 	f.applyClaim(engine.Claim{Epoch: 3, Fence: 10})
--- a/sidecar/requests.go
+++ b/sidecar/requests.go
@@ -54,8 +54,8 @@
 }
 
 // handleRun serves a caller's request that a gateway forwards. A non-idempotent request
-// has an idempotency key in a header. If the key is the caller's, its home has granted it
-// before.
+// has an idempotency key in a header. If the caller chose the key, the key's home, the
+// sidecar process that stores what is known of it, has granted it before.
 func (d *Daemon) handleRun(w http.ResponseWriter, r *http.Request) {
 	d.Requests.Enter()
 	defer d.Requests.Leave()
--- a/sidecar/signals.go
+++ b/sidecar/signals.go
@@ -37,8 +37,8 @@
 	return s
 }
 
-// reset discards the signals of the previous incarnation of the endpoint. The caller
-// holds mu, or no other goroutine has access yet.
+// reset sets the state of an endpoint whose current process has sent no signals yet. The
+// caller holds mu, or no other goroutine has access yet.
 func (s *endpointState) reset() {
 	s.state = backpressure.NewTable().State("endpoint", 0)
 	s.state.SetNoAllocator(clock.Now()) // no permit allocator: this sidecar is the only sender
--- a/state/replica.go
+++ b/state/replica.go
@@ -66,8 +66,8 @@
 	return r.state.Offset
 }
 
-// MatchesEra reports whether era is the era of the applied records. A replica at
-// offset 0 adopts the given era.
+// MatchesEra reports whether era is the era of the applied records. The log's era changes
+// when the log is restored from an older copy. A replica at offset 0 adopts the given era.
 func (r *Replica) MatchesEra(era int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/state/state.go
+++ b/state/state.go
@@ -301,7 +301,7 @@
 }
 
 // cancelPlan cancels a confirmed plan. If the plan had superseded others, the newest of
-// those is confirmed again with a new fence.
+// those is confirmed again with a new fence, the offset of the record r.
 func (s *State) cancelPlan(r eventlog.Record, id string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != intent.Confirmed {
@@ -426,7 +426,8 @@
 }
 
 // Route returns the plans in effect that provide a model to a workspace, by descending
-// fence. Requests go to the version of the first plan that has replicas.
+// fence: the most recently confirmed one first. Requests go to the version of the first
+// plan that has replicas.
 func (s *State) Route(workspace, model string) []*intent.Plan {
 	var out []*intent.Plan
 	for _, id := range s.PlanOrder {
@@ -440,8 +441,8 @@
 }
 
 // Desired returns the plans that a box must execute, by descending fence. For each
-// model this is the plan in effect with the highest fence among those that have a step
-// for the box.
+// model this is the plan in effect that was confirmed most recently, and so has the
+// highest fence, among those that have a step for the box.
 func (s *State) Desired(box string) []*intent.Plan {
 	byModel := make(map[string]*intent.Plan)
 	for _, id := range s.PlanOrder {
@@ -473,7 +474,8 @@
 	return out
 }
 
-// HighestFence returns the highest fence of all plans.
+// HighestFence returns the highest fence of all plans. A plan's fence is the offset of the
+// record that confirmed it; see intent.Plan.
 func (s *State) HighestFence() int64 {
 	var f int64
 	for _, p := range s.Plans {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -238,7 +238,7 @@
 }
 
 // TestDesiredFenceDecreasesOnlyOnCancel guards against a box that returns to an older
-// plan for any other reason than a cancelled plan.
+// plan, one with a lower fence, for any other reason than a cancelled plan.
 func TestDesiredFenceDecreasesOnlyOnCancel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -140,8 +140,8 @@
 
 // fetch requests the list from the gateway with the address ip, which may hold the
 // request for the duration wait, and passes the list to the target. If the gateway does
-// not respond, or if its list is stale or of an earlier era, fetch backs off from the
-// gateway and returns false.
+// not respond, or if its list is stale or from before the last restore of the store,
+// fetch backs off from the gateway and returns false.
 func (f *Follower) fetch(ctx context.Context, ip string, wait time.Duration) bool {
 	var got listResponse
 	if !f.readers.fetch(ctx, ip, pathList, url.Values{"had": {f.state}}, wait, f.budget.RelayTimeout(), &got) {
--- a/storerelay/list_test.go
+++ b/storerelay/list_test.go
@@ -123,7 +123,7 @@
 }
 
 // A follower receives a change as soon as the reader gateway has it. It does not receive
-// the list again while that is unchanged.
+// the list again while the list is unchanged.
 func TestFollowerReceivesChangesPromptly(t *testing.T) {
 	reader, address := startGateway(t, records)
 	var list fakeTarget
@@ -266,7 +266,8 @@
 	assert.Assert(t, clock.Since(follower.confirmed) >= budget.Bound())
 }
 
-// A follower rejects a list of an earlier era, even if it was confirmed recently.
+// A follower rejects a list of an earlier era, from before the store was restored from an
+// older copy, even if the list was confirmed recently.
 func TestListOfEarlierEraIsRejected(t *testing.T) {
 	reader, address := startGateway(t, records)
 	var list fakeTarget
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -65,7 +65,8 @@
 	l.changed = make(chan struct{})
 }
 
-// position returns the position at an offset of era 0.
+// position returns the position at an offset of era 0, the initial era of a
+// fakeRecordSource.
 func position(offset int64) history.Position { return history.Position{Offset: offset} }
 
 // Since implements RecordSource. It returns the records from a position on, or all records
@@ -152,9 +153,10 @@
 	assert.Assert(t, time.Since(began) < 100*time.Millisecond, "records that are stale already are not requested")
 }
 
-// Guards against comparing offsets of different eras. A follower receives all records
-// of a gateway in a later era although their offsets are lower. It rejects records of a
-// gateway in an earlier era although their offsets are higher.
+// Guards against comparing offsets of different eras; an era begins when the store is
+// restored from an older copy. A follower receives all records of a gateway in a later
+// era although their offsets are lower. It rejects records of a gateway in an earlier era
+// although their offsets are higher.
 func TestRecordFollowerInAnotherEra(t *testing.T) {
 	l := newFakeRecordSource("config", "version", "config")
 	f := newTestRecordFollower(t, l)
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -37,8 +37,8 @@
 	OnSnapshot func(records []Record, era int64)
 	// OnRecord receives each later record.
 	OnRecord func(Record)
-	// Wake makes a hedged read at once for each value. It is set for the operator's
-	// topic and nil for others.
+	// Wake requests, with each value, a hedged read at once: a second one beside the
+	// read in flight. It is set for the operator's topic and nil for others.
 	Wake <-chan struct{}
 	// FromRelay, if not nil, is called before each read with the next position. It
 	// returns true and the position to continue from if another process has
--- a/storewatch/read.go
+++ b/storewatch/read.go
@@ -45,7 +45,8 @@
 
 // step reads a topic once, from the position next on. If that position is unknown, it
 // reads the newest records of the topic instead. It applies the records and returns the
-// position to read from next. It returns ErrNewEra if next is of an earlier era.
+// position to read from next. It returns ErrNewEra if next is from before the store was
+// restored from an older copy.
 func (w *Watcher) step(ctx context.Context, s *Source, next history.Position) (history.Position, error) {
 	if next.Known() && next.Era < w.store.Era() {
 		return next, ErrNewEra
--- a/storewatch/relay.go
+++ b/storewatch/relay.go
@@ -10,8 +10,8 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// RelayedRecords are operator's records received from another process, which has read
-// them from the store.
+// RelayedRecords are records of the operator that were received from another process,
+// which holds them, instead of from the store.
 type RelayedRecords struct {
 	Records []Record
 	// Next is Progress.Read of the other process: the position to read from next.
@@ -20,10 +20,11 @@
 	Confirmed time.Time
 }
 
-// Relay requests the operator's records from a position on from another process. If
-// the position is of another era than that process's, it gets all records. age is the
-// age of the records held here; it limits how long the other process may wait for new
-// ones. Relay returns nil if the store must be read instead.
+// Relay requests the operator's records from a position on from another process. If the
+// position is of another era than that process's, because the store was restored from an
+// older copy in between, it gets all records. age is the age of the records held here; it
+// limits how long the other process may wait for new ones. Relay returns nil if the store
+// must be read instead.
 type Relay func(ctx context.Context, from history.Position, age time.Duration) *RelayedRecords
 
 // ReadRelayed applies the operator's records obtained through relay, and returns the
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -141,8 +141,9 @@
 	return sum
 }
 
-// ObserveVersionSum records the highest version sum reported for other processes. It
-// returns true if that sum is higher than VersionSum, and false before the first read.
+// ObserveVersionSum stores the highest version sum reported for other processes: the sum
+// of the versions of all operator's records that one of them holds. It returns true if
+// that sum is higher than VersionSum, and false before the first read.
 func (w *Watcher) ObserveVersionSum(sum int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,8 +151,9 @@
 	return w.read.Known() && w.incompleteLocked()
 }
 
-// advance records a successful read of the operator's topic. next is the position to
-// read from next, and confirmed the time at which there were no records beyond it.
+// advance updates the progress after a successful read of the operator's topic. next is
+// the position to read from next, and confirmed the time at which there were no records
+// beyond it.
 func (w *Watcher) advance(next history.Position, confirmed time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -177,9 +179,10 @@
 	}
 }
 
-// Keep stores an operator's record of the store's current era, for Since to return. If
-// a record with a higher version is held for the key, Keep leaves it in place and
-// returns false. That happens after the store was restored from an older copy.
+// Keep stores a record of the operator, for Since to return. The record must be of the
+// store's current era: read since the store was last restored from an older copy. If a
+// record with a higher version is held for the key, as may be the case after such a
+// restore, Keep leaves it in place and returns false.
 func (w *Watcher) Keep(r Record, version int64) bool {
 	era := w.store.Era()
 	w.mu.Lock()
