--- a/state/state.go
+++ b/state/state.go
@@ -18,6 +18,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
+// Bounds of what a State retains.
 const (
 	// maxRecentIDs is the number of record ids retained to detect duplicate records.
 	// It must exceed the number of records that other writers append while one writer
@@ -300,7 +301,7 @@
 }
 
 // cancelPlan cancels a confirmed plan. If the plan had superseded others, the newest of
-// those is confirmed again with a new fence.
+// those is confirmed again with a new fence, the offset of the record r.
 func (s *State) cancelPlan(r eventlog.Record, id string) {
 	p, ok := s.Plans[id]
 	if !ok || p.Status != intent.Confirmed {
@@ -360,8 +361,8 @@
 	return &p
 }
 
-// changeHomes adds and removes homes and records the change of each service. It is
-// idempotent, since several gateways may write the same change.
+// changeHomes adds and removes homes of idempotency keys and stores the change for each
+// service. It is idempotent, since several gateways may write the same change.
 func (s *State) changeHomes(r eventlog.Record, b HomesChanged) {
 	changes := make(map[string]*HomeChange)
 	changeOf := func(service string) *HomeChange {
@@ -396,22 +397,23 @@
 	s.pruneChanges(r.At)
 }
 
-// noRecentHomes reports whether the service has no home and had none within
-// changeRetention. No sidecar can then hold keys of the service.
+// noRecentHomes reports whether the service has no home of idempotency keys and had none
+// within changeRetention. No sidecar can then hold keys of the service.
 func (s *State) noRecentHomes(service string) bool {
 	return len(s.HomesOf(service)) == 0 && !slices.ContainsFunc(s.HomeChanges, func(c HomeChange) bool { return c.Service == service })
 }
 
-// pruneChanges removes the changes of homes that are older than changeRetention. now is
-// the time of the applied record in Unix milliseconds; with the local clock instead,
-// replicas would differ.
+// pruneChanges removes the recorded changes of homes (see HomeChange) that are older than
+// changeRetention. now is the time of the applied record in Unix milliseconds; with the
+// local clock instead, replicas would differ.
 func (s *State) pruneChanges(now int64) {
 	s.HomeChanges = slices.DeleteFunc(slices.Clone(s.HomeChanges), func(c HomeChange) bool {
 		return now-c.At > changeRetention.Milliseconds()
 	})
 }
 
-// HomesOf returns the homes of a service, sorted by box.
+// HomesOf returns the homes of a service's idempotency keys, sorted by box. A home is a
+// sidecar process that stores what is known of a key.
 func (s *State) HomesOf(service string) []Home {
 	var out []Home
 	for _, h := range s.Homes {
@@ -424,7 +426,8 @@
 }
 
 // Route returns the plans in effect that provide a model to a workspace, by descending
-// fence. Requests go to the version of the first plan that has replicas.
+// fence: the most recently confirmed one first. Requests go to the version of the first
+// plan that has replicas.
 func (s *State) Route(workspace, model string) []*intent.Plan {
 	var out []*intent.Plan
 	for _, id := range s.PlanOrder {
@@ -437,9 +440,9 @@
 	return out
 }
 
-// Desired returns the plans that a box must carry out, by descending fence. For each
-// model this is the plan in effect with the highest fence among those that have a step
-// for the box.
+// Desired returns the plans that a box must execute, by descending fence. For each
+// model this is the plan in effect that was confirmed most recently, and so has the
+// highest fence, among those that have a step for the box.
 func (s *State) Desired(box string) []*intent.Plan {
 	byModel := make(map[string]*intent.Plan)
 	for _, id := range s.PlanOrder {
@@ -471,7 +474,8 @@
 	return out
 }
 
-// HighestFence returns the highest fence of all plans.
+// HighestFence returns the highest fence of all plans. A plan's fence is the offset of the
+// record that confirmed it; see intent.Plan.
 func (s *State) HighestFence() int64 {
 	var f int64
 	for _, p := range s.Plans {
--- a/storewatch/watch.go
+++ b/storewatch/watch.go
@@ -61,7 +61,8 @@
 	peerVersionSumAt time.Time
 }
 
-// peerVersionSumTTL is the age above which a reported version sum is ignored.
+// peerVersionSumTTL is the age above which a version sum reported for another process is
+// ignored; see Watcher.VersionSum.
 const peerVersionSumTTL = 4 * time.Second
 
 // versionedRecord is a record that the operator wrote.
@@ -140,8 +141,9 @@
 	return sum
 }
 
-// ObserveVersionSum records the highest version sum reported for other processes. It
-// returns true if that sum is higher than VersionSum, and false before the first read.
+// ObserveVersionSum stores the highest version sum reported for other processes: the sum
+// of the versions of all operator's records that one of them holds. It returns true if
+// that sum is higher than VersionSum, and false before the first read.
 func (w *Watcher) ObserveVersionSum(sum int64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,8 +151,9 @@
 	return w.read.Known() && w.incompleteLocked()
 }
 
-// advance records a successful read of the operator's topic. next is the position to
-// read from next, and confirmed the time at which there were no records beyond it.
+// advance updates the progress after a successful read of the operator's topic. next is
+// the position to read from next, and confirmed the time at which there were no records
+// beyond it.
 func (w *Watcher) advance(next history.Position, confirmed time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,9 +179,10 @@
 	}
 }
 
-// Keep stores an operator's record of the store's current era, for Since to return. If
-// a record with a higher version is held for the key, Keep leaves it in place and
-// returns false. That happens after the store was restored from an older copy.
+// Keep stores a record of the operator, for Since to return. The record must be of the
+// store's current era: read since the store was last restored from an older copy. If a
+// record with a higher version is held for the key, as may be the case after such a
+// restore, Keep leaves it in place and returns false.
 func (w *Watcher) Keep(r Record, version int64) bool {
 	era := w.store.Era()
 	w.mu.Lock()
@@ -190,7 +194,7 @@
 	return true
 }
 
-// Since returns the newest operator's record of each key from a position on, sorted by
+// Since returns the operator's newest record of each key from a position on, sorted by
 // offset. It also returns the progress, and a channel that is closed when the progress
 // advances. For an unknown position or one of another era it returns all records.
 // Records that were read in an earlier era have the offset -1. Since returns false
