--- a/backpressure/decode.go
+++ b/backpressure/decode.go
@@ -21,6 +21,7 @@
 }
 
 const (
+	// drainingValue is the value of the Draining header of an endpoint that is draining.
 	drainingValue = "1"
 	// maxInvalidValue bounds the bytes of an invalid value that are kept for logging.
 	maxInvalidValue = 40
--- a/backpressure/permit.go
+++ b/backpressure/permit.go
@@ -37,9 +37,10 @@
 	// gateways together. A lower limit is treated as minRate, because the end of a
 	// limit is seen only in responses and a limit of 0 would stop all requests.
 	minRate = 0.25
-	// slotWindow is the length of a slot if there are more than burstGateways
-	// gateways. It keeps many gateways from using late slots at the same time. With
-	// fewer gateways a slot lasts until the next one starts.
+	// slotWindow is the length of a slot, the period in which a gateway without an
+	// allocator may send one request, if there are more than burstGateways gateways.
+	// Otherwise a slot lasts until the next one starts. Then gateways that were idle
+	// may all have an unused slot and send a burst, which only a few gateways may do.
 	slotWindow    = 300 * time.Millisecond
 	burstGateways = 5
 	// fallbackShare is the fraction of a limit that gateways divide among themselves
--- a/backpressure/quota_test.go
+++ b/backpressure/quota_test.go
@@ -56,7 +56,9 @@
 	stopped, suspended bool
 }
 
+// Times of a simulation. Those that are points in time count from its start.
 const (
+	// step is the time between two steps of the simulation.
 	step = 5 * time.Millisecond
 	// settleTime is the time after the start from which the limit must be kept.
 	settleTime = 3 * time.Second
@@ -90,14 +92,15 @@
 	records   []Record
 	responses []time.Time
 	// share is this gateway's share of the demand, and recent is its decaying number
-	// of requests. slot is when it may send again. Only sharesByDemand uses them.
+	// of requests. slot is the start of the next period in which it may send a request.
+	// Only sharesByDemand uses them.
 	share, recent float64
 	slot          time.Time
 	// limitedAt is when the first response with the limit was received.
 	limitedAt time.Time
 }
 
-// outcome is the outcome of a simulation.
+// outcome is what a simulation measures.
 type outcome struct {
 	// sent holds the send times of all requests. counted holds those that must keep
 	// the limit, since their gateways have had it for graceTime.
--- a/backpressure/record.go
+++ b/backpressure/record.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Record is the state of an endpoint as sent between processes. Times are sent as
-// ages, so the clocks of the processes need not agree.
+// Record is the message in which a process tells others the rate limit of an endpoint
+// and whether the endpoint is draining. The limit's age is sent instead of its time, so
+// the clocks of the processes need not agree.
 type Record struct {
 	ID string `json:"i"`
 	// StartedMS is when the incarnation started, in Unix milliseconds; 0 if unknown.
@@ -22,6 +23,7 @@
 	LimitAgeMS int64 `json:"a"`
 }
 
+// Parameters of the exchange of records between processes.
 const (
 	// mergeMargin applies to a looser limit from another process: it replaces the
 	// limit in force only if it is newer by more than mergeMargin. Network delay makes
@@ -34,7 +36,7 @@
 	recordWindow = 10 * time.Second
 )
 
-// record returns the state to send to other processes.
+// record returns the endpoint's signals as a message to other processes.
 func (s *State) record(now time.Time) Record {
 	r := Record{ID: s.id, StartedMS: s.startedMS, Draining: s.draining, Limited: s.limit.Set, Rate: s.limit.Rate, LimitAgeMS: -1}
 	if !s.limitAt.IsZero() {
@@ -43,7 +45,8 @@
 	return r
 }
 
-// Merge merges a record of another process and returns the changes. A record of an
+// Merge applies a record that another process sent to the state of its endpoint, and
+// returns the resulting changes. A record of an
 // earlier incarnation of the endpoint is ignored.
 func (t *Table) Merge(r Record, now time.Time) []Change {
 	s := t.State(r.ID, r.StartedMS)
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -55,7 +55,7 @@
 	// notify reports that a new limit, its end or draining must be sent to other
 	// gateways.
 	notify bool
-	// invalidSeen holds the headers of which an invalid value has been reported.
+	// invalidSeen holds the names of headers whose invalid values have been reported.
 	invalidSeen map[string]bool
 }
 
@@ -93,7 +93,7 @@
 	Value string
 }
 
-// Kind is the kind of a Change.
+// Kind tells which signal of an endpoint a Change is about.
 type Kind int
 
 // The kinds of changes.
@@ -110,6 +110,7 @@
 	return [...]string{"limit", "limit ended", "draining", "backoff", "backoff ended", "unreadable"}[k]
 }
 
+// Parameters of backoffs, in which an endpoint asks for no requests.
 const (
 	// maxBackoff bounds the backoff of one response, so that a wrong value does not
 	// exclude an endpoint for the rest of its incarnation.
@@ -309,6 +310,7 @@
 	return changes
 }
 
+// Limits on the states of endpoints that are missing from the endpoint list; see Evict.
 const (
 	// unlistedTTL is how long the state of an endpoint is kept after the endpoint was
 	// first found missing from the endpoint list. The entry of a running endpoint may
--- a/backpressure/table_test.go
+++ b/backpressure/table_test.go
@@ -10,6 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// start is the time at which tests and simulations of this package begin.
 var start = time.Now()
 
 // at returns the time s seconds after start.
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -40,6 +40,7 @@
 // store accepted them.
 func New(bound time.Duration) Budget { return Budget{bound: bound} }
 
+// share returns a share of the bound, given in percent.
 func (b Budget) share(of time.Duration) time.Duration { return b.bound * of / percent }
 
 // Bound returns the whole budget.
--- a/history/history.go
+++ b/history/history.go
@@ -34,7 +34,7 @@
 	return cmp.Or(cmp.Compare(p.Era, q.Era), cmp.Compare(p.Offset, q.Offset)) < 0
 }
 
-// Later returns the later of two positions.
+// Later returns the later of two positions, in the order of Before.
 func Later(p, q Position) Position {
 	if p.Before(q) {
 		return q
--- a/ingress/accept.go
+++ b/ingress/accept.go
@@ -35,7 +35,8 @@
 	return &watchedListener{Listener: l, server: s}
 }
 
-// watchedListener is the listener that WatchAccepts returns.
+// watchedListener is a listener that reports failed accepts to the server, which then
+// frees connections and becomes unready for a while.
 type watchedListener struct {
 	net.Listener
 	server *Server
--- a/ingress/crash.go
+++ b/ingress/crash.go
@@ -23,12 +23,12 @@
 	// crashProbeTimeout limits the dial that checks whether an endpoint has crashed:
 	// after a crash its address refuses connections.
 	crashProbeTimeout = 150 * time.Millisecond
-	// crashSettleTime is how long the time of an endpoint's crash is kept. Requests
-	// that are sent to the endpoint within this time after the crash fail as well, but
-	// the crash is not attributed to them, since they did not run.
+	// crashSettleTime is how long the gateway remembers that an endpoint has crashed.
+	// Requests that it sends to the endpoint during this period may fail as well, but
+	// are not blamed for the crash, since they were sent after it.
 	crashSettleTime = 500 * time.Millisecond
-	// suspectCrashLimit is the number of a request's crashes from which on the gateway
-	// does not retry it after a crash. Its caller may still retry it.
+	// suspectCrashLimit is the number of endpoint crashes recorded against a request at
+	// which the gateway stops retrying it. Its caller may still send it again.
 	suspectCrashLimit = 2
 )
 
@@ -59,7 +59,8 @@
 	}()
 }
 
-// crashedAttempt describes an attempt whose endpoint crashed.
+// crashedAttempt describes an attempt to run a request at an endpoint that crashed
+// during the attempt.
 type crashedAttempt struct {
 	endpoint, request string
 	identity          quarantine.ID
@@ -150,8 +151,8 @@
 	return !x.trial
 }
 
-// ClearSuspect clears the crashes of a request on behalf of an operator, which removes
-// it from quarantine. It reports whether the request had crashes.
+// ClearSuspect deletes the crashes recorded against a request on behalf of an operator,
+// which removes the request from quarantine. It reports whether there were any.
 func (s *Server) ClearSuspect(id quarantine.ID, now time.Time) bool {
 	cleared := s.suspects.Clear(id, now)
 	s.events.Info("request cleared by an operator", "identity", id.String(), "known", cleared)
@@ -166,14 +167,15 @@
 	return x.server.suspects.Status(x.identity, now)
 }
 
-// crashLimitReached reports whether an endpoint crashed during this exchange and the
-// request has at least suspectCrashLimit crashes, including those that other exchanges
-// and gateways recorded.
+// crashLimitReached reports whether an endpoint crashed during this exchange and
+// at least suspectCrashLimit crashes are recorded against the request, including those
+// that other exchanges and gateways recorded.
 func (x *exchange) crashLimitReached() bool {
 	return x.crashes > 0 && x.suspectStatus(clock.Now()).Crashes >= suspectCrashLimit
 }
 
-// recordCompletion records that the request completed, which clears its crashes.
+// recordCompletion records that the request completed, which deletes the endpoint
+// crashes recorded against it.
 func (x *exchange) recordCompletion() {
 	if !x.server.suspects.RecordCompletion(x.identity, clock.Now()) {
 		return
@@ -196,11 +198,12 @@
 	x.respond(http.StatusServiceUnavailable, outcomeQuarantined, cause)
 }
 
-// Suspects returns the records to send to other gateways: those of requests that were
-// in progress when an endpoint crashed.
+// Suspects returns the crash records to send to other gateways. Each names a request
+// that was in progress when an endpoint crashed, and the crashes.
 func (s *Server) Suspects(now time.Time) []quarantine.Record { return s.suspects.Records(now) }
 
-// MergeSuspects merges records that another gateway returned from Suspects.
+// MergeSuspects adds the crash records that another gateway's Suspects returned to
+// those of this gateway.
 func (s *Server) MergeSuspects(records []quarantine.Record, now time.Time) {
 	if len(records) == 0 || !s.suspects.Merge(records, now) {
 		return
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -22,19 +22,22 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// testHeaders are the header names in these tests.
+// testHeaders replaces the platform's header names in the tests of this package.
 var testHeaders = Headers{
 	RequestID: "Test-Id", Deadline: "Test-Deadline", Seal: "Test-Seal", NotRun: "Test-Not-Run",
 	ExpectEndpoint: "Test-Expect", ExpectVersion: "Test-Version", Workspace: "Test-Workspace",
 	Priority: "Test-Priority", Model: "Test-Model", TokenUsage: "Test-Usage",
 }
 
+// testKey is the API key that test requests carry. testModel is the model that all test
+// engines serve.
 const (
 	testKey   = "key-1"
 	testModel = "m"
 )
 
-// receivedRequest is a request as an endpoint received it.
+// receivedRequest is a copy of a request that the test endpoint with the ID endpoint
+// received.
 type receivedRequest struct {
 	endpoint string
 	method   string
@@ -76,7 +79,8 @@
 	return g
 }
 
-// route returns a route for the paths with a prefix, to one service.
+// route returns a route of a kind for all paths that begin with prefix. Its requests go
+// to service, with at most attempts attempts.
 func route(kind routing.Kind, prefix, service string, attempts int) *routing.Route {
 	return &routing.Route{
 		Name: prefix, Host: "h.example", PathPrefix: prefix, Kind: kind, Timeout: 2 * time.Second,
@@ -132,6 +136,7 @@
 // requestOption changes a request before it is sent.
 type requestOption func(*http.Request)
 
+// withHeader returns an option that sets a request header.
 func withHeader(name, value string) requestOption {
 	return func(r *http.Request) { r.Header.Set(name, value) }
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -70,7 +70,8 @@
 	ConfigAge func() time.Duration
 }
 
-// Server is the request path of one gateway. It implements http.Handler.
+// Server is the part of a gateway that forwards callers' requests to endpoints. It
+// implements http.Handler.
 type Server struct {
 	settings              Settings
 	log                   logr.Logger // per request
@@ -84,7 +85,8 @@
 	noticeDue             chan struct{} // see NoticeDue; capacity 1
 	permitRequestsPending chan struct{} // capacity 1
 	acceptState           acceptState
-	// suspects holds the requests that were in progress when an endpoint crashed.
+	// suspects holds the requests that were in progress when an endpoint crashed, and
+	// that may have caused the crash.
 	suspects *quarantine.Table
 
 	mu sync.Mutex // guards the fields below
@@ -122,7 +124,8 @@
 	cutoff time.Time
 }
 
-// PastCutoff reports whether engines with older versions get no more requests.
+// PastCutoff reports whether the cutoff of the target version has passed, so that
+// engines with older versions of the model get no more requests.
 func (n TargetVersion) PastCutoff(now time.Time) bool { return !now.Before(n.cutoff) }
 
 // New returns a server without configuration and endpoints.
--- a/ingress/list.go
+++ b/ingress/list.go
@@ -24,6 +24,7 @@
 	confirmedAt time.Time
 }
 
+// newListState returns the state of a process that has not read the endpoint list yet.
 func newListState() listState {
 	return listState{instance: rand.Uint64(), changed: make(chan struct{})}
 }
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -21,12 +21,13 @@
 	assigned chan *fleet.Endpoint
 }
 
-// rank orders waiters. Lower ranks are served first.
+// rank is the position of a waiter in its queue: waiters with lower ranks are served
+// first. The fields are compared one after the other.
 type rank struct {
 	priority int
 	stage    stage
-	// responseDue is when the response should start. The waiter with the earliest time
-	// is served first.
+	// responseDue is when the response should start. Of waiters of equal priority and
+	// stage, the one with the earliest responseDue is served first.
 	responseDue time.Time
 }
 
@@ -72,6 +73,7 @@
 	q.waiters = slices.Insert(q.waiters, at, a)
 }
 
+// remove deletes a waiter from the queue, if it is there.
 func (q *queue) remove(a *waiter) {
 	if at := slices.Index(q.waiters, a); at >= 0 {
 		q.waiters = slices.Delete(q.waiters, at, at+1)
--- a/ingress/signals_test.go
+++ b/ingress/signals_test.go
@@ -80,8 +80,9 @@
 	assert.Equal(t, got.StatusCode, http.StatusOK)
 }
 
-// While all endpoints are draining or in backoff, requests must be refused at once, and
-// Retry-After must cover the time until an endpoint may accept requests again.
+// While all endpoints of a service are draining or have asked for backoff, requests must
+// be refused at once, and Retry-After must cover the time until an endpoint may accept
+// requests again.
 func TestClosedServicesRefuseAtOnce(t *testing.T) {
 	const backoff = 30.0
 	for _, test := range []struct {
@@ -108,7 +109,9 @@
 					g.do("POST", path+strconv.Itoa(n), "")
 				}
 				before := len(g.requests())
-				for _, deadline := range []string{"2000", "900"} { // the second looks like a caller's retry
+				for _, deadline := range []string{"2000", "900"} {
+					// A caller that is refused and tries again has less time left, so the
+					// gateway takes the request with the shorter deadline for a retry.
 					began := time.Now()
 					r, body := g.do("POST", path+"x", "", withHeader(testHeaders.Deadline, deadline))
 					assert.Assert(t, time.Since(began) < 50*time.Millisecond, "after %s", time.Since(began))
--- a/ingress/stats.go
+++ b/ingress/stats.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// statsDecay is the time constant of requestStats.
+// statsDecay is the time constant with which the counts of requestStats decay.
 const statsDecay = 1500 * time.Millisecond
 
 // requestStats counts the requests for a service and how many of them were refused.
--- a/ingress/storerollback.go
+++ b/ingress/storerollback.go
@@ -21,8 +21,8 @@
 	// staleEntryTimeout is how long after a rollback the list may still contain entries
 	// of endpoints that were removed before it.
 	staleEntryTimeout = 4600 * time.Millisecond
-	// removalRetention is how long removals are kept. It exceeds the lag of a
-	// replica.
+	// removalRetention is how long the gateway remembers the removal of an endpoint. It
+	// exceeds the lag of a replica of the store.
 	removalRetention = time.Minute
 )
 
@@ -39,17 +39,20 @@
 	unconfirmed map[string]bool
 }
 
-// removal records the removal of an endpoint's entry. startedMS is the start time
+// removal describes an endpoint whose entry was removed from the list. startedMS is the start time
 // of the removed process, in Unix milliseconds, or anyIncarnation.
 type removal struct {
 	startedMS int64
 	removedAt time.Time
 }
 
-// anyIncarnation is the start time of a removal that applies to all incarnations of an
-// endpoint, which are the runs of its process. It is later than every start time.
+// anyIncarnation is the value of removal.startedMS for a removal that applies to all
+// incarnations of an endpoint, that is, all runs of its process. It is later than the
+// start time of each of them.
 const anyIncarnation = math.MaxInt64
 
+// newStoreRollback returns the state of a process that has seen no rollback and no
+// removal of an endpoint.
 func newStoreRollback() storeRollback {
 	return storeRollback{removed: make(map[string]removal), unconfirmed: make(map[string]bool)}
 }
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -33,6 +33,9 @@
 	g.startEndpoint("b", "engine", h)
 }
 
+// A stream and the seal in its header, the endpoint's signature of the response, must
+// reach the caller unchanged. The request must reach the endpoint with the priority of
+// the caller's workspace, 1, and not that of the route.
 func TestStreamIsForwarded(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/timeouts.go
+++ b/ingress/timeouts.go
@@ -9,51 +9,53 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// A request whose caller has already been refused is recognized by its deadline. Callers
-// send the time for which they will still wait. At a retry after a refusal, less time
-// is left than at the first try. The times of first tries may vary as well, so their
-// usual range is learned for each route from the times that most callers send.
+// A request whose caller has already been refused is recognized by its deadline header,
+// in which callers send the remaining time, for which they will still wait. At a retry
+// after a refusal, it is shorter than at the first try. The remaining times of first
+// tries may vary as well, so their usual range is learned for each route.
 const (
 	// timeoutBins is the number of bins into which the route's timeout is divided.
 	timeoutBins = 100
 	// timeoutDecay is the time constant of the histogram.
 	timeoutDecay = 20 * time.Second
-	// firstTryQuantile is the quantile of the recorded times at which the usual range
-	// of first tries begins. Times below it are taken for retries.
+	// firstTryQuantile is the quantile of the recorded remaining times at which the
+	// usual range of first tries begins. Requests below it are taken for retries.
 	firstTryQuantile = 0.03
-	// maxRefusedToLearn is the share of refused requests above which no times are
-	// recorded, because too many of them would be those of retries.
+	// maxRefusedToLearn is the share of refused requests above which no remaining times
+	// are recorded, because too many of them would be those of retries.
 	maxRefusedToLearn = 0.01
 	// maxTimeoutRoutes limits the number of histograms. Requests on routes without one
 	// count as first tries.
 	maxTimeoutRoutes = 64
-	// minTimeoutSamples is the decayed number of recorded times below which a histogram
-	// is not used.
+	// minTimeoutSamples is the decayed number of recorded remaining times below which
+	// a histogram is not used.
 	minTimeoutSamples = 20
 )
 
-// callerRetryMargin is how far a caller's time must be below the usual range of first
-// tries to count as a retry. It is less than retryAfterMin, the least time by which a
-// refusal delays a caller.
+// callerRetryMargin is how far a caller's remaining time must be below the usual range
+// of first tries for its request to count as a retry. It is less than retryAfterMin,
+// the shortest delay that a refusal asks of a caller.
 const callerRetryMargin = 200 * time.Millisecond
 
-// timeoutHistogram is the decaying distribution of the times that a route's callers
-// send as their deadlines, as shares of the route's timeout. Server.mu guards it.
+// timeoutHistogram is the decaying distribution of the remaining times that a route's
+// callers send in the deadline header, as shares of the route's timeout. Server.mu
+// guards it.
 type timeoutHistogram struct {
 	bins      [timeoutBins + 1]float64
 	total     float64
 	updatedAt time.Time
 }
 
-// add adds the time that a caller sent, as a share of the timeout.
-func (p *timeoutHistogram) add(part float64, now time.Time) {
+// add adds a sample: the remaining time from a request's deadline header, as a share of
+// the route's timeout.
+func (p *timeoutHistogram) add(share float64, now time.Time) {
 	keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(timeoutDecay))
 	p.updatedAt = now
 	p.total = p.total*keep + 1
 	for i := range p.bins {
 		p.bins[i] *= keep
 	}
-	p.bins[int(math.Round(min(max(part, 0), 1)*timeoutBins))]++
+	p.bins[int(math.Round(min(max(share, 0), 1)*timeoutBins))]++
 }
 
 // firstTryMin returns the lower end of the usual range of first tries, as a share of the
@@ -73,14 +75,14 @@
 }
 
 // isCallerRetry reports whether a request is probably a caller's retry after a refusal.
-// left is the time that the caller sent as its deadline. While few requests are
-// refused, it is added to the route's histogram. The result is always false for routes
+// left is the remaining time that the caller sent in the deadline header. While few
+// requests are refused, it is added to the route's histogram. The result is always false for routes
 // that are not streaming.
 func (s *Server) isCallerRetry(r *routing.Route, service string, left, timeout time.Duration, now time.Time) bool {
 	if r.Kind != routing.Streaming || timeout <= 0 {
 		return false
 	}
-	part := float64(left) / float64(timeout)
+	share := float64(left) / float64(timeout)
 	learn := s.statsOf(service).refusedShare(now) < maxRefusedToLearn
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +96,7 @@
 	}
 	retry := left < time.Duration(p.firstTryMin()*float64(timeout))-callerRetryMargin
 	if learn {
-		p.add(part, now)
+		p.add(share, now)
 	}
 	return retry
 }
--- a/quarantine/completed.go
+++ b/quarantine/completed.go
@@ -12,6 +12,7 @@
 	next int
 }
 
+// has reports whether the request completed recently and is still in the set.
 func (c *completedRequests) has(id ID) bool {
 	_, ok := c.ids[id]
 	return ok
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -27,6 +27,8 @@
 	"time"
 )
 
+// Limits of the quarantine. The crashes of a request are the crashes of endpoints at
+// which it was in progress.
 const (
 	// Threshold is the number of crashes that put a request in quarantine.
 	Threshold = 3
@@ -60,7 +62,7 @@
 	maxCrashes = completedThreshold + 3
 )
 
-// Status is the status of a request.
+// Status tells whether a request may have caused crashes of endpoints.
 type Status struct {
 	// Crashes is the number of endpoint crashes at which the request was in progress,
 	// since it last completed. Correlated crashes count as one.
@@ -80,7 +82,7 @@
 	return s.Crashes >= Threshold
 }
 
-// crash is the crash of an endpoint as detected by one gateway.
+// crash is the crash of an endpoint during a request, as detected by one gateway.
 type crash struct {
 	key uint32 // random, chosen by the gateway
 	// sent is when the request was sent to the endpoint, and at is when the crash was
@@ -95,7 +97,7 @@
 	return apart >= correlationWindow || c.sent.After(last) && apart >= detectionDelay
 }
 
-// entry holds the crashes of one request.
+// entry holds the endpoint crashes recorded against one request.
 type entry struct {
 	// epoch is the number of times that the crashes were cleared, by a completion or
 	// by an operator.
@@ -111,7 +113,7 @@
 	tried bool
 }
 
-// count returns the number of independent crashes.
+// count returns the number of crashes that count separately; see crash.independent.
 func (e *entry) count() int {
 	count := 0
 	var last time.Time
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Record is the entry of a request as sent between processes. Times are sent as
-// ages, so the clocks of the processes need not agree.
+// Record is the message in which a process tells others which endpoint crashes are
+// recorded against a request. Points in time are sent as ages, so the clocks of the
+// processes need not agree.
 type Record struct {
 	ID ID `json:"i"`
 	// Epoch increases each time the crashes of the request are cleared.
@@ -34,7 +35,7 @@
 	// urgent entries, but to each of the others in turn.
 	rotatingRecords = 2
 	// reportTime is how long after its last change the entry of a request that is not
-	// in quarantine is sent. Older entries have reached all processes and would only
+	// in quarantine is still sent to other processes. Older entries have reached all processes and would only
 	// fill the datagrams.
 	reportTime = 30 * time.Second
 	// maxRecordCrashes bounds the crashes of one record. It is sufficient to put the
@@ -92,6 +93,7 @@
 	}
 }
 
+// record returns the entry as a message to other processes; id identifies its request.
 func (e *entry) record(id ID, now time.Time) Record {
 	r := Record{ID: id, Epoch: e.epoch}
 	for _, c := range e.recordCrashes() {
--- a/retrybudget/retrybudget.go
+++ b/retrybudget/retrybudget.go
@@ -11,14 +11,14 @@
 
 import "time"
 
-// Params holds the bounds that all gateways share.
+// Params holds the limits on retries, which are the same at all gateways.
 type Params struct {
 	// Ratio is the number of retries allowed per request.
 	Ratio float64
 	// Slack is the number of retries that all gateways together may send in a window
 	// in addition to those that Ratio allows.
 	Slack float64
-	// Window is the time over which retries are counted.
+	// Window is the length of the period in which retries and requests are counted.
 	Window time.Duration
 	// Gateways is the number by which the slack is divided.
 	Gateways int
