--- a/backpressure/quota.go
+++ b/backpressure/quota.go
@@ -4,9 +4,10 @@
 
 import "time"
 
-// Quotas is the permit allocator: it grants the limits of endpoints to gateways as
-// permits. All gateways send their requests for an endpoint to the same process, which
-// need not be the sidecar of that endpoint.
+// Quotas is the permit allocator: it divides the rate limits of endpoints among the
+// gateways by granting them permits, each for one request to an endpoint. All gateways
+// request the permits of an endpoint from the same process, which need not be the sidecar
+// of that endpoint.
 //
 // Permits are granted at the rate of the limit, plus a burst of at most the capacity of
 // a bucket. A permit may be used up to grantTTL later, and its request may then wait
@@ -33,9 +34,9 @@
 	return &Quotas{table: NewTable(), buckets: make(map[*State]*bucket)}
 }
 
-// Allocate merges the record of a permit request and grants permits. changed reports
-// that the record is new to the allocator, so that the caller must send the grant's
-// record to the other gateways as well.
+// Allocate applies the endpoint state that a permit request reports, and grants permits
+// to its sender. changed reports that the state is new to the allocator, so that the
+// caller must send the grant's record to the other gateways as well.
 func (q *Quotas) Allocate(r PermitRequest, now time.Time) (g Grant, changed bool) {
 	changed = len(q.table.Merge(r.Record, now)) > 0
 	s := q.table.State(r.ID, r.StartedMS)
@@ -47,7 +48,7 @@
 	return g, changed
 }
 
-// Records returns the latest records of endpoints.
+// Records returns the records of endpoints to send to gateways; see Table.Records.
 func (q *Quotas) Records(now time.Time) []Record { return q.table.Records(now) }
 
 // refill adds the tokens earned since the last call to an endpoint's bucket, and
--- a/backpressure/quota_test.go
+++ b/backpressure/quota_test.go
@@ -215,7 +215,8 @@
 	}
 }
 
-// observe records when all busy gateways have the limit, and when none has it.
+// observe sets out.known once all busy gateways have received the limit, and out.ended
+// once no gateway applies it any more.
 func (sim simulation) observe(all []*gateway, at time.Duration, out *outcome) {
 	limited, running := 0, 0
 	for n, g := range all[:sim.busy] {
@@ -270,8 +271,9 @@
 // allowed returns the highest number of requests allowed in a window.
 func (sim simulation) allowed() int { return int(factor*sim.rate*window.Seconds()) + slack }
 
-// With permits, the gateways keep and use the limit, and notice its start and end in
-// time, also if one of them stops or is suspended.
+// With permits, the gateways together must neither exceed the limit nor leave much of it
+// unused, and must notice its start and end in time, also if one of them stops or is
+// suspended.
 func TestLimitIsKeptAndUsed(t *testing.T) {
 	for _, sim := range simulations(byPermits) {
 		t.Run(sim.String(), func(t *testing.T) {
@@ -347,8 +349,8 @@
 	return fmt.Sprintf("%5.2f s", d.Seconds())
 }
 
-// The limit is kept while some or all gateways cannot reach the sidecar and use their
-// own slots.
+// The limit must be kept while some or all gateways cannot reach the sidecar that grants
+// permits, and instead send one request in each of their own slots.
 func TestLimitIsKeptWithoutTheSidecar(t *testing.T) {
 	for _, gateways := range []int{2, 6, 53} {
 		for _, rate := range []float64{0, 0.4, 2, 20} {
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -52,9 +52,10 @@
 	latencyTargetShare = 0.92
 )
 
-// Retry-After of refusals. It is retryAfterMin plus a random part of a spread. The
-// spread is retryAfterSpread, plus retryAfterRefusedSpread times the share of the
-// service's requests that are refused.
+// Parts of the Retry-After of a refusal, the time that the caller must wait before it
+// tries again: retryAfterMin plus a random part of a spread. The spread is
+// retryAfterSpread, plus retryAfterRefusedSpread times the share of the service's
+// requests that are refused.
 const (
 	retryAfterMin           = 350 * time.Millisecond
 	retryAfterSpread        = 500 * time.Millisecond
@@ -62,8 +63,9 @@
 	// retryAfterUnservable is added if no endpoint could serve the request at any
 	// load.
 	retryAfterUnservable = 600 * time.Millisecond
-	// maxRetryAfterClosed limits the time that is added while all endpoints are closed
-	// by their own signals. Other endpoints may be added before they open.
+	// maxRetryAfterClosed limits the time that is added for the end of a backoff or for
+	// a rate limit, if no endpoint accepts requests before. Other endpoints may be added
+	// in the meantime.
 	maxRetryAfterClosed = 10 * time.Second
 	// retryAfterUnready is the Retry-After while the gateway has no configuration. A
 	// random part of retryAfterUnreadySpread is added.
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -51,7 +51,8 @@
 	h.Set("Retry-After", fmt.Sprintf("%.2f", after.Seconds()))
 }
 
-// refuse responds that the request has not run and may be retried after a time.
+// refuse responds that the request has not run and may be retried after the time in
+// Retry-After.
 func (x *exchange) refuse(cause string, after time.Duration) {
 	setRetryAfter(x.writer.Header(), after)
 	x.respond(http.StatusServiceUnavailable, outcomeRefused, cause)
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -13,8 +13,9 @@
 	"github.com/mintlift/mintlift/upstream"
 )
 
-// send sends the request to e and reads the response header. lastEvent is the value of
-// the Last-Event-Id header; if it is empty, the caller's header is sent unchanged.
+// send sends the request to e and reads the response header. lastEvent is the
+// Last-Event-Id to send, after which e resumes a stream. If it is empty, the caller's own
+// Last-Event-Id, if any, is sent.
 func (x *exchange) send(ctx context.Context, e *fleet.Endpoint, lastEvent string) (*upstream.Response, error) {
 	names := &x.server.settings.Headers
 	h := x.header.Clone()
@@ -57,7 +58,8 @@
 	return x.model == "" || e.MayServe(e.HeldVersion(x.model, now), s.minVersion(x.model, now), s.minVersion(x.model, now.Add(-scheduledUpdateLead)), now)
 }
 
-// verdict classifies the response to an attempt.
+// verdict is the result of an attempt, which determines whether the gateway forwards the
+// response or retries the request.
 type verdict int
 
 const (
--- a/ingress/crash_test.go
+++ b/ingress/crash_test.go
@@ -170,8 +170,8 @@
 	assert.Equal(t, suspected, 0)
 }
 
-// Crashes and completions that other gateways recorded must put a request in quarantine
-// and release it.
+// Crashes that other gateways recorded against a request must put it in quarantine, and
+// a completion that they recorded must release it.
 func TestQuarantineFromOtherGateways(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -201,6 +201,8 @@
 	}
 }
 
+// testSuspectsRunOnSeparateEndpoints runs TestSuspectsRunOnSeparateEndpoints for one
+// service.
 func testSuspectsRunOnSeparateEndpoints(t *testing.T, service string) {
 	g := newTestGateway(t)
 	kind := routing.Streaming
@@ -299,7 +301,7 @@
 	}
 }
 
-// An operator can remove a request from quarantine.
+// An operator must be able to remove a request from quarantine.
 func TestOperatorClearsASuspect(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -231,10 +231,11 @@
 	}
 }
 
-// maxVersionMargin is the time from the cutoff of a target version to its deadline. A
-// request that is sent to an older version just before the cutoff then starts before
-// the deadline, even if its packet is lost once. maxVersionMarginShare limits this time
-// to a share of VersionDeadline.
+// maxVersionMargin is the longest time from the cutoff of a target version, when the
+// gateway stops sending requests to older versions, to its deadline, after which these
+// must start no requests. A request that is sent just before the cutoff then starts
+// before the deadline, even if its packet is lost once. maxVersionMarginShare limits
+// this time to a share of VersionDeadline.
 const (
 	// initialRTO is the initial retransmission timeout of TCP (RFC 6298).
 	initialRTO = time.Second
@@ -245,7 +246,8 @@
 	maxVersionMarginShare = 0.25
 )
 
-// versionMargin returns the time from the cutoff of a target version to its deadline.
+// versionMargin returns how long before its deadline a target version's cutoff is; see
+// maxVersionMargin.
 func (s *Server) versionMargin() time.Duration {
 	return min(maxVersionMargin, time.Duration(maxVersionMarginShare*float64(s.settings.VersionDeadline)))
 }
@@ -267,14 +269,15 @@
 	return false
 }
 
-// nextVersionLead is the time before the cutoff of a target version in which engines
-// with older versions get only requests that they can start at once.
+// nextVersionLead is the length of the period before the cutoff of a target version in
+// which engines with older versions get only requests that they can start at once.
 const nextVersionLead = 1700 * time.Millisecond
 
-// scheduledUpdateLead is the time after the cutoff of a target version in which an
-// engine with an older version may still get requests that it can start at once. This
-// applies only if the engine's sidecar has scheduled its update before the deadline.
-// After this time, a request still has engineStartTime to start before the deadline.
+// scheduledUpdateLead is the length of the period after the cutoff of a target version
+// in which an engine with an older version may still get requests that it can start at
+// once. This applies only if the engine's sidecar has scheduled its update before the
+// deadline. At the end of the period, a request still has engineStartTime to start
+// before the deadline.
 const scheduledUpdateLead = maxVersionMargin - engineStartTime - 100*time.Millisecond
 
 // minVersion returns the lowest version of model to which requests may be sent at the
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -17,6 +17,8 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
+// A gateway without a configuration must be unready, and must refuse requests so that
+// callers retry them.
 func TestRefusedWithoutConfiguration(t *testing.T) {
 	g := newTestGateway(t)
 	r, _ := g.do("GET", "/safe/1", "")
@@ -25,6 +27,8 @@
 	assert.Assert(t, !g.server.Ready())
 }
 
+// A request must be denied if no route matches its path, or if its route is not public
+// and it has no known API key. Each response must carry the request's ID.
 func TestRouteAndKeyMatching(t *testing.T) {
 	g := newTestGateway(t)
 	public := route(routing.Safe, "/public/", "plain", 1)
@@ -82,6 +86,8 @@
 	assert.Equal(t, r.StatusCode, http.StatusUnauthorized)
 }
 
+// The target, body and other headers of a request must reach the endpoint unchanged. The
+// caller's API key, hop-by-hop headers, and headers that only gateways may set must not.
 func TestRequestIsForwardedUnaltered(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -103,6 +109,8 @@
 	assert.Assert(t, left > 1500 && left <= 2000, "deadline %d", left)
 }
 
+// The remaining time that is sent to an endpoint must not exceed the route's timeout,
+// even if the caller would wait longer.
 func TestDeadlineIsCappedByRouteTimeout(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -202,6 +210,8 @@
 	assert.Equal(t, body, eventsText(3))
 }
 
+// A safe request must be retried at another endpoint if the first one closes the
+// connection, responds with an error or does not run it.
 func TestSafeIsRetriedElsewhere(t *testing.T) {
 	for name, h := range map[string]handler{"breaks": abortConnection, "fails": respondStatus(500), "rejects": respondNotRun} {
 		t.Run(name, func(t *testing.T) {
@@ -245,6 +255,8 @@
 	assert.Assert(t, retries > 0 && retries <= requests/5+8, "%d retries", retries)
 }
 
+// An endpoint that the list marks as draining must get no requests, even if it is the
+// only one left.
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -294,6 +306,7 @@
 	assert.Assert(t, shortest < maxWait/2, "refused after %s", shortest)
 }
 
+// A request whose body exceeds the configured limit must be denied with 413.
 func TestBodyTooLarge(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/plain.go
+++ b/ingress/plain.go
@@ -29,7 +29,7 @@
 // take if it can be retried. The rest is left for the retry.
 const attemptTimeShare = 0.5
 
-// errResponseTooLarge reports a response larger than maxResponseBytes.
+// errResponseTooLarge is the error for a response body longer than maxResponseBytes.
 const errResponseTooLarge = errors.ConstError("the answer is too large")
 
 // reply is a complete response of an endpoint.
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -36,6 +36,7 @@
 // are served before callers' retries, because they can still meet the target latency.
 type stage int
 
+// The stages, in the order in which they are served.
 const (
 	stageRetry       stage = iota // a further attempt by the gateway
 	stageFirst                    // the first attempt of a new request
--- a/ingress/signals_test.go
+++ b/ingress/signals_test.go
@@ -56,8 +56,8 @@
 	return count
 }
 
-// Signals in a 421 response must be ignored, since they may come from another endpoint at
-// the same address.
+// Signals, such as draining, in a 421 response must be ignored, since they may come from
+// another endpoint that has taken over the address.
 func TestMisdirectedResponseSignalsAreIgnored(t *testing.T) {
 	g := newTestGateway(t)
 	g.decodeSignals()
--- a/ingress/stall_test.go
+++ b/ingress/stall_test.go
@@ -36,6 +36,7 @@
 	stalls atomic.Int64
 }
 
+// newStallProxy starts a proxy that forwards connections to the address to.
 func newStallProxy(t testing.TB, to string) *stallProxy {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -317,12 +318,14 @@
 	assert.Equal(t, len(g.requests()), 0)
 }
 
-// exhaustibleListener fails to accept with EMFILE while exhausted is set.
+// exhaustibleListener simulates a process without free file descriptors: while
+// exhausted is set, Accept fails with EMFILE.
 type exhaustibleListener struct {
 	net.Listener
 	exhausted atomic.Bool
 }
 
+// Accept implements net.Listener.
 func (l *exhaustibleListener) Accept() (net.Conn, error) {
 	if l.exhausted.Load() {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.EMFILE}
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -215,6 +215,7 @@
 	}
 }
 
+// stop ends the watch, so that it no longer cancels the attempt.
 func (w *idleWatch) stop() { close(w.done) }
 
 // startIdleWatch starts the watch of an attempt at e. The caller must call stop.
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -165,7 +165,8 @@
 }
 
 // A gateway that starts during a rollout does not know when the target version was set.
-// Once an engine holds that version, only engines with it must get requests.
+// Once an engine holds that version of the model, only engines with it must get
+// requests.
 func TestVersionOfUnknownAge(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/ingress/timeouts_test.go
+++ b/ingress/timeouts_test.go
@@ -12,8 +12,9 @@
 	"github.com/mintlift/mintlift/routing"
 )
 
-// Callers' retries must be distinguished from first tries, whether all first tries send
-// the same time or times from 0.85 to 1 of the route's timeout.
+// Callers' retries must be distinguished from first tries by the remaining time in the
+// deadline header, whether that of first tries is always the same or varies from 0.85 to
+// 1 of the route's timeout.
 func TestCallerRetriesAreDetected(t *testing.T) {
 	const timeout = 6 * time.Second
 	for _, spread := range []float64{0, 0.15} {
@@ -44,8 +45,9 @@
 	}
 }
 
-// While there are too few samples, a request with less than the route's timeout must
-// count as a retry. Requests on plain routes must never count as retries.
+// While there are too few samples, a request whose remaining time is shorter than the
+// route's timeout must count as a retry. Requests on plain routes must never count as
+// retries.
 func TestCallerRetryBeforeEnoughSamples(t *testing.T) {
 	g := newTestGateway(t)
 	r := route(routing.Streaming, "/s/", "engine", 2)
--- a/quarantine/identity_test.go
+++ b/quarantine/identity_test.go
@@ -8,6 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// Requests that differ in any property other than the case of the host must have
+// different IDs, even if their concatenated properties are equal.
 func TestIdentityDependsOnCallerAndContent(t *testing.T) {
 	request := Request{Method: "POST", Host: "H.example", Target: "/a/b?c", Workspace: "w", Body: []byte("text")}
 	same := request
@@ -27,6 +29,7 @@
 	}
 }
 
+// An ID must be the same after encoding and decoding, and other text must be rejected.
 func TestIdentityTextRoundTrip(t *testing.T) {
 	id := Identify(Request{Target: "/a"})
 	text, err := id.MarshalText()
@@ -38,6 +41,7 @@
 	assert.ErrorContains(t, decoded.UnmarshalText([]byte("12")), "identity")
 }
 
+// BenchmarkIdentify measures Identify, which is called for each request.
 func BenchmarkIdentify(b *testing.B) {
 	for _, kb := range []int{0, 1, 16} {
 		r := Request{Method: "POST", Host: "h.example", Target: "/a/b/c", Workspace: "w", Body: make([]byte, kb<<10)}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -147,6 +147,7 @@
 	return true
 }
 
+// sort orders the crashes by time.
 func (e *entry) sort() {
 	slices.SortFunc(e.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 }
@@ -185,7 +186,8 @@
 // NewRelayed returns the table of a process that only relays records between gateways.
 func NewRelayed() *Table { return &Table{relayed: true, entries: make(map[ID]*entry)} }
 
-// Status returns the status of a request, or the zero Status if it has no crashes.
+// Status returns the status of a request, or the zero Status if no crashes are recorded
+// against it.
 func (t *Table) Status(id ID, now time.Time) Status {
 	if !t.nonEmpty.Load() {
 		return Status{}
@@ -221,9 +223,9 @@
 	return t.status(id, e)
 }
 
-// Trial reports whether this process may now run a request in quarantine once as a
-// trial, and if so records the trial. Only the process that detected the crash with the
-// lowest key may run it, and only once per entry.
+// Trial reports whether this process may now run a request in quarantine once, as a
+// trial of whether it completes. If so, it records the trial. Only the process that
+// detected the crash with the lowest key may run it, and only once per entry.
 func (t *Table) Trial(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,15 +239,16 @@
 }
 
 // Clear releases a request from quarantine on behalf of an operator, in all
-// processes. It reports whether the request had crashes.
+// processes. It reports whether crashes were recorded against the request.
 func (t *Table) Clear(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clear(id, now)
 }
 
-// clear starts a new epoch if the request has crashes, and reports whether it has.
-// Table.mu must be held.
+// clear deletes the crashes recorded against a request, and reports whether there were
+// any. If so, it starts a new epoch of the entry, so that other processes delete them,
+// too. Table.mu must be held.
 func (t *Table) clear(id ID, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || len(e.crashes) == 0 {
@@ -257,8 +260,8 @@
 	return true
 }
 
-// RecordCompletion records that the request got a complete response, which clears its
-// crashes. It reports whether there were any.
+// RecordCompletion records that the request got a complete response, which deletes the
+// crashes recorded against it. It reports whether there were any.
 func (t *Table) RecordCompletion(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -25,6 +25,8 @@
 	return id
 }
 
+// A request must be in quarantine after Threshold separate endpoint crashes and not
+// before. Other requests must not be affected.
 func TestThreeCrashesPutARequestInQuarantine(t *testing.T) {
 	table := New()
 	assert.Equal(t, table.Status(nth(1), at(0)), Status{})
@@ -66,6 +68,8 @@
 	assert.Equal(t, table.RecordCrash(nth(1), at(0), at(900)).Crashes, 3, "long after them")
 }
 
+// A request must leave quarantine CrashTTL after its last crash, and its earlier crashes
+// must no longer count.
 func TestACrashExpires(t *testing.T) {
 	table := New()
 	for n := range Threshold {
@@ -213,6 +217,8 @@
 	assert.Equal(t, len(seen), maxRequests)
 }
 
+// BenchmarkStatus measures Status, which is called for each attempt, with an empty and a
+// full table.
 func BenchmarkStatus(b *testing.B) {
 	for name, n := range map[string]int{"none": 0, "full": maxRequests} {
 		table := New()
@@ -269,6 +275,8 @@
 	assert.Assert(t, table.completed.has(nth(2+maxCompleted)))
 }
 
+// BenchmarkRecordCompletion measures RecordCompletion, which is called for each completed
+// request.
 func BenchmarkRecordCompletion(b *testing.B) {
 	table := New()
 	n := 0
--- a/retrybudget/retrybudget_test.go
+++ b/retrybudget/retrybudget_test.go
@@ -52,6 +52,8 @@
 	})
 }
 
+// A new budget must allow some retries, at most its share of the slack, and then none
+// until time has passed.
 func TestBudgetIsExhaustedAndRefilled(t *testing.T) {
 	p := Params{Ratio: 0.2, Slack: 80, Window: 10 * time.Second, Gateways: 8}
 	now := time.Unix(1000, 0)
