--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -251,7 +251,7 @@
 	return q.MaxFirstByteMS > 0 && q.PrefillMS > 0 && q.MinFirstByteMS() > q.MaxFirstByteMS
 }
 
-// queueTimeout returns how long x may wait for an endpoint that responds in time.
+// queueTimeout returns how long x may wait for an endpoint that meets the target latency.
 func queueTimeout(x *exchange, now time.Time) time.Duration {
 	maxWait := defaultMaxWait
 	if x.route.TargetLatency > 0 {
@@ -260,9 +260,9 @@
 	return min(maxWait-now.Sub(x.start), x.expiresAt.Sub(now))
 }
 
-// retryAfter returns how long a refused caller should wait before it retries. If all
-// endpoints are closed by their own signals, such as draining, the Closure is the
-// reason; else its Reason is Open.
+// retryAfter returns how long a refused caller should wait before it retries. If no
+// endpoint accepts requests because all are draining, in backoff or at their rate limits,
+// the Closure describes this; else its Reason is Open.
 func (s *Server) retryAfter(x *exchange) (fleet.Closure, time.Duration) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -288,8 +288,8 @@
 	return retryAfterUnready + rand.N(retryAfterUnreadySpread)
 }
 
-// slotIntervalMS returns the mean time between two slots becoming free at a fully
-// loaded engine, in milliseconds.
+// slotIntervalMS returns the mean interval in which a fully loaded engine finishes
+// requests and so can start others, in milliseconds.
 func slotIntervalMS(e *routing.Engine) float64 {
 	decodeMS := float64(e.MeanAnswerTokens) * float64(e.Step.Microseconds()) / 1000
 	return decodeMS/float64(max(e.Slots, 1)) + prefillMS(e, e.MeanPromptTokens)
--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// refusalCause returns why x is refused. If all endpoints are closed by their own
-// signals, the text contains the ID of one of them.
+// refusalCause returns why x is refused. If no endpoint accepts requests because of
+// its own signals, such as draining, the text contains the ID of one of them.
 func (x *exchange) refusalCause(c fleet.Closure) string {
 	switch {
 	case c.Reason == fleet.Open:
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -69,7 +69,8 @@
 	verdictInvalid                // there is no complete and valid response
 )
 
-// classify returns the verdict on a response by its header.
+// classify returns the verdict on a response by its header. A successful response is
+// valid only if it has a seal, the endpoint's signature of the response.
 func (x *exchange) classify(r *upstream.Response) verdict {
 	names := &x.server.settings.Headers
 	switch {
--- a/ingress/helpers_test.go
+++ b/ingress/helpers_test.go
@@ -166,7 +166,8 @@
 	return response, string(text)
 }
 
-// respondOK responds with status 200 and body.
+// respondOK responds with status 200, body and a seal, which successful responses of
+// endpoints must have.
 func respondOK(body string) handler {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testHeaders.Seal, "seal")
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -121,9 +121,8 @@
 	q.waiters = kept
 }
 
-// refuseClosed refuses each waiter for which the endpoints' own signals, such as
-// draining or a backoff, close all endpoints until after its deadline. Server.mu must
-// be held.
+// refuseClosed refuses each waiter that no endpoint will accept before its deadline,
+// because all are draining, in backoff or at their rate limits. Server.mu must be held.
 func (s *Server) refuseClosed(q *queue, now time.Time) {
 	if s.fleet.Closure(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
 		return
@@ -138,9 +137,9 @@
 	})
 }
 
-// scheduleDispatch schedules a dispatch for the time at which the next endpoint opens,
-// such as the end of a backoff. No other event may cause a dispatch at that time.
-// Server.mu must be held.
+// scheduleDispatch schedules a dispatch for the time at which the next endpoint accepts
+// requests again, such as the end of its backoff. No other event may cause a dispatch at
+// that time. Server.mu must be held.
 func (s *Server) scheduleDispatch(service string, q *queue, now time.Time) {
 	if len(q.waiters) == 0 {
 		return
--- a/ingress/signals.go
+++ b/ingress/signals.go
@@ -56,8 +56,8 @@
 }
 
 // takePermit reports whether the rate limit of e, if any, allows x to be sent to e. If
-// x has no permit, because the limit was set after e was chosen, it takes one.
-// Server.mu must be held.
+// x has no permit to be sent to e, because the limit was set after e was chosen, it
+// takes one. Server.mu must be held.
 func (x *exchange) takePermit(e *fleet.Endpoint, now time.Time) bool {
 	if x.hasPermit || !e.Signals.Limited() {
 		return true
@@ -70,8 +70,8 @@
 	return true
 }
 
-// PermitRequest is a request for permits to the sidecar that allocates them for an
-// endpoint.
+// PermitRequest is a message in which the gateway asks for permits, each of which allows
+// one request to an endpoint with a rate limit. It goes to the sidecar that grants them.
 type PermitRequest struct {
 	backpressure.PermitRequest
 	// Address is the address of the sidecar's endpoint.
@@ -82,7 +82,8 @@
 // something to return.
 func (s *Server) PermitRequestsPending() <-chan struct{} { return s.permitRequestsPending }
 
-// TakePermitRequests returns and clears the permit requests that are due.
+// TakePermitRequests returns the permit requests to send to sidecars now, and removes
+// them from the server.
 func (s *Server) TakePermitRequests() []PermitRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,10 +118,10 @@
 	}
 }
 
-// permitAllocator returns the address of the endpoint whose sidecar allocates the
-// permits of e. An engine has its own sidecar. For a plain endpoint, all gateways choose
-// the same sidecar of an engine. The address is empty if there is none. Server.mu must
-// be held.
+// permitAllocator returns the address of the endpoint whose sidecar grants gateways the
+// permits to send requests to e. An engine has its own sidecar. For a plain endpoint, all
+// gateways choose the same sidecar of an engine. The address is empty if there is none.
+// Server.mu must be held.
 func (s *Server) permitAllocator(e *fleet.Endpoint, now time.Time) string {
 	c := s.routes.Get()
 	if c == nil {
@@ -138,7 +139,8 @@
 	return fleet.PermitAllocator(relays, e.ID)
 }
 
-// HandleGrant processes permits that a sidecar granted.
+// HandleGrant records the permits that a sidecar granted, and sends waiting requests that
+// they allow.
 func (s *Server) HandleGrant(g backpressure.Grant) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -149,7 +151,8 @@
 	}
 }
 
-// MergeEndpointSignals merges records of endpoint signals that other gateways received.
+// MergeEndpointSignals applies the signals of endpoints, such as draining or a rate limit,
+// that other gateways received and sent to this one.
 func (s *Server) MergeEndpointSignals(records []backpressure.Record) {
 	now := clock.Now()
 	s.mu.Lock()
--- a/ingress/stall_test.go
+++ b/ingress/stall_test.go
@@ -231,7 +231,8 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-// failureBackoff exceeds the time for which an endpoint gets no requests after a failure.
+// failureBackoff is longer than the period for which an endpoint gets no requests after a
+// failed attempt.
 const failureBackoff = 600 * time.Millisecond
 
 // If the caller closes its connection, the request must stop at the endpoint within
