--- a/ingress/answer.go
+++ b/ingress/answer.go
@@ -51,7 +51,8 @@
 	h.Set("Retry-After", fmt.Sprintf("%.2f", after.Seconds()))
 }
 
-// refuse responds that the request has not run and may be retried after a time.
+// refuse responds that the request has not run and may be retried after the time in
+// Retry-After.
 func (x *exchange) refuse(cause string, after time.Duration) {
 	setRetryAfter(x.writer.Header(), after)
 	x.respond(http.StatusServiceUnavailable, outcomeRefused, cause)
@@ -100,8 +101,8 @@
 	}
 }
 
-// refusalCause returns why x is refused. If all endpoints are closed by their own
-// signals, the text contains the ID of one of them.
+// refusalCause returns why x is refused. If no endpoint accepts requests because of
+// its own signals, such as draining, the text contains the ID of one of them.
 func (x *exchange) refusalCause(c fleet.Closure) string {
 	switch {
 	case c.Reason == fleet.Open:
--- a/ingress/queue.go
+++ b/ingress/queue.go
@@ -21,12 +21,13 @@
 	assigned chan *fleet.Endpoint
 }
 
-// rank orders waiters. Lower ranks are served first.
+// rank is the position of a waiter in its queue: waiters with lower ranks are served
+// first. The fields are compared one after the other.
 type rank struct {
 	priority int
 	stage    stage
-	// responseDue is when the response should start. The waiter with the earliest time
-	// is served first.
+	// responseDue is when the response should start. Of waiters of equal priority and
+	// stage, the one with the earliest responseDue is served first.
 	responseDue time.Time
 }
 
@@ -35,6 +36,7 @@
 // are served before callers' retries, because they can still meet the target latency.
 type stage int
 
+// The stages, in the order in which they are served.
 const (
 	stageRetry       stage = iota // a further attempt by the gateway
 	stageFirst                    // the first attempt of a new request
@@ -72,6 +74,7 @@
 	q.waiters = slices.Insert(q.waiters, at, a)
 }
 
+// remove deletes a waiter from the queue, if it is there.
 func (q *queue) remove(a *waiter) {
 	if at := slices.Index(q.waiters, a); at >= 0 {
 		q.waiters = slices.Delete(q.waiters, at, at+1)
@@ -118,9 +121,8 @@
 	q.waiters = kept
 }
 
-// refuseClosed refuses each waiter for which the endpoints' own signals, such as
-// draining or a backoff, close all endpoints until after its deadline. Server.mu must
-// be held.
+// refuseClosed refuses each waiter that no endpoint will accept before its deadline,
+// because all are draining, in backoff or at their rate limits. Server.mu must be held.
 func (s *Server) refuseClosed(q *queue, now time.Time) {
 	if s.fleet.Closure(s.widestQuery(q.waiters[0].exchange, now), now, now).Reason == fleet.Open {
 		return
@@ -135,9 +137,9 @@
 	})
 }
 
-// scheduleDispatch schedules a dispatch for the time at which the next endpoint opens,
-// such as the end of a backoff. No other event may cause a dispatch at that time.
-// Server.mu must be held.
+// scheduleDispatch schedules a dispatch for the time at which the next endpoint accepts
+// requests again, such as the end of its backoff. No other event may cause a dispatch at
+// that time. Server.mu must be held.
 func (s *Server) scheduleDispatch(service string, q *queue, now time.Time) {
 	if len(q.waiters) == 0 {
 		return
--- a/ingress/stream_test.go
+++ b/ingress/stream_test.go
@@ -33,6 +33,9 @@
 	g.startEndpoint("b", "engine", h)
 }
 
+// A stream and the seal in its header, the endpoint's signature of the response, must
+// reach the caller unchanged. The request must reach the endpoint with the priority of
+// the caller's workspace, 1, and not that of the route.
 func TestStreamIsForwarded(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
@@ -162,7 +165,8 @@
 }
 
 // A gateway that starts during a rollout does not know when the target version was set.
-// Once an engine holds that version, only engines with it must get requests.
+// Once an engine holds that version of the model, only engines with it must get
+// requests.
 func TestVersionOfUnknownAge(t *testing.T) {
 	g := newTestGateway(t)
 	g.configure(1)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -27,6 +27,8 @@
 	"time"
 )
 
+// Limits of the quarantine. The crashes of a request are the crashes of endpoints at
+// which it was in progress.
 const (
 	// Threshold is the number of crashes that put a request in quarantine.
 	Threshold = 3
@@ -60,7 +62,7 @@
 	maxCrashes = completedThreshold + 3
 )
 
-// Status is the status of a request.
+// Status tells whether a request may have caused crashes of endpoints.
 type Status struct {
 	// Crashes is the number of endpoint crashes at which the request was in progress,
 	// since it last completed. Correlated crashes count as one.
@@ -80,7 +82,7 @@
 	return s.Crashes >= Threshold
 }
 
-// crash is the crash of an endpoint as detected by one gateway.
+// crash is the crash of an endpoint during a request, as detected by one gateway.
 type crash struct {
 	key uint32 // random, chosen by the gateway
 	// sent is when the request was sent to the endpoint, and at is when the crash was
@@ -95,7 +97,7 @@
 	return apart >= correlationWindow || c.sent.After(last) && apart >= detectionDelay
 }
 
-// entry holds the crashes of one request.
+// entry holds the endpoint crashes recorded against one request.
 type entry struct {
 	// epoch is the number of times that the crashes were cleared, by a completion or
 	// by an operator.
@@ -111,7 +113,7 @@
 	tried bool
 }
 
-// count returns the number of independent crashes.
+// count returns the number of crashes that count separately; see crash.independent.
 func (e *entry) count() int {
 	count := 0
 	var last time.Time
@@ -145,6 +147,7 @@
 	return true
 }
 
+// sort orders the crashes by time.
 func (e *entry) sort() {
 	slices.SortFunc(e.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 }
@@ -183,7 +186,8 @@
 // NewRelayed returns the table of a process that only relays records between gateways.
 func NewRelayed() *Table { return &Table{relayed: true, entries: make(map[ID]*entry)} }
 
-// Status returns the status of a request, or the zero Status if it has no crashes.
+// Status returns the status of a request, or the zero Status if no crashes are recorded
+// against it.
 func (t *Table) Status(id ID, now time.Time) Status {
 	if !t.nonEmpty.Load() {
 		return Status{}
@@ -219,9 +223,9 @@
 	return t.status(id, e)
 }
 
-// Trial reports whether this process may now run a request in quarantine once as a
-// trial, and if so records the trial. Only the process that detected the crash with the
-// lowest key may run it, and only once per entry.
+// Trial reports whether this process may now run a request in quarantine once, as a
+// trial of whether it completes. If so, it records the trial. Only the process that
+// detected the crash with the lowest key may run it, and only once per entry.
 func (t *Table) Trial(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -235,15 +239,16 @@
 }
 
 // Clear releases a request from quarantine on behalf of an operator, in all
-// processes. It reports whether the request had crashes.
+// processes. It reports whether crashes were recorded against the request.
 func (t *Table) Clear(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clear(id, now)
 }
 
-// clear starts a new epoch if the request has crashes, and reports whether it has.
-// Table.mu must be held.
+// clear deletes the crashes recorded against a request, and reports whether there were
+// any. If so, it starts a new epoch of the entry, so that other processes delete them,
+// too. Table.mu must be held.
 func (t *Table) clear(id ID, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || len(e.crashes) == 0 {
@@ -255,8 +260,8 @@
 	return true
 }
 
-// RecordCompletion records that the request got a complete response, which clears its
-// crashes. It reports whether there were any.
+// RecordCompletion records that the request got a complete response, which deletes the
+// crashes recorded against it. It reports whether there were any.
 func (t *Table) RecordCompletion(id ID, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
