--- a/admin/plans.go
+++ b/admin/plans.go
@@ -130,6 +130,7 @@
 	return out, nil
 }
 
+// plan returns the plan that the request's path names by its ID.
 func (s *Server) plan(r *http.Request, _ string) (any, error) { return s.findPlan(pathID(r)) }
 
 // findPlan returns the plan with an ID, or a CodeNotFound error.
@@ -192,10 +193,12 @@
 	}
 }
 
+// reject ends a proposed plan, one that no operator has confirmed yet.
 func (s *Server) reject(r *http.Request, operator string) (any, error) {
 	return s.endPlan(r, operator, intent.Proposed, intent.Rejected)
 }
 
+// cancel ends a confirmed plan.
 func (s *Server) cancel(r *http.Request, operator string) (any, error) {
 	return s.endPlan(r, operator, intent.Confirmed, intent.Cancelled)
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -117,6 +117,7 @@
 	}}
 }
 
+// writeError sends e as JSON, with the HTTP status of its code.
 func writeError(w http.ResponseWriter, e *Error) {
 	httpserve.WriteJSON(w, httpStatusOf[e.Code], errorBody{Error: e})
 }
@@ -178,6 +179,7 @@
 // log is reported as unresponsive.
 const logUnresponsiveAfter = 10 * time.Second
 
+// status returns the state of this gateway and of its replica of the event log.
 func (s *Server) status(*http.Request, string) (any, error) {
 	out := Status{Gateway: s.Cluster.Self(), LogUnresponsive: time.Since(s.Replica.Contact()) > logUnresponsiveAfter}
 	s.Replica.View(func(st *state.State) {
@@ -187,6 +189,7 @@
 	return out, nil
 }
 
+// boxes queries the endpoints of all boxes and returns the results.
 func (s *Server) boxes(r *http.Request, _ string) (any, error) {
 	return s.Cluster.ProbeEndpoints(r.Context()), nil
 }
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -106,6 +106,8 @@
 	return nil
 }
 
+// removeWorkspace removes the workspace that the request's path names. operator is
+// recorded in the event log as the author of the change.
 func (s *Server) removeWorkspace(r *http.Request, operator string) (any, error) {
 	found := false
 	s.Replica.View(func(st *state.State) { _, found = st.Workspaces[pathName(r)] })
@@ -116,12 +118,15 @@
 	return state.Name{Name: pathName(r)}, err
 }
 
+// operators returns the names of all operators, sorted.
 func (s *Server) operators(*http.Request, string) (any, error) {
 	var out []string
 	s.Replica.View(func(st *state.State) { out = slices.Sorted(maps.Keys(st.Operators)) })
 	return out, nil
 }
 
+// setOperator adds an operator or replaces the key of an existing one. operator is the
+// author of the change, not the operator that is set.
 func (s *Server) setOperator(r *http.Request, operator string) (any, error) {
 	var c OperatorChange
 	if err := httpserve.ReadJSON(r, &c); err != nil {
@@ -135,6 +140,8 @@
 	return state.Name{Name: o.Name}, err
 }
 
+// removeOperator removes the operator that the request's path names. operator is the
+// author of the change.
 func (s *Server) removeOperator(r *http.Request, operator string) (any, error) {
 	found := false
 	s.Replica.View(func(st *state.State) { _, found = st.Operators[pathName(r)] })
--- a/cmd/mintlift/daemons.go
+++ b/cmd/mintlift/daemons.go
@@ -25,10 +25,12 @@
 	Stop(ctx context.Context) error
 }
 
+// settingsFlag returns the required flag for a daemon's settings file.
 func settingsFlag() cli.Flag {
 	return &cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "JSON settings `FILE`", Required: true}
 }
 
+// gatewayCommand returns the command that runs a gateway until it is stopped by a signal.
 func gatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "gateway",
@@ -47,6 +49,7 @@
 	}
 }
 
+// sidecarCommand returns the command that runs a sidecar until it is stopped by a signal.
 func sidecarCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "sidecar",
--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// Checks that gateways share the rate limit of an endpoint without a sidecar: the
-// sidecar of an engine allocates its permits, which divide the limit among gateways.
+// Checks that gateways share the rate limit of an endpoint that has no sidecar of its
+// own. The sidecar of some engine then allocates the endpoint's permits, which divide
+// the limit among the gateways.
 func TestLimitOfPlainEndpointIsShared(t *testing.T) {
 	t.Parallel()
 	d, _ := startSignalingEngines(t, 3, 2)
--- a/cmd/mintlift/operator.go
+++ b/cmd/mintlift/operator.go
@@ -102,6 +102,7 @@
 	fmt.Fprintln(w)
 }
 
+// statusCommand returns the command that prints the status of one gateway.
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "status",
@@ -129,6 +130,7 @@
 	}
 }
 
+// boxesCommand returns the command that lists the boxes and what they serve.
 func boxesCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "boxes",
@@ -212,6 +214,8 @@
 	}
 }
 
+// setWorkspace applies the changes that the flags describe to the workspace named by the
+// argument.
 func setWorkspace(ctx context.Context, c *cli.Command, api *admin.Client) error {
 	name, err := singleArg(c, "workspace")
 	if err != nil {
--- a/cmd/mintlift/overhead_test.go
+++ b/cmd/mintlift/overhead_test.go
@@ -28,6 +28,8 @@
 	first, gaps []time.Duration // times to the first token, and between tokens
 }
 
+// add adds the latencies of one stream: the time to its first token, and the times
+// between its tokens.
 func (t *latencies) add(first time.Duration, gaps []time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cmd/mintlift/plans.go
+++ b/cmd/mintlift/plans.go
@@ -80,6 +80,8 @@
 	}
 }
 
+// createIntent submits the intent that the flags describe, and prints the plan that is
+// proposed for it.
 func createIntent(ctx context.Context, c *cli.Command, api *admin.Client) error {
 	name, err := singleArg(c, "model@version")
 	if err != nil {
@@ -104,6 +106,7 @@
 	return printPlan(c, p)
 }
 
+// listPlans prints one line for each plan.
 func listPlans(ctx context.Context, c *cli.Command, api *admin.Client) error {
 	plans, err := api.Plans(ctx)
 	if err != nil {
@@ -117,6 +120,7 @@
 	})
 }
 
+// showIntent prints the last listed plan of an intent.
 func showIntent(ctx context.Context, c *cli.Command, api *admin.Client) error {
 	id, err := singleArg(c, "intent")
 	if err != nil {
@@ -267,6 +271,7 @@
 	return len(zones) + 1
 }
 
+// isTerminal reports whether out is a character device, such as a terminal.
 func isTerminal(out io.Writer) bool {
 	f, ok := out.(*os.File)
 	if !ok {
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -202,7 +202,9 @@
 	versionSum int64
 }
 
-// operatorProgressOf returns the progress of a watcher.
+// operatorProgressOf returns how far w has read the operator's records, and the sum of
+// the versions of the records that it holds. The sum tells which of two gateways has newer
+// records where their read positions cannot, as after a restore of the store.
 func operatorProgressOf(w *platform.Watcher) operatorProgress {
 	return operatorProgress{w.Progress().Read, w.VersionSum()}
 }
--- a/cmd/mintlift/platform_suspects.go
+++ b/cmd/mintlift/platform_suspects.go
@@ -24,8 +24,10 @@
 // clearTimeout is the timeout of the call of clearPath.
 const clearTimeout = 5 * time.Second
 
-// handleClearSuspect registers the handler of clearPath. The response is 400 if the
-// identity is invalid, and 404 if no crash is recorded for it.
+// handleClearSuspect registers the handler that clears a suspect, a request suspected of
+// crashing endpoints: its quarantine ends, so that it is served again. The identity in
+// the path is the request's quarantine.ID. The response is 400 if the identity is invalid,
+// and 404 if no crash is recorded for the request.
 func handleClearSuspect(mux *http.ServeMux, server *ingress.Server) {
 	mux.HandleFunc("POST "+clearPath, func(w http.ResponseWriter, r *http.Request) {
 		var id quarantine.ID
@@ -39,6 +41,8 @@
 	})
 }
 
+// clearSuspectCommand returns the command that releases a request from quarantine, where
+// it is because it crashed endpoints.
 func clearSuspectCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "clear-suspect",
--- a/cmd/mintlift/process_test.go
+++ b/cmd/mintlift/process_test.go
@@ -40,6 +40,7 @@
 	os.Exit(m.Run())
 }
 
+// testKey is the operator key with which the tests call the admin API.
 const testKey = "operator-key-0123456789"
 
 // process is a mintlift process of a test.
--- a/cmd/mintlift/storerollback_test.go
+++ b/cmd/mintlift/storerollback_test.go
@@ -108,16 +108,17 @@
 	}
 }
 
-// gatewaysEnv is the environment variable that overrides the number of gateways of
-// TestStoreCallsAfterRollback.
-const gatewaysEnv = "RETURN_GATEWAYS"
+// rollbackGatewaysEnv is the environment variable that overrides the number of gateways
+// of TestStoreCallsAfterRollback. "Return" in its value means the rollback: the store
+// returns with older contents.
+const rollbackGatewaysEnv = "RETURN_GATEWAYS"
 
 // Guards against a burst of store calls after a store rollback, and against gateways
 // that repeat reads forever because other gateways report offsets from before it.
 func TestStoreCallsAfterRollback(t *testing.T) {
 	t.Parallel()
 	gateways := 5
-	if n, err := strconv.Atoi(os.Getenv(gatewaysEnv)); err == nil {
+	if n, err := strconv.Atoi(os.Getenv(rollbackGatewaysEnv)); err == nil {
 		gateways = n
 	}
 	d := startWeights(t, 2)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -51,8 +51,10 @@
 	startOffset time.Duration
 }
 
+// tracker measures the suspensions that Now adds to the time of package time.
 var tracker = newSuspensionTracker()
 
+// newSuspensionTracker returns a tracker that counts suspensions from this call on.
 func newSuspensionTracker() *suspensionTracker {
 	s := &suspensionTracker{start: time.Now()}
 	for range initialAttempts {
@@ -165,6 +167,7 @@
 	return t
 }
 
+// fire calls the timer's function unless the timer has fired or was stopped.
 func (t *Timer) fire() {
 	t.unregister()
 	if t.done.CompareAndSwap(false, true) {
@@ -172,6 +175,7 @@
 	}
 }
 
+// unregister removes the timer from pendingTimers.
 func (t *Timer) unregister() {
 	pendingTimers.Lock()
 	defer pendingTimers.Unlock()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -99,8 +99,9 @@
 // systemTime matches calls that use package time for a point in time.
 var systemTime = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|context\.WithDeadline\(`)
 
-// Packages of the platform's daemons must not use package time for points in time:
-// their ages and deadlines would exclude suspensions.
+// Packages of the platform's daemons must not use package time for points in time. Its
+// monotonic clock stops while the machine is suspended, so that after the resume, ages
+// would be too low and deadlines would pass too late.
 func TestPackagesUseClock(t *testing.T) {
 	for _, pattern := range []string{"ingress/*.go", "fleet/*.go", "loadreport/*.go", "storerelay/*.go", "installer/*.go", "platform/*.go", "upstream/*.go", "quarantine/*.go", "retrybudget/*.go", "freshness/*.go", "routing/*.go", "cmd/mintlift/platform*.go"} {
 		files, err := filepath.Glob(filepath.Join("..", "..", pattern))
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -38,6 +38,7 @@
 // received.
 type Call[T any] func(ctx context.Context, n int, firstByte func()) (T, error)
 
+// result is the outcome of one call.
 type result[T any] struct {
 	value T
 	err   error
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -39,6 +39,7 @@
 	return &listener{Listener: ln, meter: m}
 }
 
+// listener wraps the connections that it accepts, so that meter counts their bytes.
 type listener struct {
 	net.Listener
 	meter *Meter
@@ -53,6 +54,7 @@
 	return &conn{Conn: c, meter: l.meter}, nil
 }
 
+// conn counts the bytes that it reads and writes in meter.
 type conn struct {
 	net.Conn
 	meter *Meter
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -45,6 +45,7 @@
 // bytes.
 func (g *Guard) Reader(source io.Reader) io.Reader { return &reader{guard: g, source: source} }
 
+// reader calls Progress of guard for each read that returns bytes.
 type reader struct {
 	guard  *Guard
 	source io.Reader
--- a/internal/tcpconn/tcpconn.go
+++ b/internal/tcpconn/tcpconn.go
@@ -41,6 +41,8 @@
 // tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
 const tcpUserTimeout = 18
 
+// keepAlive returns the keep-alive settings of connections; idle is the idle time before
+// the first probe.
 func keepAlive(idle time.Duration) net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: idle, Interval: probeInterval, Count: probeCount}
 }
--- a/membership/box.go
+++ b/membership/box.go
@@ -143,6 +143,8 @@
 	return v.member(b, now), true
 }
 
+// member combines a box's entry with its last report, if any. A box is responsive if that
+// report is more recent than the report timeout.
 func (v *View) member(b Box, now time.Time) Member {
 	m := Member{Box: b}
 	r, ok := v.reports[b.ID]
--- a/prio/queue.go
+++ b/prio/queue.go
@@ -86,6 +86,7 @@
 	return w, true
 }
 
+// grant counts a slot as held by w. The caller has checked that w is eligible for it.
 func (q *Queue) grant(w Waiter) {
 	q.active++
 	q.grants++
@@ -149,6 +150,7 @@
 	return lowest
 }
 
+// removeAt removes and returns the i-th waiter; the others keep their sequence.
 func (q *Queue) removeAt(i int) Waiter {
 	w := q.waiting[i]
 	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -49,8 +49,10 @@
 	return q
 }
 
+// write sends text as is, as the server's side of a connection. It ignores errors.
 func write(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
+// pool returns a connection pool with the options that all tests here use.
 func pool() *Pool {
 	return NewPool(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4})
 }
