--- a/admin/plans.go
+++ b/admin/plans.go
@@ -120,6 +120,7 @@
 	return out
 }
 
+// plans returns all plans in the sequence in which they were proposed.
 func (s *Server) plans(*http.Request, string) (any, error) {
 	out := []*intent.Plan{}
 	s.Replica.View(func(st *state.State) {
--- a/admin/server.go
+++ b/admin/server.go
@@ -189,7 +189,7 @@
 	return out, nil
 }
 
-// boxes queries the endpoints of all boxes and returns the results.
+// boxes returns the listed boxes, each with the status that its process sent on request.
 func (s *Server) boxes(r *http.Request, _ string) (any, error) {
 	return s.Cluster.ProbeEndpoints(r.Context()), nil
 }
--- a/cmd/mintlift/malformed_test.go
+++ b/cmd/mintlift/malformed_test.go
@@ -25,6 +25,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
+// validConfig is a valid configuration, from which the tests derive malformed ones.
 const validConfig = `{"version":7,"routes":[
  {"name":"r1","host":"h.example","path_prefix":"/s/","kind":"streaming","timeout_ms":50,"target_latency_ms":40,"priority":1,"service":"e","max_attempts":2,"resumable":true,"target_gap_ms":30,"public":true},
  {"name":"r2","host":"h.example","path_prefix":"/p/","kind":"safe","timeout_ms":50,"target_latency_ms":40,"traffic_split":[{"service":"e","weight":90},{"service":"p","weight":10}],"public":true}],
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -13,6 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// Errors that calls return in the tests. Only errFinal is final: it ends Do without
+// further calls.
 const (
 	errFirst = errors.ConstError("first")
 	errFinal = errors.ConstError("final")
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -12,6 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// limit is the time without progress after which the tests' guards cancel the context.
 const limit = 60 * time.Millisecond
 
 func TestStallCancelsContext(t *testing.T) {
--- a/internal/tcpconn/tcpconn_test.go
+++ b/internal/tcpconn/tcpconn_test.go
@@ -25,6 +25,7 @@
 	return local, peer
 }
 
+// waitFor polls ok until it returns true, and fails the test after 10 s.
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
 	for start := time.Now(); !ok(); time.Sleep(time.Millisecond) {
--- a/membership/box_test.go
+++ b/membership/box_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// epoch is an arbitrary moment, to which the tests add durations.
 var epoch = time.Unix(1000, 0)
 
 // A listed box must be usable only while its process reports, is not draining and the
