--- a/cmd/mintlift/crash_test.go
+++ b/cmd/mintlift/crash_test.go
@@ -227,7 +227,7 @@
 	return response.StatusCode, response.Header
 }
 
-// crashTimes returns the times of all crashes so far, in order.
+// crashTimes returns the moments of all crashes of engines so far.
 func (d *engineDeployment) crashTimes() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -254,7 +254,7 @@
 	stopped bool
 }
 
-// restartDelay is the time from a crash of an engine to its restart.
+// restartDelay is the duration from a crash of an engine to its restart.
 const restartDelay = 700 * time.Millisecond
 
 // crashDelay is the time from the receipt of a crashing request to the crash.
--- a/cmd/mintlift/idle_test.go
+++ b/cmd/mintlift/idle_test.go
@@ -32,7 +32,7 @@
 	OutRate  float64 `json:"sent_bytes_a_second"`
 }
 
-// usage holds the counters of a process at one time.
+// usage holds the resource counters of a process at one moment.
 type usage struct {
 	cpu     time.Duration // processor time
 	in, out float64       // bytes received and sent
--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -194,7 +194,8 @@
 	return e
 }
 
-// writeEntry writes the endpoint's entry in the endpoint list.
+// writeEntry writes the endpoint's entry in the endpoint list, with the state "ready" or
+// "draining".
 func (e *signalingEndpoint) writeEntry(state string) {
 	models := ""
 	if e.service == "e" {
@@ -204,7 +205,7 @@
 		`{"service":%q,"address":%q,"zone":"z","version":"v1","slots":16,"state":%q,"cold_remaining_ms":0%s,"sequence":1}`, e.service, e.address, state, models))
 }
 
-// arrivals returns the requests that arrived so far, in order.
+// arrivals returns the requests that have reached the endpoint so far.
 func (e *signalingEndpoint) arrivals() []arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -61,12 +61,14 @@
 	h.server.HandleReport(r, e.RoundTrip)
 }
 
-// HandleSuspects implements loadreport.Handler.
+// HandleSuspects implements loadreport.Handler. Suspects are requests suspected of
+// crashing endpoints, as other gateways know them.
 func (h reportHandler) HandleSuspects(suspects []quarantine.Record) {
 	h.server.MergeSuspects(suspects, clock.Now())
 }
 
-// HandleGrant implements loadreport.Handler.
+// HandleGrant implements loadreport.Handler. A grant is a sidecar's response to a permit
+// request of this gateway.
 func (h reportHandler) HandleGrant(g backpressure.Grant) { h.server.HandleGrant(g) }
 
 // HandleEndpoints implements loadreport.Handler.
@@ -242,8 +244,8 @@
 	return addSuspects(out, suspects, suspectRelays(s, server, c, now))
 }
 
-// suspectRelays returns the addresses of the sidecars that relay suspects between
-// gateways.
+// suspectRelays returns the addresses of the sidecars that relay suspects, requests
+// suspected of crashing endpoints, between gateways.
 func suspectRelays(s *platform.Settings, server *ingress.Server, c *routing.Configuration, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for name := range c.Services {
@@ -255,7 +257,7 @@
 }
 
 // addSuspects splits each group in two: the sidecars that relay suspects, which get the
-// suspects in their notice, and the others. The keys of relays are addresses.
+// suspects (requests suspected of crashing endpoints) in their notice, and the others. The keys of relays are addresses.
 func addSuspects(groups []loadreport.SubscriptionGroup, suspects []quarantine.Record, relays map[string]bool) []loadreport.SubscriptionGroup {
 	var out []loadreport.SubscriptionGroup
 	for _, a := range groups {
--- a/cmd/mintlift/platform_sidecar.go
+++ b/cmd/mintlift/platform_sidecar.go
@@ -68,7 +68,8 @@
 	s.installer.AddTarget(n.Model, n.Version, setAt)
 }
 
-// handleNotice applies a gateway's notice.
+// handleNotice applies a notice, the message in which a gateway sends a sidecar the
+// weights configuration and the target versions.
 func (s *sidecarState) handleNotice(n loadreport.Notice) {
 	if n.Weights != nil {
 		s.apply(*n.Weights)
--- a/cmd/mintlift/platform_suspects.go
+++ b/cmd/mintlift/platform_suspects.go
@@ -21,7 +21,7 @@
 // propagates the release to the other gateways.
 const clearPath = "/suspects/{identity}/clear"
 
-// clearTimeout is the timeout of the call of clearPath.
+// clearTimeout is how long the command clear-suspect waits for a gateway's response.
 const clearTimeout = 5 * time.Second
 
 // handleClearSuspect registers the handler that clears a suspect, a request suspected of
--- a/cmd/mintlift/platform_test.go
+++ b/cmd/mintlift/platform_test.go
@@ -27,13 +27,13 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// discardOperator discards the operator's records.
+// discardOperator is a platform.OperatorHandler that ignores the operator's records.
 type discardOperator struct{}
 
 func (discardOperator) HandleConfiguration(*routing.Configuration)       {}
 func (discardOperator) HandleTargetVersion(platform.TargetVersion, bool) {}
 
-// discardReports discards the sidecars' messages.
+// discardReports is a loadreport.Handler that ignores the sidecars' messages.
 type discardReports struct{}
 
 func (discardReports) HandleReport(fleet.Report, *loadreport.Echo) {}
--- a/cmd/mintlift/standins.go
+++ b/cmd/mintlift/standins.go
@@ -20,8 +20,8 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
-// standinCommand returns the command that runs stand-ins for the platform's
-// services and for endpoints, for tests and trials only.
+// standinCommand returns the command that runs stand-ins, simple replacements of the
+// platform's services and of endpoints, for tests and trials only.
 func standinCommand() *cli.Command {
 	listen := &cli.StringFlag{Name: "listen", Usage: "IP:port", Value: "127.0.0.1:0"}
 	return &cli.Command{
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -24,8 +24,8 @@
 	"github.com/mintlift/mintlift/platform/storetest"
 )
 
-// Guards against an engine that loads wrong weights because it accepts a start order
-// late, after chunks of a newer version have been staged.
+// Guards against an engine that loads wrong weights because it accepts the command to
+// start a load late, after chunks of a newer version have been staged.
 func TestDelayedStartOrderDoesNotLoadWrongChunks(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 4)
@@ -129,7 +129,7 @@
 	}
 }
 
-// weightsModel is small, so that transfers add little to the time of a rollout.
+// weightsModel is small, so that transfers add little to the duration of a rollout.
 var weightsModel = enginetest.Weights{Model: "m", Chunks: 16, ChunkBytes: 4096, Layers: 4}
 
 // weightsDeployment is a set of gateways and of engines with sidecars, on loopback
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -73,14 +73,16 @@
 // a newer epoch or fence.
 const ErrStale = errors.ConstError("engine rejected a stale order")
 
-// Order is the body of a load or unload request.
+// Order is the body of a load or unload request. Epoch and Fence identify the request as
+// stale if the engine has received a higher one of either.
 type Order struct {
 	weights.Ref
 	Epoch int64 `json:"epoch"`
 	Fence int64 `json:"fence"`
 }
 
-// Claim is the response to a claim of the engine.
+// Claim is the response to a claim, the call with which a sidecar takes control of the
+// engine.
 type Claim struct {
 	Epoch int64 `json:"epoch"` // the epoch that the claim started
 	Fence int64 `json:"fence"` // the highest fence that the engine has received
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -32,7 +32,8 @@
 	return ctx, &Guard{limit: limit, timer: timer, cancel: cancel}
 }
 
-// Progress records that bytes have arrived and restarts the limit.
+// Progress records that bytes have arrived. From now on, the limit applies to the time
+// until the next call.
 func (g *Guard) Progress() { g.timer.Reset(g.limit) }
 
 // Stop stops the guard and cancels its context.
--- a/internal/tcpconn/tcpconn.go
+++ b/internal/tcpconn/tcpconn.go
@@ -28,7 +28,7 @@
 	probeCount = 2
 )
 
-// Idle times before the first keep-alive probe.
+// How long a connection must be idle before its first keep-alive probe.
 const (
 	// ProbeSoon is for connections on which a process waits for updates. An
 	// unresponsive peer is detected within 2 s.
--- a/internal/tcpconn/tcpconn_test.go
+++ b/internal/tcpconn/tcpconn_test.go
@@ -59,7 +59,8 @@
 	waitFor(t, func() bool { return Closed(local) })
 }
 
-// Closed must not report a connection that still has unread bytes.
+// Closed must return false while the connection has unread bytes, although the peer has
+// closed it.
 func TestUnreadBytesHideClose(t *testing.T) {
 	local, peer := pair(t)
 	_, err := peer.Write([]byte("x"))
--- a/prio/prio_test.go
+++ b/prio/prio_test.go
@@ -110,6 +110,8 @@
 	})
 }
 
+// Acquire must end with its context, fail if the queue is full, and otherwise get a slot by
+// priority.
 func TestGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Queue{Slots: 1, MaxWaiting: 2})
--- a/prio/queue.go
+++ b/prio/queue.go
@@ -17,7 +17,8 @@
 	lowestPriorityInterval = 8
 )
 
-// Waiter is work that needs a slot. ID must be unique in a queue.
+// Waiter is work that waits for a slot, the permission to run. ID must be unique in a
+// queue.
 type Waiter struct {
 	ID       uint64
 	Priority int
@@ -99,7 +100,7 @@
 	q.classActive[w.Class]++
 }
 
-// eligible reports whether ClassSlots allows w one more slot.
+// eligible reports whether ClassSlots lets the class of w use one more slot.
 func (q *Queue) eligible(w Waiter) bool {
 	return q.ClassSlots == 0 || q.classActive[w.Class] < q.ClassSlots
 }
