--- a/admin/plans.go
+++ b/admin/plans.go
@@ -18,7 +18,8 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// createIntent proposes a plan for the intent in the request. No weights are
+// createIntent proposes a plan for the intent in the request, an operator's request for
+// the rollout of a model version. No weights are
 // transferred before the plan is confirmed.
 func (s *Server) createIntent(r *http.Request, operator string) (any, error) {
 	var in intent.Intent
--- a/admin/server.go
+++ b/admin/server.go
@@ -67,7 +67,7 @@
 	// Bootstrap returns the key of the bootstrap operator, or "" if there is none.
 	Bootstrap func() string
 	Logger    logr.Logger
-	// Weighing is the default for plans whose intent has none.
+	// Weighing selects the cost that plans minimize if their intent does not select it.
 	Weighing intent.Weighing
 	// PlanTTL is how long after its proposal a plan can be confirmed.
 	PlanTTL time.Duration
--- a/cmd/mintlift/malformed_test.go
+++ b/cmd/mintlift/malformed_test.go
@@ -102,8 +102,8 @@
 	})
 }
 
-// Guards against malformed notices that crash a sidecar or a gateway. Notices are
-// datagrams and may come from any sender.
+// Guards against malformed notices that crash a sidecar or a gateway. Notices, with which
+// gateways send sidecars the configuration, are datagrams and may come from any sender.
 func TestMalformedNoticeDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
 	valid := `{"model":"m","region":"r","named":[{"version":2,"age_ms":5,"overdue":true}],"read":4,"demand":3.5,
--- a/cmd/mintlift/platform.go
+++ b/cmd/mintlift/platform.go
@@ -110,7 +110,7 @@
 		if s != syscall.SIGHUP {
 			break
 		}
-		// Settings are read at the start only.
+		// Settings are read only when the process starts.
 		log.Info("reload signal ignored")
 	}
 	grace := settings.Grace() - shutdownMargin
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -86,7 +86,7 @@
 const noRoundTrip = time.Duration(-1)
 
 // assumedGateways is the number of gateways among which the retry budget is divided
-// after the start, while their actual number is unknown.
+// after this gateway has started, while their actual number is unknown.
 const assumedGateways = 8
 
 // Timeouts and limits of the server for callers.
@@ -257,7 +257,8 @@
 }
 
 // addSuspects splits each group in two: the sidecars that relay suspects, which get the
-// suspects (requests suspected of crashing endpoints) in their notice, and the others. The keys of relays are addresses.
+// suspects (requests suspected of crashing endpoints) in their notice, and the others.
+// The keys of relays are addresses.
 func addSuspects(groups []loadreport.SubscriptionGroup, suspects []quarantine.Record, relays map[string]bool) []loadreport.SubscriptionGroup {
 	var out []loadreport.SubscriptionGroup
 	for _, a := range groups {
--- a/cmd/mintlift/platform_relay.go
+++ b/cmd/mintlift/platform_relay.go
@@ -60,7 +60,7 @@
 	log      logr.Logger
 
 	mu sync.Mutex
-	// incompleteSince is the time since which another gateway has had newer records, or
+	// incompleteSince is the moment from which another gateway has had newer records, or
 	// zero if none has. lastFetch is the time of the last fetch.
 	incompleteSince, lastFetch time.Time
 }
--- a/cmd/mintlift/weights_test.go
+++ b/cmd/mintlift/weights_test.go
@@ -64,7 +64,8 @@
 	d.checkVersions(t, 3)
 }
 
-// Guards against corrupted weights of the newest target version: the engine reports the
+// Guards against corrupted weights of the newest target version, the version that the
+// operator has set to be served last: the engine reports the
 // version as loaded, and can only load it again after it has loaded another version.
 func TestCorruptNewestVersionIsReloaded(t *testing.T) {
 	t.Parallel()
@@ -79,7 +80,7 @@
 }
 
 // Guards against an engine that restarts after the verification of its staged chunks
-// and loses them: the restarted engine would accept the start order.
+// and loses them: the restarted engine would accept the command to load them.
 func TestEngineRestartBeforeStartOrder(t *testing.T) {
 	t.Parallel()
 	d := startWeights(t, 2)
@@ -114,8 +115,8 @@
 	d.checkVersions(t, 3)
 }
 
-// onFirstStart makes each engine call do once, before it accepts its first start order
-// for a version.
+// onFirstStart makes each engine call do once, before it accepts its first command to
+// load a version.
 func (d *weightsDeployment) onFirstStart(version int, do func(*weightsBox)) {
 	for _, b := range d.boxes {
 		var once sync.Once
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -191,7 +191,7 @@
 // the engine rejects the order as stale.
 func (c *Client) Unload(ctx context.Context, o Order) error { return c.order(ctx, PathUnload, o) }
 
-// order sends a load or unload order to a path. An order that the engine rejects as
+// order sends a load or unload command to a path. A command that the engine rejects as
 // stale, with 409, is an error of type ErrStale.
 func (c *Client) order(ctx context.Context, path string, o Order) error {
 	err := c.Call.JSON(ctx, http.MethodPost, c.Call.URL(c.Address, path), o, nil)
