--- a/cmd/mintlift/limit_test.go
+++ b/cmd/mintlift/limit_test.go
@@ -48,8 +48,9 @@
 	}
 }
 
-// Checks that gateways share the rate limit of an endpoint without a sidecar: the
-// sidecar of an engine allocates its permits, which divide the limit among gateways.
+// Checks that gateways share the rate limit of an endpoint that has no sidecar of its
+// own. The sidecar of some engine then allocates the endpoint's permits, which divide
+// the limit among the gateways.
 func TestLimitOfPlainEndpointIsShared(t *testing.T) {
 	t.Parallel()
 	d, _ := startSignalingEngines(t, 3, 2)
@@ -193,7 +194,8 @@
 	return e
 }
 
-// writeEntry writes the endpoint's entry in the endpoint list.
+// writeEntry writes the endpoint's entry in the endpoint list, with the state "ready" or
+// "draining".
 func (e *signalingEndpoint) writeEntry(state string) {
 	models := ""
 	if e.service == "e" {
@@ -203,7 +205,7 @@
 		`{"service":%q,"address":%q,"zone":"z","version":"v1","slots":16,"state":%q,"cold_remaining_ms":0%s,"sequence":1}`, e.service, e.address, state, models))
 }
 
-// arrivals returns the requests that arrived so far, in order.
+// arrivals returns the requests that have reached the endpoint so far.
 func (e *signalingEndpoint) arrivals() []arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/cmd/mintlift/malformed_test.go
+++ b/cmd/mintlift/malformed_test.go
@@ -25,6 +25,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
+// validConfig is a valid configuration, from which the tests derive malformed ones.
 const validConfig = `{"version":7,"routes":[
  {"name":"r1","host":"h.example","path_prefix":"/s/","kind":"streaming","timeout_ms":50,"target_latency_ms":40,"priority":1,"service":"e","max_attempts":2,"resumable":true,"target_gap_ms":30,"public":true},
  {"name":"r2","host":"h.example","path_prefix":"/p/","kind":"safe","timeout_ms":50,"target_latency_ms":40,"traffic_split":[{"service":"e","weight":90},{"service":"p","weight":10}],"public":true}],
@@ -101,8 +102,8 @@
 	})
 }
 
-// Guards against malformed notices that crash a sidecar or a gateway. Notices are
-// datagrams and may come from any sender.
+// Guards against malformed notices that crash a sidecar or a gateway. Notices, with which
+// gateways send sidecars the configuration, are datagrams and may come from any sender.
 func TestMalformedNoticeDoesNotPanic(t *testing.T) {
 	settings := &platform.Settings{IP: "127.0.0.1", Service: "e", InternalPorts: [2]int{17730, 17740}}
 	valid := `{"model":"m","region":"r","named":[{"version":2,"age_ms":5,"overdue":true}],"read":4,"demand":3.5,
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -73,14 +73,16 @@
 // a newer epoch or fence.
 const ErrStale = errors.ConstError("engine rejected a stale order")
 
-// Order is the body of a load or unload request.
+// Order is the body of a load or unload request. Epoch and Fence identify the request as
+// stale if the engine has received a higher one of either.
 type Order struct {
 	weights.Ref
 	Epoch int64 `json:"epoch"`
 	Fence int64 `json:"fence"`
 }
 
-// Claim is the response to a claim of the engine.
+// Claim is the response to a claim, the call with which a sidecar takes control of the
+// engine.
 type Claim struct {
 	Epoch int64 `json:"epoch"` // the epoch that the claim started
 	Fence int64 `json:"fence"` // the highest fence that the engine has received
@@ -189,7 +191,7 @@
 // the engine rejects the order as stale.
 func (c *Client) Unload(ctx context.Context, o Order) error { return c.order(ctx, PathUnload, o) }
 
-// order sends a load or unload order to a path. An order that the engine rejects as
+// order sends a load or unload command to a path. A command that the engine rejects as
 // stale, with 409, is an error of type ErrStale.
 func (c *Client) order(ctx context.Context, path string, o Order) error {
 	err := c.Call.JSON(ctx, http.MethodPost, c.Call.URL(c.Address, path), o, nil)
--- a/internal/tcpconn/tcpconn.go
+++ b/internal/tcpconn/tcpconn.go
@@ -28,7 +28,7 @@
 	probeCount = 2
 )
 
-// Idle times before the first keep-alive probe.
+// How long a connection must be idle before its first keep-alive probe.
 const (
 	// ProbeSoon is for connections on which a process waits for updates. An
 	// unresponsive peer is detected within 2 s.
@@ -41,6 +41,8 @@
 // tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
 const tcpUserTimeout = 18
 
+// keepAlive returns the keep-alive settings of connections; idle is the idle time before
+// the first probe.
 func keepAlive(idle time.Duration) net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: idle, Interval: probeInterval, Count: probeCount}
 }
