--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// reservedSlots is how many slots startsAtOnce leaves free for requests that
-// other gateways may be sending at the same time.
+// reservedSlots is how many of an engine's slots, its concurrent requests,
+// startsAtOnce leaves for requests that other gateways may be sending.
 const reservedSlots = 2
 
 // unavailable reports whether the endpoint is skipped for now, because of its
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -179,6 +179,7 @@
 	return f.byID[r.ID]
 }
 
+// sameModels reports whether a and b, which map models to versions, are equal.
 func sameModels(a, b map[string]int) bool {
 	if len(a) != len(b) {
 		return false
@@ -255,8 +256,8 @@
 func (f *Fleet) Len() int { return len(f.byID) }
 
 // Addresses returns the addresses of a service's watched endpoints in two lists.
-// current holds those whose sidecar has reported, within reportTTL, the
-// WeightsChecksum sum; others holds the rest.
+// current holds those whose sidecar has reported, within reportTTL, that
+// its routing.WeightsConfig has the checksum sum; others holds the rest.
 func (f *Fleet) Addresses(service string, sum uint32, now time.Time) (current, others []string) {
 	for _, e := range f.watched(service) {
 		if e.fresh(now) && e.report.WeightsChecksum == sum {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -14,6 +14,7 @@
 // start is the time at which the tests start.
 var start = time.Unix(1000, 0)
 
+// model is the model that the engines of the tests serve.
 const model = "m"
 
 // engines returns a fleet of n engines of service s with ids from "a", which hold
--- a/fleet/permits.go
+++ b/fleet/permits.go
@@ -46,7 +46,7 @@
 // Reason is the kind of backpressure signal that closes endpoints.
 type Reason int
 
-// The reasons.
+// The reasons, of which Open means that no signal closes the endpoints.
 const (
 	Open       Reason = iota // at least one endpoint is open
 	Limited                  // the rate limit is used up
@@ -54,6 +54,7 @@
 	Draining                 // the endpoint takes no new requests
 )
 
+// String returns the predicate of a message about the endpoints of a service.
 func (r Reason) String() string {
 	return [...]string{"are open", "are at their limits", "want backoff", "are draining"}[r]
 }
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -21,6 +21,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
+// The model of the tests, its number of chunks and the size of each in bytes.
 const (
 	testModel  = "m"
 	testChunks = 16
@@ -36,6 +37,7 @@
 	return out
 }
 
+// manifestOf returns the manifest of a version of testModel.
 func manifestOf(version int) *Manifest {
 	m := &Manifest{Model: testModel, Version: version, ChunkBytes: testBytes}
 	for n := range testChunks {
@@ -76,6 +78,8 @@
 	return bytes.Clone(e.stage[chunk]), nil
 }
 
+// Start implements Engine. It loads the staged chunks at once and records in mixed
+// whether they include another version's.
 func (e *fakeEngine) Start(_ context.Context, s Start) (Outcome, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,6 +120,7 @@
 	delay            time.Duration // of each call of Chunk and limitedOrigin.Manifest
 }
 
+// Manifest implements Origin. It corrupts the manifest while corruptManifests is not 0.
 func (o *fakeOrigin) Manifest(_ context.Context, _ string, version int) (*Manifest, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -132,6 +137,7 @@
 	return m, nil
 }
 
+// Chunk implements Origin. It corrupts the chunk if corrupt says so.
 func (o *fakeOrigin) Chunk(_ context.Context, _ string, version, n int) ([]byte, error) {
 	time.Sleep(o.delay)
 	o.mu.Lock()
--- a/installer/load.go
+++ b/installer/load.go
@@ -9,8 +9,8 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// Start is an order to the engine to load the staged chunks in place of the version
-// that it has loaded.
+// Start is a command to the engine, also called an order, to load the staged chunks
+// in place of the version that it has loaded.
 type Start struct {
 	Model   string
 	Version int
@@ -23,11 +23,10 @@
 	Orders int64
 }
 
-// Outcome is the result of a start order, that is, of sending a Start to the engine,
-// as far as it is known.
+// Outcome is the result of sending a Start to the engine, as far as it is known.
 type Outcome int
 
-// The outcomes of a start order.
+// The outcomes of a Start.
 const (
 	// Unknown means that the engine may have accepted the order or may still
 	// accept it.
@@ -41,18 +40,18 @@
 
 // Timing of a load.
 const (
-	// maxCheckAge bounds the age of a check of the staged chunks when the start order
-	// is sent, counted from the start of the check. An older check is repeated, as
-	// staged chunks may become corrupt.
+	// maxCheckAge is the maximum duration of the check of all staged chunks that
+	// precedes a Start. A check that took longer is repeated, as the chunks that it
+	// read first may have become corrupt since.
 	maxCheckAge = time.Second
-	// enginePollInterval is the pause between two reads of the engine's state
-	// while the outcome of a start is awaited.
+	// enginePollInterval is the pause between two reads of the engine's state while
+	// the sidecar waits for the engine to load a version.
 	enginePollInterval = 50 * time.Millisecond
 )
 
 // load loads the version of s into the engine. It returns false if that failed.
 //
-// The engine may accept a start order seconds after the sidecar's call has timed
+// The engine may accept a Start seconds after the sidecar's call has timed
 // out, and then loads the chunks that are staged at that time. So every order
 // carries the expected count of accepted orders. An order without a response is
 // sent again, with the same version staged, until its outcome is known. The engine
@@ -122,7 +121,7 @@
 	return true
 }
 
-// sendStart sends a start order to the engine. state is the engine's last state, and
+// sendStart commands the engine to load the staged chunks of s. state is the engine's last state, and
 // checked is when the last check of the staged chunks started.
 func (i *Installer) sendStart(ctx context.Context, s *updateStep, state EngineState, checked time.Time) Outcome {
 	m := s.replica.manifest
@@ -149,7 +148,7 @@
 }
 
 // awaitStart waits until the engine has loaded the version of s and verifies the load.
-// The engine has accepted the start order; before is its state before that.
+// The engine has accepted the Start; before is its state before that.
 // It returns false if the engine restarted, did not load the version within
 // startTimeout, or the verification failed.
 func (i *Installer) awaitStart(ctx context.Context, s *updateStep, before EngineState) bool {
--- a/installer/order.go
+++ b/installer/order.go
@@ -4,27 +4,27 @@
 
 import "time"
 
-// serveDelay is the estimated time from when the origin has sent a version's last
+// serveDelay is the estimated delay from when the origin has sent a version's last
 // chunk until engines serve the version.
 const serveDelay = 1300 * time.Millisecond
 
-// remainingWork describes what is left to do until a version can be served, and by
-// when it should be served.
-type remainingWork struct {
+// fetchEstimate describes how long the fetch of a target version still takes and by
+// when engines must serve the version. It is the input of the forecasts.
+type fetchEstimate struct {
 	// originTime is how long the origin takes to send the chunks that neither this
 	// box nor a known peer holds.
 	originTime time.Duration
-	// cutoff is the time from which gateways do not route to engines with older
-	// versions; zero if unknown.
+	// cutoff is the version's routing cutoff: from this time, gateways send no
+	// requests to engines with older versions. It is zero if unknown.
 	cutoff time.Time
 }
 
 // forecast is the estimated effect of a choice about the fetch of two versions: to
 // fetch the older one first, or the newer one only.
 type forecast struct {
-	// gap is the total time in which no engine has a version that gateways route to.
-	// slack is the time from when a version is served until its cutoff, the smallest
-	// for all fetched versions. It is negative if one is late.
+	// gap is the total duration in which no engine has a version that gateways route to.
+	// slack is the smallest duration, over the fetched versions, from when a version
+	// is served until its cutoff. It is negative if a version is late.
 	gap, slack time.Duration
 }
 
@@ -39,7 +39,7 @@
 
 // forecastOlderFirst returns the forecast for the case that the origin sends the rest
 // of the older version before the newer one.
-func forecastOlderFirst(older, newer remainingWork, now time.Time) forecast {
+func forecastOlderFirst(older, newer fetchEstimate, now time.Time) forecast {
 	served := now.Add(older.originTime + serveDelay)
 	next := served.Add(newer.originTime)
 	useful := max(newer.cutoff.Sub(older.cutoff), 0)
@@ -52,19 +52,19 @@
 // forecastNewerOnly returns the forecast for the case that the fetch of the older
 // version is abandoned. The newer version must then be served by the cutoff of the
 // older one.
-func forecastNewerOnly(older, newer remainingWork, now time.Time) forecast {
+func forecastNewerOnly(older, newer fetchEstimate, now time.Time) forecast {
 	slack := older.cutoff.Sub(now.Add(newer.originTime + serveDelay))
 	return forecast{gap: max(-slack, 0), slack: slack}
 }
 
-// remainingWork returns what is left to do until t can be served; Installer.mu is
-// held.
-func (i *Installer) remainingWork(t target) remainingWork {
+// estimateFetch returns the estimate for the fetch of t. Only the chunks that neither
+// this box nor a known peer holds must come from the origin. Installer.mu is held.
+func (i *Installer) estimateFetch(t target) fetchEstimate {
 	missing := i.params.Chunks
 	if r := i.replicaLocked(t.version); r != nil {
 		missing -= r.reachable()
 	}
-	return remainingWork{originTime: time.Duration(missing) * chunkInterval(i.params), cutoff: i.routingCutoff(t)}
+	return fetchEstimate{originTime: time.Duration(missing) * chunkInterval(i.params), cutoff: i.routingCutoff(t)}
 }
 
 // shouldFinishOlder reports whether to complete the fetch of t before that of the
@@ -80,7 +80,7 @@
 	if n := i.replicaLocked(newest.version); n != nil && n.complete() {
 		return false
 	}
-	older, newer := i.remainingWork(t), i.remainingWork(newest)
+	older, newer := i.estimateFetch(t), i.estimateFetch(newest)
 	if older.cutoff.IsZero() || newer.cutoff.IsZero() {
 		return float64(r.reachable()) >= finishOlderMinShare*float64(len(r.chunks))
 	}
--- a/installer/scale_test.go
+++ b/installer/scale_test.go
@@ -39,6 +39,7 @@
 	return nil
 }
 
+// Manifest implements Origin. It fails if too many calls are in progress.
 func (o *limitedOrigin) Manifest(ctx context.Context, model string, version int) (*Manifest, error) {
 	defer o.open.Add(-1)
 	if err := o.accept(); err != nil {
@@ -49,6 +50,7 @@
 	return o.fakeOrigin.Manifest(ctx, model, version)
 }
 
+// Chunk implements Origin. It fails if too many calls are in progress.
 func (o *limitedOrigin) Chunk(ctx context.Context, model string, version, n int) ([]byte, error) {
 	defer o.open.Add(-1)
 	if err := o.accept(); err != nil {
--- a/installer/stage.go
+++ b/installer/stage.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// shouldStage reports whether arriving chunks of r are staged. They are if r is newer
+// shouldStage reports whether arriving chunks of r are stored at the engine for the
+// next load (staged). They are if r is newer
 // than the engine's verified version and no other such replica holds more chunks.
 // Installer.mu is held.
 func (i *Installer) shouldStage(r *replica) bool {
--- a/installer/start.go
+++ b/installer/start.go
@@ -164,8 +164,8 @@
 	return t.setAt.Add(d - min(routingCutoffMargin, time.Duration(routingCutoffShare*float64(d))))
 }
 
-// slotPositionLocked returns the position of this engine's slot between the first
-// slot and the last, in [0, 1). It is 0 for a box that is not in peerList.
+// slotPositionLocked returns the position of this engine's slot, the time at which
+// its update starts, between the first slot (0) and the last (1, excluded). It is 0 for a box that is not in peerList.
 // Installer.mu is held.
 func (i *Installer) slotPositionLocked() float64 {
 	order := slices.Clone(i.peerList)
@@ -259,7 +259,7 @@
 	i.updateScheduled = s != nil && !s.engineEmpty && s.drainLimit > 0
 }
 
-// UpdateScheduled reports whether the engine has a slot, in which it will be drained
+// UpdateScheduled reports whether a time is set at which the engine will be drained
 // and updated, and the drain has not started yet.
 func (i *Installer) UpdateScheduled() bool {
 	i.mu.Lock()
@@ -275,6 +275,7 @@
 	return i.draining
 }
 
+// setDraining sets whether gateways are told to send the engine no new requests.
 func (i *Installer) setDraining(draining bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/installer/start_test.go
+++ b/installer/start_test.go
@@ -16,6 +16,7 @@
 	"github.com/mintlift/mintlift/transfer"
 )
 
+// testDeadline is the time within which all engines must serve a target version.
 const testDeadline = 8 * time.Second
 
 // newLoadedInstaller returns an installer whose engine has version 1 loaded, with
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -85,7 +85,7 @@
 	ReasonDraining Reason = "draining"
 	// ReasonVersion: the sidecar does not serve the requested version.
 	ReasonVersion Reason = "version"
-	// ReasonBusy: no slot is free at the endpoint.
+	// ReasonBusy: the endpoint already runs as many requests as it can at once.
 	ReasonBusy Reason = "busy"
 	// ReasonNotHome: another sidecar is the home of the idempotency key.
 	ReasonNotHome Reason = "not_home"
@@ -201,7 +201,8 @@
 	Has string `json:"has"`
 }
 
-// Claim requests permission to run an attempt from the home of its idempotency key.
+// Claim requests permission to run an attempt. It is sent to the home of the attempt's
+// idempotency key: the sidecar process that stores what is known of the key.
 type Claim struct {
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
@@ -228,7 +229,8 @@
 	Offset int64 `json:"offset"`
 }
 
-// Finish reports the outcome of a granted attempt to the home of its key.
+// Finish reports the outcome of an attempt to the home of its idempotency key, which
+// has granted the attempt's Claim.
 type Finish struct {
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
@@ -243,8 +245,8 @@
 const (
 	// HeaderChunk is the number of the chunk in the body.
 	HeaderChunk = "Mintlift-Chunk"
-	// HeaderHeld and HeaderExists are the fields Held and Exists of the sender's
-	// transfer.Availability, as bitmaps from EncodeBits.
+	// HeaderHeld is the bitmap, from EncodeBits, of the chunks that the sender holds.
+	// HeaderExists is that of the chunks that any box of its region is known to hold.
 	HeaderHeld   = "Mintlift-Held"
 	HeaderExists = "Mintlift-Exists"
 )
@@ -293,17 +295,18 @@
 	return b, nil
 }
 
-// SetAvailability sets HeaderHeld and HeaderExists to the bitmaps of a, the chunks
-// that the sender holds and those that its region is known to hold.
+// SetAvailability sets HeaderHeld to the chunks that the sender itself holds, and
+// HeaderExists to those that any box of its region is known to hold.
 func SetAvailability(h http.Header, a transfer.Availability) {
 	h.Set(HeaderHeld, EncodeBits(a.Held))
 	h.Set(HeaderExists, EncodeBits(a.Exists))
 }
 
 // ParseAvailability parses the headers set by SetAvailability, for a version with
-// the given number of chunks. If HeaderHeld is missing or invalid, both bitmaps of
-// the result are nil, which means unknown. If only HeaderExists is missing or
-// invalid, only Exists is nil.
+// the given number of chunks. Held is the bitmap of the chunks that the sender holds,
+// and Exists that of the chunks that any box of the sender's region is known to hold.
+// If HeaderHeld is missing or invalid, both are nil, which means unknown. If only
+// HeaderExists is missing or invalid, only Exists is nil.
 func ParseAvailability(h http.Header, chunks int) transfer.Availability {
 	held, err := DecodeBits(h.Get(HeaderHeld), chunks)
 	if err != nil {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -13,6 +13,7 @@
 	"github.com/mintlift/mintlift/weights"
 )
 
+// The time at which the tests start, and the versions that their endpoints serve.
 var (
 	epoch = time.Unix(1000, 0)
 	v1    = weights.Ref{Model: "m", Version: "v1"}
--- a/route/subset.go
+++ b/route/subset.go
@@ -41,7 +41,8 @@
 	return ranked[:n]
 }
 
-// pairWeight returns the rendezvous weight of a gateway and an endpoint.
+// pairWeight returns the weight by which Subset ranks a gateway and an endpoint: a
+// hash of both names.
 func pairWeight(gateway, endpoint string) uint64 {
 	return xxhash.Sum64String(gateway + "\x00" + endpoint)
 }
--- a/transfer/order.go
+++ b/transfer/order.go
@@ -9,12 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxRanks is the maximum number of boxes that an Order stores for a chunk of a region.
+// maxRanks is the maximum number of boxes that an Order stores for each chunk in each
+// region. The rank of a box, from 0, is its position in the region's rendezvous order
+// for the chunk. The box of rank 0 fetches the chunk into the region; the next ranks
+// replace it if it fails.
 const maxRanks = 8
 
-// Order is the rendezvous order of a plan. For each region and chunk it holds the boxes
-// responsible for the chunk's first fetch, by rank. It depends only on the plan, so all
-// boxes compute the same order.
+// Order holds, for each region and chunk of a plan, the boxes responsible for fetching
+// the chunk into the region (its first fetch), sorted by rendezvous hashing. It depends
+// only on the plan, so all boxes compute the same order.
 type Order struct {
 	// ranking holds box names by region, chunk and rank.
 	ranking map[string][][]string
@@ -47,7 +50,8 @@
 	return o
 }
 
-// partnerRanks is the number of ranks of a chunk, from 0, whose boxes are partners.
+// partnerRanks is the number of boxes that are partners for a chunk: those of the
+// first ranks, which are responsible for fetching the chunk into their region.
 // Partners query each other at the start of a transfer. A partner that does not respond
 // is skipped at once instead of after a TakeOverDelay.
 const partnerRanks = 3
@@ -100,8 +104,8 @@
 	return out
 }
 
-// rankAmong returns the rank of box in the rendezvous order of chunk c if only box and
-// peers are ordered.
+// rankAmong returns the position of box, from 0, in the rendezvous order of chunk c
+// over box and peers only.
 func rankAmong(c int, box string, peers []*peerState) int {
 	own := weight(c, box)
 	rank := 0
@@ -113,7 +117,8 @@
 	return rank
 }
 
-// weight returns the rendezvous weight of box for chunk c.
+// weight returns the rendezvous weight of box for chunk c, a hash of both. The box of
+// the highest weight has rank 0.
 func weight(c int, box string) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(c))
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -100,8 +100,8 @@
 	// UploadQueueLength is the number of pulls that may wait for an upload slot.
 	// Further pulls are refused, so that their boxes pull from other peers.
 	UploadQueueLength = 1
-	// maxFirstFetches limits the first fetches, and other reads from the
-	// origin, that a box has in flight.
+	// maxFirstFetches limits the chunks that a box has in flight from the origin or
+	// from another region.
 	maxFirstFetches = 2
 )
 
@@ -360,8 +360,8 @@
 // Held returns a copy of the bitmap of verified chunks.
 func (s *Swarm) Held() *bitset.BitSet { return s.held.Clone() }
 
-// Availability is sent with each response to a pull. A nil bitmap stands for
-// unknown.
+// Availability describes which chunks of a version the sender of a response to a pull
+// holds, and which its region holds. A nil bitmap stands for unknown.
 type Availability struct {
 	// Held are the chunks that the sender holds.
 	Held *bitset.BitSet
@@ -371,7 +371,8 @@
 	Exists *bitset.BitSet
 }
 
-// Availability returns the availability to send with a response.
+// Availability returns the chunks that this box and its region hold, for the response
+// to a pull.
 func (s *Swarm) Availability() Availability {
 	return Availability{Held: s.held.Clone(), Exists: s.exists.Clone()}
 }
@@ -460,14 +461,14 @@
 	return Pull{}, false
 }
 
-// Parameters of the read window: while the origin is behind schedule, such as after an
-// outage, a box reads a chunk only if fewer earlier chunks than the window's size are
-// still missing in its region.
+// Parameters of the read window. It limits first fetches, which bring a chunk into a
+// region, while the origin is behind schedule, such as after an outage: a box reads a
+// chunk only if fewer earlier chunks than the window's size are missing in its region.
 const (
-	// behindThreshold is how long after its scheduled time a first fetch is subject to
-	// the read window.
+	// behindThreshold is the delay behind schedule from which the read window applies
+	// to a first fetch.
 	behindThreshold = 500 * time.Millisecond
-	// propagationTime is the estimated time until the boxes of a region have received
+	// propagationTime is the estimated delay until the boxes of a region have received
 	// the information that one of them holds a new chunk. The size of the window is
 	// the number of chunks that the origin sends in that time, plus windowSlack.
 	propagationTime = 400 * time.Millisecond
@@ -475,7 +476,8 @@
 	windowSlack = 4
 )
 
-// outsideReadWindow reports whether to defer f because it is outside the read window.
+// outsideReadWindow reports whether to defer f because too many earlier chunks are
+// still missing in the region.
 // After an outage of the origin all first fetches are overdue. If all chunks were read
 // at once, all would be complete late, with no time left to distribute them.
 func (s *Swarm) outsideReadWindow(f scheduledFetch, since time.Duration) bool {
@@ -507,9 +509,8 @@
 	return s.params.Chunks - int(s.held.UnionCardinality(s.exists))
 }
 
-// NextFirstFetch is like Next, but returns only scheduled first fetches. It is for a
-// box that must not start other pulls but should still bring its chunks into the
-// region.
+// NextFirstFetch is like Next, but returns only scheduled first fetches: pulls that
+// bring a chunk into the region. It is for a box that must not start other pulls.
 func (s *Swarm) NextFirstFetch(now time.Time) Pull {
 	if s.Done() || s.pulls >= s.pullLimit() {
 		return Pull{Wait: idleBackoffMin}
--- a/weights/copy.go
+++ b/weights/copy.go
@@ -42,6 +42,7 @@
 	return &Copy{manifest: m, state: Absent, held: bitset.New(uint(len(m.Chunks)))}
 }
 
+// Manifest returns the manifest of the version, which the copy shares.
 func (c *Copy) Manifest() *Manifest { return c.manifest }
 
 func (c *Copy) State() CopyState { return c.state }
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -31,8 +31,8 @@
 	// ErrChunkMismatch means that a chunk's size or digest does not match the
 	// manifest.
 	ErrChunkMismatch = errors.ConstError("chunk does not match its digest")
-	// ErrInvalidTransition means that a copy's state does not allow the
-	// requested operation.
+	// ErrInvalidTransition means that a Copy is not in a state that allows the
+	// requested state transition, such as serving before it is loaded.
 	ErrInvalidTransition = errors.ConstError("copy cannot make this move")
 )
 
@@ -153,6 +153,7 @@
 	n    int64
 }
 
+// NewHasher returns a Hasher that has read no bytes.
 func NewHasher() *Hasher { return &Hasher{hash: sha256.New()} }
 
 // Write implements io.Writer. It never returns an error.
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -11,8 +11,10 @@
 	"pgregory.net/rapid"
 )
 
+// ref is the version that the tests use.
 var ref = Ref{Model: "draft", Version: "v1"}
 
+// manifest returns a manifest of ref for chunks with the given contents.
 func manifest(chunks ...string) *Manifest {
 	m := &Manifest{Ref: ref, ChunkBytes: 4}
 	for _, c := range chunks {
