--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -101,8 +101,8 @@
 
 // Parameters of overdueCost.
 const (
-	// reportOverdue is the time without a report after which the next one is
-	// overdue. It allows for one lost report.
+	// reportOverdue is the time without data from an engine or its sidecar after which
+	// the next report is overdue. It allows for one lost report.
 	reportOverdue = 350 * time.Millisecond
 	// overdueWeight is the cost of each millisecond beyond reportOverdue.
 	overdueWeight = 4
@@ -121,7 +121,8 @@
 	// delayHigh is the delay or firstByteLag from which an engine is not expected to
 	// begin a request at once.
 	delayHigh = 100 * time.Millisecond
-	// lagWeight is the weight of the newest attempt in firstByteLag.
+	// lagWeight is the weight of the newest attempt in the moving average
+	// firstByteLag, from 0 to 1.
 	lagWeight = 0.3
 	// lagNormal is the highest firstByteLag that adds no cost.
 	lagNormal = 150 * time.Millisecond
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -86,16 +86,17 @@
 
 // Parameters of report expiry and ejection.
 const (
-	// reportTTL is how long a report is used.
+	// reportTTL is the maximum age of a load report that is used.
 	reportTTL = 900 * time.Millisecond
 	// recentReport is the age from which a report no longer shows that the engine can
 	// begin a request at once: the box may have been suspended since.
 	recentReport = 150 * time.Millisecond
 	// ejectMin and ejectMax bound how long an endpoint is ejected after a connection
-	// failure. The time doubles with each consecutive failure.
+	// failure, that is, not chosen. The time doubles with each consecutive failure.
 	ejectMin = 400 * time.Millisecond
 	ejectMax = 4 * time.Second
-	// failureWeight is the weight of the newest attempt in Endpoint.failureRate.
+	// failureWeight is the weight of the newest attempt in the moving average
+	// Endpoint.failureRate, from 0 to 1.
 	failureWeight = 0.12
 )
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -76,6 +76,8 @@
 	assert.Equal(t, chosen(f, query(), start), "", "own attempts must count at once")
 }
 
+// An endpoint must not be chosen if the platform's list marks it as draining or does
+// not contain it anymore.
 func TestDrainingAndRemovedEndpointsAreNotChosen(t *testing.T) {
 	f := engines(2)
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1", Draining: true, Models: map[string]int{model: 1}})
@@ -122,6 +124,8 @@
 	assert.Equal(t, chosen(f, query(), start), "b", "the limit has ended")
 }
 
+// An engine must not be chosen while it reports that it loads a version or is drained
+// for that.
 func TestBusyEngineIsNotChosen(t *testing.T) {
 	f := engines(1)
 	r := report("a", 1, 0, 0)
@@ -130,6 +134,7 @@
 	assert.Equal(t, chosen(f, query(), start), "")
 }
 
+// An engine must not be chosen before its record or a report lists the model.
 func TestEngineWithoutModelIsNotChosen(t *testing.T) {
 	f := New(Place{Zone: "z"})
 	f.Put(Record{ID: "a", Service: "s", Address: "a:1"})
@@ -237,6 +242,7 @@
 	assert.Equal(t, chosen(f, query(), later), "a")
 }
 
+// Endpoints without failed attempts must be preferred to one whose attempts failed.
 func TestFailingEndpointIsAvoided(t *testing.T) {
 	f := engines(2)
 	for range 10 {
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -108,10 +108,10 @@
 	return out
 }
 
-// PermitAllocator returns the address of the relay whose sidecar grants permits for
-// requests to the endpoint with the given id. It is for endpoints with a rate limit
-// and no sidecar of their own. Gateways with the same relays get the same result,
-// which is empty if there are no relays.
+// PermitAllocator returns the address, one of relays, whose sidecar grants gateways
+// permits for requests to the endpoint with the given id. It is for endpoints with a
+// rate limit and no sidecar of their own. relays is a result of Relays. Gateways with
+// the same relays get the same result, which is empty if there are no relays.
 func PermitAllocator(relays []string, id string) string {
 	weight := func(address string) uint64 { return xxhash.Sum64String(id + "/" + address) }
 	best := ""
@@ -123,8 +123,8 @@
 	return best
 }
 
-// lowestWeight returns the n endpoints with the lowest weights, in order; it
-// reorders list.
+// lowestWeight sorts list by ascending weight, such as a rendezvous hash, and returns
+// its first n endpoints.
 func lowestWeight(list []*Endpoint, n int, weight func(*Endpoint) uint64) []*Endpoint {
 	slices.SortFunc(list, func(a, b *Endpoint) int { return cmp.Compare(weight(a), weight(b)) })
 	return list[:min(n, len(list))]
--- a/installer/fetch.go
+++ b/installer/fetch.go
@@ -214,11 +214,11 @@
 const (
 	// maxPulls is the maximum number of pulls in flight for a replica.
 	maxPulls = 3
-	// extraFirstFetches is the number of additional pulls that are allowed for
-	// chunks that no other box is known to hold.
+	// extraFirstFetches is the number of additional pulls that are allowed for chunks
+	// that no box of the region is known to hold.
 	extraFirstFetches = 1
-	// slowLinkFactor is the multiple of the expected chunk time above which the
-	// link counts as slow and only one pull is allowed.
+	// slowLinkFactor is a multiple of the expected duration of a chunk's transfer. If
+	// transfers take longer, the link counts as slow and only one pull is allowed.
 	slowLinkFactor = 5
 	// pullPollInterval is the pause before the swarm is queried again if no pull
 	// can be started.
--- a/installer/installer.go
+++ b/installer/installer.go
@@ -66,7 +66,7 @@
 	Model string
 	// Version is the version that the engine has loaded completely, or 0.
 	Version int
-	// Busy is set while the engine executes an order.
+	// Busy is set while the engine executes an order, such as a Start.
 	Busy bool
 	// Orders is the number of orders that the engine has accepted.
 	Orders int64
@@ -92,7 +92,7 @@
 	Put(ctx context.Context, model string, chunk int, data []byte) error
 	// Get returns a staged chunk, or nil if the chunk is not staged.
 	Get(ctx context.Context, model string, chunk int) ([]byte, error)
-	// Start orders the engine to load the staged chunks. Unless the outcome is
+	// Start commands the engine to load the staged chunks. Unless the outcome is
 	// Accepted, the error is the reason.
 	Start(ctx context.Context, s Start) (Outcome, error)
 }
@@ -169,7 +169,8 @@
 	engineStateAt time.Time // when engineState was reported; zero before the first report
 	draining      bool      // the engine is being drained for an update
 	// expectedLoad identifies the load that results if the engine accepts the last
-	// start order. verifiedLoad identifies the last load that counts as verified.
+	// load command (Start). verifiedLoad identifies the last load that counts as
+	// verified.
 	expectedLoad, verifiedLoad loadID
 	// updateScheduled is set while an update of the engine with a preceding drain is
 	// planned or in progress.
@@ -192,7 +193,8 @@
 	ageUnknown bool
 }
 
-// maxTargets is the maximum number of target versions that are kept.
+// maxTargets is the maximum number of target versions, set by the operator, that an
+// Installer remembers.
 const maxTargets = 3
 
 // replica is this box's copy of a version, complete or not.
@@ -263,8 +265,8 @@
 // no time at which it was set. overdue is set if that gateway has seen the version
 // served and routes to no older version. If overdue is still reported after
 // overdueGrace and no gateway has reported the age, the version's deadline counts as
-// passed. Its update then starts without waiting for the engine's slot, as the
-// engine gets no requests until it is updated.
+// passed. Its update then starts at once instead of at the engine's time in the
+// rollout, as the engine gets no requests until it is updated.
 func (i *Installer) AddTargetOfUnknownAge(model string, version int, overdue bool, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -280,7 +282,8 @@
 	}
 }
 
-// addTargetLocked merges a report of a target version into the targets.
+// addTargetLocked merges a gateway's report that the operator has set a version to be
+// served into the targets.
 // Installer.mu is held. Reports of another model are ignored. A version that is not
 // newer than the newest target is not added, but the report may update the time of a
 // target.
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -46,7 +46,7 @@
 	return m
 }
 
-// fakeEngine is an Engine that loads the staged chunks as soon as it is ordered to.
+// fakeEngine is an Engine that loads the staged chunks as soon as Start is called.
 type fakeEngine struct {
 	mu      sync.Mutex
 	state   EngineState
@@ -54,9 +54,10 @@
 	started []int // versions loaded
 	mixed   bool  // a load included chunks of another version than the ordered one
 	running int   // requests in progress
-	cut     int   // requests aborted by start orders
+	cut     int   // requests aborted by Start
 }
 
+// State implements Engine.
 func (e *fakeEngine) State(context.Context) (EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,6 +66,7 @@
 	return s, nil
 }
 
+// Put implements Engine.
 func (e *fakeEngine) Put(_ context.Context, _ string, chunk int, data []byte) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -72,6 +74,7 @@
 	return nil
 }
 
+// Get implements Engine.
 func (e *fakeEngine) Get(_ context.Context, _ string, chunk int) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,7 +103,7 @@
 	return Accepted, nil
 }
 
-// load stages a version and loads it, without an order.
+// load stages a version and loads it, without counting an order as Start does.
 func (e *fakeEngine) load(version int) {
 	for n := range testChunks {
 		e.stage[n] = chunkOf(version, n)
@@ -288,7 +291,7 @@
 	c.checkLoads()
 }
 
-// Staged chunks that become corrupt or are lost before the start order must be staged
+// Staged chunks that become corrupt or are lost before Start must be staged
 // again.
 func TestCorruptStagedChunkIsReplaced(t *testing.T) {
 	c := newCluster(t, 1, 1, 900*time.Millisecond, engineLoadedWith(1))
--- a/installer/obtain.go
+++ b/installer/obtain.go
@@ -30,14 +30,14 @@
 	fetchRoundTimeout = 6 * time.Second
 	fetchRoundJitter  = 4 * time.Second
 	// startTimeout is how long the engine may take to load a version after it has
-	// accepted the start order.
+	// accepted the command to load it.
 	startTimeout = 3 * time.Second
 )
 
 // Close closes idle connections to other sidecars.
 func (i *Installer) Close() { i.client.client.CloseIdleConnections() }
 
-// job is a running fetchTask.
+// job is the goroutine that carries out a fetchTask; cancel ends it.
 type job struct {
 	task   fetchTask
 	cancel context.CancelFunc
@@ -100,8 +100,8 @@
 }
 
 // finishOlderMinShare is the share of an older version's chunks that must be held
-// here or by other sidecars for its fetch to be continued, if the ages of the
-// versions are unknown.
+// here or by other sidecars for its fetch to be continued, if it is unknown when the
+// operator set the versions.
 const finishOlderMinShare = 0.6
 
 // fetchTasks returns the versions to fetch now and a channel that is closed when the
--- a/installer/peers.go
+++ b/installer/peers.go
@@ -50,7 +50,8 @@
 	// a chunk.
 	maxManifestBytes = 4 << 20
 	maxChunkBytes    = 16 << 20
-	// maxQueuedUploads is the maximum number of pulls that wait for an upload slot.
+	// maxQueuedUploads is the maximum number of pulls that wait for one of the
+	// maxUploads concurrent uploads to end.
 	maxQueuedUploads = 3
 	// maxUploads is the maximum number of concurrent uploads.
 	maxUploads = 3
--- a/installer/start.go
+++ b/installer/start.go
@@ -177,7 +177,7 @@
 	return float64(at) / float64(len(order))
 }
 
-// slotTime returns the time of the engine's slot for the update to the version of r.
+// slotTime returns the engine's slot: when its update to the version of r starts.
 // setAt is when the operator set the target whose deadline the engine must meet.
 // position is the result of slotPositionLocked. Installer.mu is held.
 func (i *Installer) slotTime(r *replica, setAt time.Time, position float64) time.Time {
@@ -193,8 +193,8 @@
 }
 
 // canSkip reports whether the engine need not be updated to t because it is expected
-// to serve next, the target after t, before the routing cutoff of t. Installer.mu is
-// held.
+// to serve next, the target after t, before gateways stop routing to engines with
+// versions older than t. Installer.mu is held.
 func (i *Installer) canSkip(t, next target, position float64, now time.Time) bool {
 	if r := i.replicaLocked(next.version); r != nil && r.complete() {
 		return true
--- a/installer/uploads.go
+++ b/installer/uploads.go
@@ -39,7 +39,8 @@
 	slots, queue, chunkWaiters chan struct{}
 }
 
-// acquire acquires the semaphore s. It returns false if ctx ends first.
+// acquire acquires the semaphore s, waiting if necessary. It returns false if ctx ends
+// first.
 func acquire(ctx context.Context, s chan struct{}) bool {
 	select {
 	case s <- struct{}{}:
--- a/installer/verify.go
+++ b/installer/verify.go
@@ -10,8 +10,8 @@
 	"github.com/mintlift/mintlift/internal/clock"
 )
 
-// An engine reports the version number in the start order that it accepted. The
-// chunks that were staged at that time may be of another version. So gateways send
+// An engine reports the version number in the load command (Start) that it
+// accepted. The chunks that were staged at that time may be of another version. So gateways send
 // requests only to an engine whose load is verified. A load is verified in one of
 // three cases:
 //
@@ -19,7 +19,7 @@
 //   - It is the load in the engine's first report to this sidecar process.
 //   - The engine's process has accepted no order: it started with its version.
 //
-// Any other load is unverified, such as one by a delayed start order of an earlier
+// Any other load is unverified, such as one by a delayed Start of an earlier
 // sidecar process. The engine then counts as empty and is loaded again.
 
 // loadID identifies one load of an engine by the start time of the engine's process,
@@ -40,7 +40,8 @@
 	return i.engineState.Version
 }
 
-// unverified reports whether the engine has a version loaded that is not verified.
+// unverified reports whether the engine has a version loaded that is not verified: its
+// weights may be of another version than it reports.
 // Installer.mu is held.
 func (i *Installer) unverified() bool {
 	return i.engineState.Version != 0 && i.engineState.Orders != 0 && i.verifiedLoad != loadIDOf(i.engineState)
@@ -54,16 +55,16 @@
 	return i.unverified()
 }
 
-// expectStart records that a start order is about to be sent to the engine. state is
-// the engine's last state.
+// expectStart records that a load command (Start) is about to be sent to the engine.
+// state is the engine's last state.
 func (i *Installer) expectStart(state EngineState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.expectedLoad = loadID{state.StartedMS, state.Orders + 1}
 }
 
-// startAccepted reports whether state shows that the engine accepted the last
-// start order.
+// startAccepted reports whether state shows that the engine accepted the last load
+// command (Start) of this process.
 func (i *Installer) startAccepted(state EngineState) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -147,8 +148,8 @@
 }
 
 // intermediateVersion returns the version to load before the newest one, if the engine
-// reports the newest version and that is unverified; see otherReplica. It is the
-// version before the newest, and has to be fetched. The result is 0 if no such load
+// reports the newest version and that is unverified, as an engine does not load the
+// version that it reports. It is the version before the newest, and has to be fetched. The result is 0 if no such load
 // is needed or a replica for it is complete. Installer.mu is held.
 func (i *Installer) intermediateVersion() int {
 	newest := i.newestTarget().version
@@ -199,7 +200,7 @@
 	i.engineState = s
 	i.engineStateAt = clock.Now()
 	if first {
-		i.verifiedLoad = loadIDOf(s) // load stages no other version while the engine may still accept a start order
+		i.verifiedLoad = loadIDOf(s) // load stages no other version while the engine may still accept a Start
 	}
 	if first || old.Version != s.Version || old.Busy != s.Busy || old.Orders != s.Orders || old.StartedMS != s.StartedMS {
 		i.log.Info("engine state changed", "model", s.Model, "version", s.Version, "was", old.Version, "busy", s.Busy, "orders", s.Orders, "born", s.StartedMS,
--- a/route/route.go
+++ b/route/route.go
@@ -198,7 +198,7 @@
 // load is the larger of the reported load and the gateway's own requests in flight.
 func (e *endpoint) load() int { return max(e.inFlight, e.Load) }
 
-// full reports whether all slots are in use.
+// full reports whether the endpoint has as many requests as it runs concurrently.
 func (e *endpoint) full() bool { return e.Slots > 0 && e.load() >= e.Slots }
 
 // preferred returns the candidate that the prefix maps to by rendezvous hashing.
@@ -300,7 +300,7 @@
 	BudgetBurst = 20
 )
 
-// AddRequest adds BudgetShare to the budget, for one request.
+// AddRequest counts a request, which allows for BudgetShare of a retry.
 func (b *Budget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/transfer/results.go
+++ b/transfer/results.go
@@ -8,7 +8,7 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Offered records that the response to p contains the given chunk, and returns whether
+// Offered records that the response to p contains the given chunk, and reports whether
 // to accept the response. For a pull FromPeer it sets p.Chunk, and returns false if the
 // chunk is held or in flight already. For other pulls it returns false if the chunk is
 // not p.Chunk. If it returns false, the caller discards the response and calls Drop.
@@ -161,7 +161,7 @@
 	}
 }
 
-// AddAvailability records the availability that a box has reported.
+// AddAvailability records which chunks a box has reported to hold and which its region.
 func (s *Swarm) AddAvailability(box string, a Availability) {
 	if ps := s.byBox[box]; ps != nil {
 		s.mergeAvailability(ps, a)
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -209,8 +209,8 @@
 	localStall bool
 }
 
-// scheduledFetch is the first fetch of a chunk that this box does, at its scheduled
-// time, if no box of a lower rank has done it by then.
+// scheduledFetch is a chunk that this box fetches from outside the region at a
+// scheduled time, unless a box before it in the chunk's order has done so by then.
 type scheduledFetch struct {
 	chunk int
 	// ahead are the boxes before this one in the chunk's order. rank is the number of
@@ -278,8 +278,8 @@
 	return slices.Contains(s.params.OriginRegions, s.self.Region)
 }
 
-// InheritTiming copies the start time and the timing state of an earlier swarm for
-// the same version, so that its schedule and delays continue.
+// InheritTiming copies the start time, the backoff of the origin and other timing
+// state of an earlier swarm for the same version, so that its schedule and delays continue.
 func (s *Swarm) InheritTiming(earlier *Swarm) {
 	s.start = earlier.start
 	s.lastArrival = earlier.lastArrival
@@ -289,8 +289,8 @@
 	s.chunkTime = earlier.chunkTime
 }
 
-// buildSchedule computes the first fetches of those missing chunks for which this box
-// has one of the first maxRanks ranks in its region.
+// buildSchedule computes the schedule of the missing chunks that this box may have to
+// fetch into its region: those for which it is among the first maxRanks boxes.
 func (s *Swarm) buildSchedule(o *Order) {
 	for c, ranked := range o.ranking[s.self.Region] {
 		rank := slices.Index(ranked, s.self.Box)
@@ -326,8 +326,8 @@
 }
 
 // MarkUnresponsive records that a box of this box's region did not respond to a query.
-// The box no longer counts in the ranks of the first fetches, so that the next rank
-// need not wait for it. It is backed off like a peer that stalls.
+// The boxes after it in the order of a chunk then do not wait for it before they fetch
+// the chunk into the region. It is backed off like a peer that stalls.
 func (s *Swarm) MarkUnresponsive(box string, now time.Time) {
 	if s.unresponsive[box] {
 		return
@@ -497,8 +497,9 @@
 	return missingBefore >= window
 }
 
-// takeOverPaused reports whether take-over by ranks above 0 is suspended because the
-// transfer is idle, which may mean that the origin or the remote region is down.
+// takeOverPaused reports whether boxes are kept from fetching chunks in place of the
+// boxes responsible for them (take-over), because the transfer is
+// idle, which may mean that the origin or the remote region is down.
 func (s *Swarm) takeOverPaused(now time.Time) bool {
 	return s.params.PauseTakeOver && now.Sub(s.lastArrival) > s.params.IdleTimeout
 }
