--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -43,8 +43,8 @@
 	// MaxLoad is the number of requests at which an endpoint counts as full; 0 is
 	// no bound.
 	MaxLoad float64
-	// PrefillMS is the time that an engine needs to read the prompt of the request.
-	// MeanPrefillMS is the time that it needs for an average prompt. Both are in
+	// PrefillMS is how long an engine takes to read the prompt of the request.
+	// MeanPrefillMS is how long it takes for an average prompt. Both are in
 	// milliseconds, and 0 for plain services.
 	PrefillMS, MeanPrefillMS float64
 	// Slots is how many requests an engine runs concurrently. SlotIntervalMS is the
@@ -259,8 +259,8 @@
 	return cost + e.firstByteMS(q, load, now)
 }
 
-// halfPassMS is the mean time, in milliseconds, until an engine starts its next
-// pass over the running requests, which a new request must wait for.
+// halfPassMS is the mean delay, in milliseconds, until an engine starts its next pass
+// over the running requests. A new request waits for that.
 const halfPassMS = 60.0
 
 // firstByteMS estimates the time until the first bytes of a new request's
--- a/installer/manifest.go
+++ b/installer/manifest.go
@@ -30,8 +30,8 @@
 	manifestHoldHops = 4
 )
 
-// ancestors returns the boxes from which the box of s requests the manifest of a
-// version, its parent in the tree first and the root last. It is empty for the root
+// ancestors returns the boxes of its region from which the box of s requests the
+// manifest of a version: its parent in the region's tree first and the root last. It is empty for the root
 // and for a box that is not listed. Other boxes that are draining are left out of
 // the tree.
 func ancestors(peers []Peer, s Settings, version int) []Peer {
--- a/installer/start.go
+++ b/installer/start.go
@@ -25,14 +25,14 @@
 	// firstSlotShare is the time of the first slot, as a share of the deadline. The
 	// first slot is later if the replica is complete only later.
 	firstSlotShare = 0.3
-	// lastSlotMargin is the time from the last slot to the deadline. It is at most
+	// lastSlotMargin is the duration from the last slot to the deadline. It is at most
 	// lastSlotMarginShare of the deadline.
 	lastSlotMargin      = 1200 * time.Millisecond
 	lastSlotMarginShare = 0.15
 )
 
-// lastSlot returns the time of the last slot, counted from when the target version
-// was set.
+// lastSlot returns the delay from when the operator sets a target version until the
+// last engine's update starts.
 func lastSlot(deadline time.Duration) time.Duration {
 	return deadline - min(lastSlotMargin, time.Duration(lastSlotMarginShare*float64(deadline)))
 }
@@ -53,7 +53,7 @@
 	drainPropagation = 200 * time.Millisecond
 	// updateTime is the estimated duration of a drain and a load.
 	updateTime = drainTimeout + 400*time.Millisecond
-	// routingCutoffMargin is the time from the routing cutoff to the deadline. It is at
+	// routingCutoffMargin is the duration from the routing cutoff to the deadline. It is at
 	// most routingCutoffShare of the deadline.
 	routingCutoffMargin = 1900 * time.Millisecond
 	routingCutoffShare  = 0.25
@@ -212,8 +212,8 @@
 
 // Expected progress of a fetch.
 const (
-	// firstChunksGrace is the time allowed for a version's first chunks to arrive,
-	// counted from when the target was set.
+	// firstChunksGrace is how long after the operator set a target version its first
+	// chunks may arrive without the fetch counting as slow.
 	firstChunksGrace = 800 * time.Millisecond
 	// fetchTimeFactor is the expected duration of a fetch, in multiples of the time
 	// that the box's link needs to receive the model.
--- a/installer/verify.go
+++ b/installer/verify.go
@@ -149,8 +149,9 @@
 
 // intermediateVersion returns the version to load before the newest one, if the engine
 // reports the newest version and that is unverified, as an engine does not load the
-// version that it reports. It is the version before the newest, and has to be fetched. The result is 0 if no such load
-// is needed or a replica for it is complete. Installer.mu is held.
+// version that it reports. It is the version before the newest,
+// and has to be fetched. The result is 0 if no such load is needed or a replica for it
+// is complete. Installer.mu is held.
 func (i *Installer) intermediateVersion() int {
 	newest := i.newestTarget().version
 	if !i.unverified() || i.engineState.Busy || i.engineState.Version != newest || i.otherReplica() != nil {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -101,7 +101,7 @@
 	ChunkBytes int
 	// Layers is the number of layers of the model.
 	Layers int
-	// Step is the time that an engine needs for one token if it runs a single request.
+	// Step is how long an engine takes for one token if it runs a single request.
 	Step time.Duration
 	// Stride is how many steps an engine runs between two checks of its queue.
 	Stride int
--- a/transfer/order.go
+++ b/transfer/order.go
@@ -57,7 +57,7 @@
 const partnerRanks = 3
 
 // Partners returns the partners of box, which is in region: for each chunk for which
-// box has one of the first partnerRanks ranks, the other boxes with these ranks. Their
+// box is among the first partnerRanks in the rendezvous order, the others of these. Their
 // number is bounded independently of the size of the region. In a small region they
 // are all other boxes.
 func (o *Order) Partners(region, box string) []string {
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -108,7 +108,7 @@
 // Kind is the kind of a pull, by its source.
 type Kind int
 
-// The kinds of a pull.
+// The kinds of a pull, of which None stands for no pull.
 const (
 	// None means that there is no pull to start until Wait has passed or a pull ends.
 	None Kind = iota
@@ -162,7 +162,7 @@
 type peerState struct {
 	Peer
 	pulling bool // a pull from the peer is in flight
-	// retryAt is the time since Swarm.start from which the peer may be queried again.
+	// retryAt is the duration from Swarm.start until the peer may be queried again.
 	// idleBackoff is the current backoff after responses without a useful chunk, and
 	// penalty the current backoff after failures. Both double each time; zero means
 	// no backoff.
@@ -193,7 +193,7 @@
 	extraReads   int              // reads started so far within Params.ExtraOrigin
 	pulls        int              // all pulls in flight
 	lastArrival  time.Time
-	// catchUpAt is the time since start by which the origin or the remote region is
+	// catchUpAt is the duration from start to the time by which the origin or the remote region is
 	// expected, after an outage, to have sent the chunks that were missing. With
 	// PauseTakeOver, take-over delays start at that time.
 	catchUpAt time.Duration
@@ -217,8 +217,8 @@
 	// boxes in ahead that are not known to be unresponsive.
 	ahead []string
 	rank  int
-	// due is the time since Swarm.start at which the box of rank 0 fetches the chunk.
-	// at is the time since Swarm.start at which this box does.
+	// due is the duration from Swarm.start until the first box in the chunk's order
+	// fetches the chunk, and at the duration until this box does.
 	due, at time.Duration
 }
 
@@ -658,8 +658,8 @@
 	return out
 }
 
-// TakeOverDelay returns a value of Params.TakeOverDelay for a transfer that takes at
-// least minTime.
+// TakeOverDelay returns a value of Params.TakeOverDelay, the delay until the next box
+// fetches a chunk in place of a failed one, for a transfer that takes at least minTime.
 func TakeOverDelay(minTime time.Duration) time.Duration {
 	return max(minTime/20, 2*time.Second)
 }
