--- a/installer/manifest.go
+++ b/installer/manifest.go
@@ -31,9 +31,9 @@
 )
 
 // ancestors returns the boxes of its region from which the box of s requests the
-// manifest of a version: its parent in the region's tree first and the root last. It is empty for the root
-// and for a box that is not listed. Other boxes that are draining are left out of
-// the tree.
+// manifest of a version: its parent in the region's tree first and the root last. It
+// is empty for the root and for a box that is not listed. Other boxes that are
+// draining are left out of the tree.
 func ancestors(peers []Peer, s Settings, version int) []Peer {
 	var region []Peer
 	for _, p := range peers {
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -193,9 +193,9 @@
 	extraReads   int              // reads started so far within Params.ExtraOrigin
 	pulls        int              // all pulls in flight
 	lastArrival  time.Time
-	// catchUpAt is the duration from start to the time by which the origin or the remote region is
-	// expected, after an outage, to have sent the chunks that were missing. With
-	// PauseTakeOver, take-over delays start at that time.
+	// catchUpAt is the duration from start to the time by which the origin or the
+	// remote region is expected, after an outage, to have sent the chunks that were
+	// missing. With PauseTakeOver, take-over delays start at that time.
 	catchUpAt time.Duration
 	// originRetry is the time from which the origin may be queried again.
 	originRetry time.Time
