--- a/peer/peer.go
+++ b/peer/peer.go
@@ -229,8 +229,8 @@
 	Offset int64 `json:"offset"`
 }
 
-// Finish reports the outcome of an attempt to the home of its idempotency key, which
-// has granted the attempt's Claim.
+// Finish reports the outcome of an attempt whose Claim was granted. It is sent to the
+// home of the attempt's idempotency key.
 type Finish struct {
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
