--- a/peer/peer.go
+++ b/peer/peer.go
@@ -85,7 +85,8 @@
 	ReasonDraining Reason = "draining"
 	// ReasonVersion: the sidecar does not serve the requested version.
 	ReasonVersion Reason = "version"
-	// ReasonBusy: the endpoint already runs as many requests as it can at once.
+	// ReasonBusy: the endpoint runs as many requests as it can, and the sidecar's queue
+	// is full or the request was evicted from it by one of higher priority.
 	ReasonBusy Reason = "busy"
 	// ReasonNotHome: another sidecar is the home of the idempotency key.
 	ReasonNotHome Reason = "not_home"
