--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -100,15 +100,15 @@
 	// UploadQueueLength is the number of pulls that may wait for an upload slot.
 	// Further pulls are refused, so that their boxes pull from other peers.
 	UploadQueueLength = 1
-	// maxFirstFetches limits the first fetches, and other reads from the
-	// origin, that a box has in flight.
+	// maxFirstFetches limits the chunks that a box has in flight from the origin or
+	// from another region.
 	maxFirstFetches = 2
 )
 
 // Kind is the kind of a pull, by its source.
 type Kind int
 
-// The kinds of a pull.
+// The kinds of a pull, of which None stands for no pull.
 const (
 	// None means that there is no pull to start until Wait has passed or a pull ends.
 	None Kind = iota
@@ -162,7 +162,7 @@
 type peerState struct {
 	Peer
 	pulling bool // a pull from the peer is in flight
-	// retryAt is the time since Swarm.start from which the peer may be queried again.
+	// retryAt is the duration from Swarm.start until the peer may be queried again.
 	// idleBackoff is the current backoff after responses without a useful chunk, and
 	// penalty the current backoff after failures. Both double each time; zero means
 	// no backoff.
@@ -193,9 +193,9 @@
 	extraReads   int              // reads started so far within Params.ExtraOrigin
 	pulls        int              // all pulls in flight
 	lastArrival  time.Time
-	// catchUpAt is the time since start by which the origin or the remote region is
-	// expected, after an outage, to have sent the chunks that were missing. With
-	// PauseTakeOver, take-over delays start at that time.
+	// catchUpAt is the duration from start to the time by which the origin or the
+	// remote region is expected, after an outage, to have sent the chunks that were
+	// missing. With PauseTakeOver, take-over delays start at that time.
 	catchUpAt time.Duration
 	// originRetry is the time from which the origin may be queried again.
 	originRetry time.Time
@@ -209,16 +209,16 @@
 	localStall bool
 }
 
-// scheduledFetch is the first fetch of a chunk that this box does, at its scheduled
-// time, if no box of a lower rank has done it by then.
+// scheduledFetch is a chunk that this box fetches from outside the region at a
+// scheduled time, unless a box before it in the chunk's order has done so by then.
 type scheduledFetch struct {
 	chunk int
 	// ahead are the boxes before this one in the chunk's order. rank is the number of
 	// boxes in ahead that are not known to be unresponsive.
 	ahead []string
 	rank  int
-	// due is the time since Swarm.start at which the box of rank 0 fetches the chunk.
-	// at is the time since Swarm.start at which this box does.
+	// due is the duration from Swarm.start until the first box in the chunk's order
+	// fetches the chunk, and at the duration until this box does.
 	due, at time.Duration
 }
 
@@ -278,8 +278,8 @@
 	return slices.Contains(s.params.OriginRegions, s.self.Region)
 }
 
-// InheritTiming copies the start time and the timing state of an earlier swarm for
-// the same version, so that its schedule and delays continue.
+// InheritTiming copies the start time, the backoff of the origin and other timing
+// state of an earlier swarm for the same version, so that its schedule and delays continue.
 func (s *Swarm) InheritTiming(earlier *Swarm) {
 	s.start = earlier.start
 	s.lastArrival = earlier.lastArrival
@@ -289,8 +289,8 @@
 	s.chunkTime = earlier.chunkTime
 }
 
-// buildSchedule computes the first fetches of those missing chunks for which this box
-// has one of the first maxRanks ranks in its region.
+// buildSchedule computes the schedule of the missing chunks that this box may have to
+// fetch into its region: those for which it is among the first maxRanks boxes.
 func (s *Swarm) buildSchedule(o *Order) {
 	for c, ranked := range o.ranking[s.self.Region] {
 		rank := slices.Index(ranked, s.self.Box)
@@ -326,8 +326,8 @@
 }
 
 // MarkUnresponsive records that a box of this box's region did not respond to a query.
-// The box no longer counts in the ranks of the first fetches, so that the next rank
-// need not wait for it. It is backed off like a peer that stalls.
+// The boxes after it in the order of a chunk then do not wait for it before they fetch
+// the chunk into the region. It is backed off like a peer that stalls.
 func (s *Swarm) MarkUnresponsive(box string, now time.Time) {
 	if s.unresponsive[box] {
 		return
@@ -360,8 +360,8 @@
 // Held returns a copy of the bitmap of verified chunks.
 func (s *Swarm) Held() *bitset.BitSet { return s.held.Clone() }
 
-// Availability is sent with each response to a pull. A nil bitmap stands for
-// unknown.
+// Availability describes which chunks of a version the sender of a response to a pull
+// holds, and which its region holds. A nil bitmap stands for unknown.
 type Availability struct {
 	// Held are the chunks that the sender holds.
 	Held *bitset.BitSet
@@ -371,7 +371,8 @@
 	Exists *bitset.BitSet
 }
 
-// Availability returns the availability to send with a response.
+// Availability returns the chunks that this box and its region hold, for the response
+// to a pull.
 func (s *Swarm) Availability() Availability {
 	return Availability{Held: s.held.Clone(), Exists: s.exists.Clone()}
 }
@@ -460,14 +461,14 @@
 	return Pull{}, false
 }
 
-// Parameters of the read window: while the origin is behind schedule, such as after an
-// outage, a box reads a chunk only if fewer earlier chunks than the window's size are
-// still missing in its region.
+// Parameters of the read window. It limits first fetches, which bring a chunk into a
+// region, while the origin is behind schedule, such as after an outage: a box reads a
+// chunk only if fewer earlier chunks than the window's size are missing in its region.
 const (
-	// behindThreshold is how long after its scheduled time a first fetch is subject to
-	// the read window.
+	// behindThreshold is the delay behind schedule from which the read window applies
+	// to a first fetch.
 	behindThreshold = 500 * time.Millisecond
-	// propagationTime is the estimated time until the boxes of a region have received
+	// propagationTime is the estimated delay until the boxes of a region have received
 	// the information that one of them holds a new chunk. The size of the window is
 	// the number of chunks that the origin sends in that time, plus windowSlack.
 	propagationTime = 400 * time.Millisecond
@@ -475,7 +476,8 @@
 	windowSlack = 4
 )
 
-// outsideReadWindow reports whether to defer f because it is outside the read window.
+// outsideReadWindow reports whether to defer f because too many earlier chunks are
+// still missing in the region.
 // After an outage of the origin all first fetches are overdue. If all chunks were read
 // at once, all would be complete late, with no time left to distribute them.
 func (s *Swarm) outsideReadWindow(f scheduledFetch, since time.Duration) bool {
@@ -495,8 +497,9 @@
 	return missingBefore >= window
 }
 
-// takeOverPaused reports whether take-over by ranks above 0 is suspended because the
-// transfer is idle, which may mean that the origin or the remote region is down.
+// takeOverPaused reports whether boxes are kept from fetching chunks in place of the
+// boxes responsible for them (take-over), because the transfer is
+// idle, which may mean that the origin or the remote region is down.
 func (s *Swarm) takeOverPaused(now time.Time) bool {
 	return s.params.PauseTakeOver && now.Sub(s.lastArrival) > s.params.IdleTimeout
 }
@@ -507,9 +510,8 @@
 	return s.params.Chunks - int(s.held.UnionCardinality(s.exists))
 }
 
-// NextFirstFetch is like Next, but returns only scheduled first fetches. It is for a
-// box that must not start other pulls but should still bring its chunks into the
-// region.
+// NextFirstFetch is like Next, but returns only scheduled first fetches: pulls that
+// bring a chunk into the region. It is for a box that must not start other pulls.
 func (s *Swarm) NextFirstFetch(now time.Time) Pull {
 	if s.Done() || s.pulls >= s.pullLimit() {
 		return Pull{Wait: idleBackoffMin}
@@ -656,8 +658,8 @@
 	return out
 }
 
-// TakeOverDelay returns a value of Params.TakeOverDelay for a transfer that takes at
-// least minTime.
+// TakeOverDelay returns a value of Params.TakeOverDelay, the delay until the next box
+// fetches a chunk in place of a failed one, for a transfer that takes at least minTime.
 func TakeOverDelay(minTime time.Duration) time.Duration {
 	return max(minTime/20, 2*time.Second)
 }
