--- a/admin/plans.go
+++ b/admin/plans.go
@@ -18,7 +18,8 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
-// createIntent proposes a plan for the intent in the request. No weights are
+// createIntent proposes a plan for the intent in the request, an operator's request for
+// the rollout of a model version. No weights are
 // transferred before the plan is confirmed.
 func (s *Server) createIntent(r *http.Request, operator string) (any, error) {
 	var in intent.Intent
@@ -120,6 +121,7 @@
 	return out
 }
 
+// plans returns all plans in the sequence in which they were proposed.
 func (s *Server) plans(*http.Request, string) (any, error) {
 	out := []*intent.Plan{}
 	s.Replica.View(func(st *state.State) {
@@ -130,6 +132,7 @@
 	return out, nil
 }
 
+// plan returns the plan that the request's path names by its ID.
 func (s *Server) plan(r *http.Request, _ string) (any, error) { return s.findPlan(pathID(r)) }
 
 // findPlan returns the plan with an ID, or a CodeNotFound error.
@@ -192,10 +195,12 @@
 	}
 }
 
+// reject ends a proposed plan, one that no operator has confirmed yet.
 func (s *Server) reject(r *http.Request, operator string) (any, error) {
 	return s.endPlan(r, operator, intent.Proposed, intent.Rejected)
 }
 
+// cancel ends a confirmed plan.
 func (s *Server) cancel(r *http.Request, operator string) (any, error) {
 	return s.endPlan(r, operator, intent.Confirmed, intent.Cancelled)
 }
--- a/admin/server.go
+++ b/admin/server.go
@@ -67,7 +67,7 @@
 	// Bootstrap returns the key of the bootstrap operator, or "" if there is none.
 	Bootstrap func() string
 	Logger    logr.Logger
-	// Weighing is the default for plans whose intent has none.
+	// Weighing selects the cost that plans minimize if their intent does not select it.
 	Weighing intent.Weighing
 	// PlanTTL is how long after its proposal a plan can be confirmed.
 	PlanTTL time.Duration
@@ -117,6 +117,7 @@
 	}}
 }
 
+// writeError sends e as JSON, with the HTTP status of its code.
 func writeError(w http.ResponseWriter, e *Error) {
 	httpserve.WriteJSON(w, httpStatusOf[e.Code], errorBody{Error: e})
 }
@@ -178,6 +179,7 @@
 // log is reported as unresponsive.
 const logUnresponsiveAfter = 10 * time.Second
 
+// status returns the state of this gateway and of its replica of the event log.
 func (s *Server) status(*http.Request, string) (any, error) {
 	out := Status{Gateway: s.Cluster.Self(), LogUnresponsive: time.Since(s.Replica.Contact()) > logUnresponsiveAfter}
 	s.Replica.View(func(st *state.State) {
@@ -187,6 +189,7 @@
 	return out, nil
 }
 
+// boxes returns the listed boxes, each with the status that its process sent on request.
 func (s *Server) boxes(r *http.Request, _ string) (any, error) {
 	return s.Cluster.ProbeEndpoints(r.Context()), nil
 }
--- a/backpressure/quota_test.go
+++ b/backpressure/quota_test.go
@@ -56,7 +56,9 @@
 	stopped, suspended bool
 }
 
+// Times of a simulation. Those that are points in time count from its start.
 const (
+	// step is the time between two steps of the simulation.
 	step = 5 * time.Millisecond
 	// settleTime is the time after the start from which the limit must be kept.
 	settleTime = 3 * time.Second
@@ -90,14 +92,15 @@
 	records   []Record
 	responses []time.Time
 	// share is this gateway's share of the demand, and recent is its decaying number
-	// of requests. slot is when it may send again. Only sharesByDemand uses them.
+	// of requests. slot is the start of the next period in which it may send a request.
+	// Only sharesByDemand uses them.
 	share, recent float64
 	slot          time.Time
 	// limitedAt is when the first response with the limit was received.
 	limitedAt time.Time
 }
 
-// outcome is the outcome of a simulation.
+// outcome is what a simulation measures.
 type outcome struct {
 	// sent holds the send times of all requests. counted holds those that must keep
 	// the limit, since their gateways have had it for graceTime.
@@ -212,7 +215,8 @@
 	}
 }
 
-// observe records when all busy gateways have the limit, and when none has it.
+// observe sets out.known once all busy gateways have received the limit, and out.ended
+// once no gateway applies it any more.
 func (sim simulation) observe(all []*gateway, at time.Duration, out *outcome) {
 	limited, running := 0, 0
 	for n, g := range all[:sim.busy] {
@@ -267,8 +271,9 @@
 // allowed returns the highest number of requests allowed in a window.
 func (sim simulation) allowed() int { return int(factor*sim.rate*window.Seconds()) + slack }
 
-// With permits, the gateways keep and use the limit, and notice its start and end in
-// time, also if one of them stops or is suspended.
+// With permits, the gateways together must neither exceed the limit nor leave much of it
+// unused, and must notice its start and end in time, also if one of them stops or is
+// suspended.
 func TestLimitIsKeptAndUsed(t *testing.T) {
 	for _, sim := range simulations(byPermits) {
 		t.Run(sim.String(), func(t *testing.T) {
@@ -344,8 +349,8 @@
 	return fmt.Sprintf("%5.2f s", d.Seconds())
 }
 
-// The limit is kept while some or all gateways cannot reach the sidecar and use their
-// own slots.
+// The limit must be kept while some or all gateways cannot reach the sidecar that grants
+// permits, and instead send one request in each of their own slots.
 func TestLimitIsKeptWithoutTheSidecar(t *testing.T) {
 	for _, gateways := range []int{2, 6, 53} {
 		for _, rate := range []float64{0, 0.4, 2, 20} {
--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -27,8 +27,9 @@
 	"github.com/mintlift/mintlift/state"
 )
 
+// Timing of grants of idempotency keys.
 const (
-	// Lease is how long a home may grant keys after its last contact with the
+	// Lease is how long the home of a key may grant it after its last contact with the
 	// event log.
 	Lease = 20 * time.Second
 	// MaxClockSkew is the assumed bound on the difference between the clocks
@@ -44,7 +45,8 @@
 	RefusalTTL = 10 * time.Second
 )
 
-// HomeOf returns the home of a key, or false when there are no homes.
+// HomeOf returns the home of a key, the sidecar process that stores what is known of it,
+// or false when there are no homes.
 func HomeOf(key string, homes []state.Home) (state.Home, bool) {
 	var best state.Home
 	var bestWeight uint64
@@ -57,9 +59,10 @@
 	return best, len(homes) > 0
 }
 
-// Verdict is the result of Admit.
+// Verdict is the result of Admit: whether a sidecar may grant a key, and if not, why.
 type Verdict int
 
+// Verdicts of Admit.
 const (
 	// Run means that the request may run: no other home can have granted the
 	// key.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -86,16 +86,17 @@
 
 // Parameters of report expiry and ejection.
 const (
-	// reportTTL is how long a report is used.
+	// reportTTL is the maximum age of a load report that is used.
 	reportTTL = 900 * time.Millisecond
 	// recentReport is the age from which a report no longer shows that the engine can
 	// begin a request at once: the box may have been suspended since.
 	recentReport = 150 * time.Millisecond
 	// ejectMin and ejectMax bound how long an endpoint is ejected after a connection
-	// failure. The time doubles with each consecutive failure.
+	// failure, that is, not chosen. The time doubles with each consecutive failure.
 	ejectMin = 400 * time.Millisecond
 	ejectMax = 4 * time.Second
-	// failureWeight is the weight of the newest attempt in Endpoint.failureRate.
+	// failureWeight is the weight of the newest attempt in the moving average
+	// Endpoint.failureRate, from 0 to 1.
 	failureWeight = 0.12
 )
 
@@ -179,6 +180,7 @@
 	return f.byID[r.ID]
 }
 
+// sameModels reports whether a and b, which map models to versions, are equal.
 func sameModels(a, b map[string]int) bool {
 	if len(a) != len(b) {
 		return false
@@ -255,8 +257,8 @@
 func (f *Fleet) Len() int { return len(f.byID) }
 
 // Addresses returns the addresses of a service's watched endpoints in two lists.
-// current holds those whose sidecar has reported, within reportTTL, the
-// WeightsChecksum sum; others holds the rest.
+// current holds those whose sidecar has reported, within reportTTL, that
+// its routing.WeightsConfig has the checksum sum; others holds the rest.
 func (f *Fleet) Addresses(service string, sum uint32, now time.Time) (current, others []string) {
 	for _, e := range f.watched(service) {
 		if e.fresh(now) && e.report.WeightsChecksum == sum {
--- a/gateway/idempotency.go
+++ b/gateway/idempotency.go
@@ -56,9 +56,9 @@
 	return fail
 }
 
-// claimKey requests a grant for the key from its home. It retries, with the same
-// request ID, if no response arrives or if the sidecar is not the key's home. The
-// result may be a denial. The failure is not nil if there is no result.
+// claimKey requests a grant for the key, permission to run its request, from its home. It
+// retries, with the same request ID, if no response arrives or if the sidecar is not the
+// key's home. The result may be a denial. The failure is not nil if there is no result.
 func (d *Daemon) claimKey(q *request) (state.Home, peer.ClaimResult, *failure) {
 	var lastError string
 	for attempt := range maxClaimAttempts {
@@ -91,8 +91,8 @@
 	return state.Home{}, peer.ClaimResult{}, fail
 }
 
-// homeOf returns a key's home according to this gateway's replica, and the
-// replica's offset.
+// homeOf returns the home of the request's key, the sidecar process that stores what is
+// known of it, according to this gateway's replica, and the replica's offset.
 func (d *Daemon) homeOf(q *request) (home state.Home, offset int64, ok bool) {
 	d.Replica.View(func(s *state.State) {
 		offset = s.Offset
--- a/ingress/admit.go
+++ b/ingress/admit.go
@@ -52,9 +52,10 @@
 	latencyTargetShare = 0.92
 )
 
-// Retry-After of refusals. It is retryAfterMin plus a random part of a spread. The
-// spread is retryAfterSpread, plus retryAfterRefusedSpread times the share of the
-// service's requests that are refused.
+// Parts of the Retry-After of a refusal, the time that the caller must wait before it
+// tries again: retryAfterMin plus a random part of a spread. The spread is
+// retryAfterSpread, plus retryAfterRefusedSpread times the share of the service's
+// requests that are refused.
 const (
 	retryAfterMin           = 350 * time.Millisecond
 	retryAfterSpread        = 500 * time.Millisecond
@@ -62,8 +63,9 @@
 	// retryAfterUnservable is added if no endpoint could serve the request at any
 	// load.
 	retryAfterUnservable = 600 * time.Millisecond
-	// maxRetryAfterClosed limits the time that is added while all endpoints are closed
-	// by their own signals. Other endpoints may be added before they open.
+	// maxRetryAfterClosed limits the time that is added for the end of a backoff or for
+	// a rate limit, if no endpoint accepts requests before. Other endpoints may be added
+	// in the meantime.
 	maxRetryAfterClosed = 10 * time.Second
 	// retryAfterUnready is the Retry-After while the gateway has no configuration. A
 	// random part of retryAfterUnreadySpread is added.
@@ -249,7 +251,7 @@
 	return q.MaxFirstByteMS > 0 && q.PrefillMS > 0 && q.MinFirstByteMS() > q.MaxFirstByteMS
 }
 
-// queueTimeout returns how long x may wait for an endpoint that responds in time.
+// queueTimeout returns how long x may wait for an endpoint that meets the target latency.
 func queueTimeout(x *exchange, now time.Time) time.Duration {
 	maxWait := defaultMaxWait
 	if x.route.TargetLatency > 0 {
@@ -258,9 +260,9 @@
 	return min(maxWait-now.Sub(x.start), x.expiresAt.Sub(now))
 }
 
-// retryAfter returns how long a refused caller should wait before it retries. If all
-// endpoints are closed by their own signals, such as draining, the Closure is the
-// reason; else its Reason is Open.
+// retryAfter returns how long a refused caller should wait before it retries. If no
+// endpoint accepts requests because all are draining, in backoff or at their rate limits,
+// the Closure describes this; else its Reason is Open.
 func (s *Server) retryAfter(x *exchange) (fleet.Closure, time.Duration) {
 	now := clock.Now()
 	s.mu.Lock()
@@ -286,8 +288,8 @@
 	return retryAfterUnready + rand.N(retryAfterUnreadySpread)
 }
 
-// slotIntervalMS returns the mean time between two slots becoming free at a fully
-// loaded engine, in milliseconds.
+// slotIntervalMS returns the mean interval in which a fully loaded engine finishes
+// requests and so can start others, in milliseconds.
 func slotIntervalMS(e *routing.Engine) float64 {
 	decodeMS := float64(e.MeanAnswerTokens) * float64(e.Step.Microseconds()) / 1000
 	return decodeMS/float64(max(e.Slots, 1)) + prefillMS(e, e.MeanPromptTokens)
--- a/installer/installer_test.go
+++ b/installer/installer_test.go
@@ -21,6 +21,7 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
+// The model of the tests, its number of chunks and the size of each in bytes.
 const (
 	testModel  = "m"
 	testChunks = 16
@@ -36,6 +37,7 @@
 	return out
 }
 
+// manifestOf returns the manifest of a version of testModel.
 func manifestOf(version int) *Manifest {
 	m := &Manifest{Model: testModel, Version: version, ChunkBytes: testBytes}
 	for n := range testChunks {
@@ -44,7 +46,7 @@
 	return m
 }
 
-// fakeEngine is an Engine that loads the staged chunks as soon as it is ordered to.
+// fakeEngine is an Engine that loads the staged chunks as soon as Start is called.
 type fakeEngine struct {
 	mu      sync.Mutex
 	state   EngineState
@@ -52,9 +54,10 @@
 	started []int // versions loaded
 	mixed   bool  // a load included chunks of another version than the ordered one
 	running int   // requests in progress
-	cut     int   // requests aborted by start orders
+	cut     int   // requests aborted by Start
 }
 
+// State implements Engine.
 func (e *fakeEngine) State(context.Context) (EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,6 +66,7 @@
 	return s, nil
 }
 
+// Put implements Engine.
 func (e *fakeEngine) Put(_ context.Context, _ string, chunk int, data []byte) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,12 +74,15 @@
 	return nil
 }
 
+// Get implements Engine.
 func (e *fakeEngine) Get(_ context.Context, _ string, chunk int) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return bytes.Clone(e.stage[chunk]), nil
 }
 
+// Start implements Engine. It loads the staged chunks at once and records in mixed
+// whether they include another version's.
 func (e *fakeEngine) Start(_ context.Context, s Start) (Outcome, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,7 +103,7 @@
 	return Accepted, nil
 }
 
-// load stages a version and loads it, without an order.
+// load stages a version and loads it, without counting an order as Start does.
 func (e *fakeEngine) load(version int) {
 	for n := range testChunks {
 		e.stage[n] = chunkOf(version, n)
@@ -116,6 +123,7 @@
 	delay            time.Duration // of each call of Chunk and limitedOrigin.Manifest
 }
 
+// Manifest implements Origin. It corrupts the manifest while corruptManifests is not 0.
 func (o *fakeOrigin) Manifest(_ context.Context, _ string, version int) (*Manifest, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -132,6 +140,7 @@
 	return m, nil
 }
 
+// Chunk implements Origin. It corrupts the chunk if corrupt says so.
 func (o *fakeOrigin) Chunk(_ context.Context, _ string, version, n int) ([]byte, error) {
 	time.Sleep(o.delay)
 	o.mu.Lock()
@@ -282,7 +291,7 @@
 	c.checkLoads()
 }
 
-// Staged chunks that become corrupt or are lost before the start order must be staged
+// Staged chunks that become corrupt or are lost before Start must be staged
 // again.
 func TestCorruptStagedChunkIsReplaced(t *testing.T) {
 	c := newCluster(t, 1, 1, 900*time.Millisecond, engineLoadedWith(1))
--- a/installer/start.go
+++ b/installer/start.go
@@ -25,14 +25,14 @@
 	// firstSlotShare is the time of the first slot, as a share of the deadline. The
 	// first slot is later if the replica is complete only later.
 	firstSlotShare = 0.3
-	// lastSlotMargin is the time from the last slot to the deadline. It is at most
+	// lastSlotMargin is the duration from the last slot to the deadline. It is at most
 	// lastSlotMarginShare of the deadline.
 	lastSlotMargin      = 1200 * time.Millisecond
 	lastSlotMarginShare = 0.15
 )
 
-// lastSlot returns the time of the last slot, counted from when the target version
-// was set.
+// lastSlot returns the delay from when the operator sets a target version until the
+// last engine's update starts.
 func lastSlot(deadline time.Duration) time.Duration {
 	return deadline - min(lastSlotMargin, time.Duration(lastSlotMarginShare*float64(deadline)))
 }
@@ -53,7 +53,7 @@
 	drainPropagation = 200 * time.Millisecond
 	// updateTime is the estimated duration of a drain and a load.
 	updateTime = drainTimeout + 400*time.Millisecond
-	// routingCutoffMargin is the time from the routing cutoff to the deadline. It is at
+	// routingCutoffMargin is the duration from the routing cutoff to the deadline. It is at
 	// most routingCutoffShare of the deadline.
 	routingCutoffMargin = 1900 * time.Millisecond
 	routingCutoffShare  = 0.25
@@ -164,8 +164,8 @@
 	return t.setAt.Add(d - min(routingCutoffMargin, time.Duration(routingCutoffShare*float64(d))))
 }
 
-// slotPositionLocked returns the position of this engine's slot between the first
-// slot and the last, in [0, 1). It is 0 for a box that is not in peerList.
+// slotPositionLocked returns the position of this engine's slot, the time at which
+// its update starts, between the first slot (0) and the last (1, excluded). It is 0 for a box that is not in peerList.
 // Installer.mu is held.
 func (i *Installer) slotPositionLocked() float64 {
 	order := slices.Clone(i.peerList)
@@ -177,7 +177,7 @@
 	return float64(at) / float64(len(order))
 }
 
-// slotTime returns the time of the engine's slot for the update to the version of r.
+// slotTime returns the engine's slot: when its update to the version of r starts.
 // setAt is when the operator set the target whose deadline the engine must meet.
 // position is the result of slotPositionLocked. Installer.mu is held.
 func (i *Installer) slotTime(r *replica, setAt time.Time, position float64) time.Time {
@@ -193,8 +193,8 @@
 }
 
 // canSkip reports whether the engine need not be updated to t because it is expected
-// to serve next, the target after t, before the routing cutoff of t. Installer.mu is
-// held.
+// to serve next, the target after t, before gateways stop routing to engines with
+// versions older than t. Installer.mu is held.
 func (i *Installer) canSkip(t, next target, position float64, now time.Time) bool {
 	if r := i.replicaLocked(next.version); r != nil && r.complete() {
 		return true
@@ -212,8 +212,8 @@
 
 // Expected progress of a fetch.
 const (
-	// firstChunksGrace is the time allowed for a version's first chunks to arrive,
-	// counted from when the target was set.
+	// firstChunksGrace is how long after the operator set a target version its first
+	// chunks may arrive without the fetch counting as slow.
 	firstChunksGrace = 800 * time.Millisecond
 	// fetchTimeFactor is the expected duration of a fetch, in multiples of the time
 	// that the box's link needs to receive the model.
@@ -259,7 +259,7 @@
 	i.updateScheduled = s != nil && !s.engineEmpty && s.drainLimit > 0
 }
 
-// UpdateScheduled reports whether the engine has a slot, in which it will be drained
+// UpdateScheduled reports whether a time is set at which the engine will be drained
 // and updated, and the drain has not started yet.
 func (i *Installer) UpdateScheduled() bool {
 	i.mu.Lock()
@@ -275,6 +275,7 @@
 	return i.draining
 }
 
+// setDraining sets whether gateways are told to send the engine no new requests.
 func (i *Installer) setDraining(draining bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -16,6 +16,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
+// v1 and v2 are two versions of one model.
 var (
 	v1 = weights.Ref{Model: "m", Version: "v1"}
 	v2 = weights.Ref{Model: "m", Version: "v2"}
@@ -56,6 +57,8 @@
 	return snap
 }
 
+// TestWeighingSelectsExtraCopies checks that only a plan that minimizes the rollout time
+// reads extra copies of the weights from the origin.
 func TestWeighingSelectsExtraCopies(t *testing.T) {
 	in := Intent{Ref: v2, Workspaces: []string{"a", "b"}}
 	fastest, err := NewPlan(in, manifest(v2), testSnapshot(12, 0, 0))
@@ -65,7 +68,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, fastest.ExtraCopies, 1.0)
 	assert.Equal(t, cheapest.ExtraCopies, 0.0)
-	assert.DeepEqual(t, fastest.Forecasts, cheapest.Forecasts) // each plan has a forecast for both weighings
+	assert.DeepEqual(t, fastest.Forecasts, cheapest.Forecasts) // each plan has the forecasts for both costs
 	assert.Assert(t, fastest.Forecasts[0].TimeToReplicas < fastest.Forecasts[1].TimeToReplicas)
 	assert.Assert(t, fastest.Forecasts[0].OriginBytes > fastest.Forecasts[1].OriginBytes)
 	assert.Equal(t, fastest.Priority, 60, "the highest priority of its workspaces")
@@ -74,6 +77,8 @@
 	assert.Equal(t, fastest.Base, int64(7))
 }
 
+// TestOneRegionReadsFromTheOrigin checks that the other regions read their first copy of
+// the weights from the region that reads it from the origin.
 func TestOneRegionReadsFromTheOrigin(t *testing.T) {
 	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}}, manifest(v2), testSnapshot(4, 0, 0))
 	assert.NilError(t, err)
@@ -87,6 +92,7 @@
 	}
 }
 
+// TestReplicasSpreadOverZones guards against putting most replicas in one zone.
 func TestReplicasSpreadOverZones(t *testing.T) {
 	p, err := NewPlan(Intent{Ref: v2, Workspaces: []string{"a"}, Replicas: 4}, manifest(v2), testSnapshot(12, 0, 0))
 	assert.NilError(t, err)
@@ -157,6 +163,8 @@
 	assert.Assert(t, !NextWaveKeepsFloor(p, snap.Boxes[3:], snap.Workspaces), "3 boxes are available, 2 would stop, floor 2")
 }
 
+// TestInvalidIntents checks the errors for invalid intents, and for valid ones that the
+// cluster cannot satisfy.
 func TestInvalidIntents(t *testing.T) {
 	for name, in := range map[string]Intent{
 		"no version":   {Workspaces: []string{"a"}},
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -65,7 +65,7 @@
 	SidecarSettings func(*settings.Sidecar)
 }
 
-// Box is an endpoint box of the lab.
+// Box is a machine of the lab that runs an endpoint and its sidecar.
 type Box struct {
 	Entry    membership.Box   // its entry in the box list
 	Engine   *standin.Engine  // nil if the endpoint is a plain service
@@ -111,7 +111,8 @@
 	return l, nil
 }
 
-// start starts the stand-ins, the gateways and the boxes.
+// start starts the stand-ins (test doubles of the platform's services), the gateways
+// and the boxes.
 func (l *Lab) start() error {
 	dir, err := os.MkdirTemp("", "mintlift-lab-")
 	if err != nil {
@@ -154,6 +155,7 @@
 	l.initial = append(l.initial, b)
 }
 
+// keyFile returns the path of the file with the operator's key.
 func (l *Lab) keyFile() string { return filepath.Join(l.dir, "operator.key") }
 
 // startPlatform starts the stand-ins for the log, the store and the box list.
@@ -171,8 +173,10 @@
 	return nil
 }
 
+// zone returns the zone with the given index, modulo the number of zones.
 func (l *Lab) zone(i int) membership.AvailabilityZone { return l.Zones[i%len(l.Zones)] }
 
+// nodeSettings returns the settings of a process on the given box and zone.
 func nodeSettings(box string, z membership.AvailabilityZone) settings.Node {
 	return settings.Node{Box: box, Region: z.Region, Zone: z.Zone}
 }
--- a/internal/lab/outcome_test.go
+++ b/internal/lab/outcome_test.go
@@ -45,6 +45,7 @@
 	requests int // requests read in full since setCut
 }
 
+// newFaultyService starts a faultyService on a loopback port for the time of the test.
 func newFaultyService(t *testing.T) *faultyService {
 	ln, err := net.Listen("tcp", anyLoopbackPort)
 	assert.NilError(t, err)
@@ -54,6 +55,7 @@
 	return f
 }
 
+// accept serves connections until the listener is closed.
 func (f *faultyService) accept() {
 	for {
 		conn, err := f.ln.Accept()
@@ -253,10 +255,10 @@
 	}
 }
 
-// TestUnknownOutlastsLaterRefusals checks that a request has outcome unknown
+// TestUnknownOutcomeIfRetryIsRefused checks that a request has outcome unknown
 // after one endpoint read it and closed the connection, even if a second
 // endpoint refuses the retry.
-func TestUnknownOutlastsLaterRefusals(t *testing.T) {
+func TestUnknownOutcomeIfRetryIsRefused(t *testing.T) {
 	f := newFaultyService(t)
 	f.setCut(cutsNever)
 	closed, err := net.Listen("tcp", anyLoopbackPort)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -32,7 +32,8 @@
 	return ctx, &Guard{limit: limit, timer: timer, cancel: cancel}
 }
 
-// Progress records that bytes have arrived and restarts the limit.
+// Progress records that bytes have arrived. From now on, the limit applies to the time
+// until the next call.
 func (g *Guard) Progress() { g.timer.Reset(g.limit) }
 
 // Stop stops the guard and cancels its context.
@@ -45,6 +46,7 @@
 // bytes.
 func (g *Guard) Reader(source io.Reader) io.Reader { return &reader{guard: g, source: source} }
 
+// reader calls Progress of guard for each read that returns bytes.
 type reader struct {
 	guard  *Guard
 	source io.Reader
--- a/internal/tcpconn/tcpconn_test.go
+++ b/internal/tcpconn/tcpconn_test.go
@@ -25,6 +25,7 @@
 	return local, peer
 }
 
+// waitFor polls ok until it returns true, and fails the test after 10 s.
 func waitFor(t *testing.T, ok func() bool) {
 	t.Helper()
 	for start := time.Now(); !ok(); time.Sleep(time.Millisecond) {
@@ -58,7 +59,8 @@
 	waitFor(t, func() bool { return Closed(local) })
 }
 
-// Closed must not report a connection that still has unread bytes.
+// Closed must return false while the connection has unread bytes, although the peer has
+// closed it.
 func TestUnreadBytesHideClose(t *testing.T) {
 	local, peer := pair(t)
 	_, err := peer.Write([]byte("x"))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -94,8 +94,8 @@
 	RequestTimeout time.Duration `json:"request_timeout"`
 	// DrainTimeout is the timeout of a graceful shutdown.
 	DrainTimeout time.Duration `json:"drain_timeout"`
-	// Weighing selects which of two costs plans keep low. An intent can
-	// override it.
+	// Weighing selects what plans minimize: the time until all replicas are ready, or
+	// the bytes read from the origin. An intent can override it.
 	Weighing intent.Weighing `json:"weighing"`
 	Links    Links           `json:"links"`
 	// PlanTTL is the time within which a proposed plan can be confirmed.
@@ -288,6 +288,7 @@
 	return string(b)
 }
 
+// gateway checks the settings of a gateway.
 func (c *checker) gateway(s *Gateway) {
 	c.node(s.Node)
 	c.platform(s.Platform)
@@ -309,6 +310,7 @@
 	c.telemetry(s.Log, s.Trace)
 }
 
+// sidecar checks the settings of a sidecar.
 func (c *checker) sidecar(s *Sidecar) {
 	c.node(s.Node)
 	c.platform(s.Platform)
@@ -323,12 +325,14 @@
 	c.telemetry(s.Log, s.Trace)
 }
 
+// node checks the names of the box, region and availability zone.
 func (c *checker) node(n Node) {
 	c.name("node.box", n.Box)
 	c.name("node.region", n.Region)
 	c.name("node.availability_zone", n.Zone)
 }
 
+// platform checks the addresses of the platform's services.
 func (c *checker) platform(p Platform) {
 	c.address("platform.log", p.Log)
 	c.address("platform.weight_store", p.WeightStore)
@@ -336,11 +340,13 @@
 	c.address("platform.box_list", p.BoxList)
 }
 
+// links checks the link rates.
 func (c *checker) links(l Links) {
 	c.rate("links.origin_bytes_per_second", l.Origin)
 	c.rate("links.box_bytes_per_second", l.Box)
 }
 
+// telemetry checks the settings of logs and traces.
 func (c *checker) telemetry(l telemetry.LogSettings, t telemetry.TraceSettings) {
 	c.choice("log.level", l.Level, telemetry.LevelError, telemetry.LevelInfo, telemetry.LevelDebug)
 	c.choice("trace.exporter", t.Exporter, telemetry.ExportNone, telemetry.ExportFile, telemetry.ExportOTLP)
@@ -352,12 +358,15 @@
 	}
 }
 
+// name reports a setting that is not a valid name. As for the checks below, path is the
+// setting's path in the file.
 func (c *checker) name(path, v string) {
 	if v == "" || len(v) > 64 || strings.ContainsAny(v, " /\\\"") {
 		c.report(path, strconv.Quote(v), "a name of 1 to 64 characters without space, slash or quote")
 	}
 }
 
+// address reports a setting that is not an IP address and port.
 func (c *checker) address(path, v string) {
 	host, port, err := net.SplitHostPort(v)
 	n, portErr := strconv.Atoi(port)
@@ -366,30 +375,35 @@
 	}
 }
 
+// intRange reports a number outside of low to high, both inclusive.
 func (c *checker) intRange(path string, v, low, high int) {
 	if v < low || v > high {
 		c.report(path, strconv.Itoa(v), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
+// durationRange reports a duration outside of low to high, both inclusive.
 func (c *checker) durationRange(path string, v, low, high time.Duration) {
 	if v < low || v > high {
 		c.report(path, v.String(), fmt.Sprintf("%v to %v", low, high))
 	}
 }
 
+// rate reports a rate in bytes per second that is negative or above 1e12; 0 means unknown.
 func (c *checker) rate(path string, v float64) {
 	if v < 0 || v > 1e12 {
 		c.report(path, strconv.FormatFloat(v, 'g', -1, 64), "0 (unknown) to 1e12 bytes per second")
 	}
 }
 
+// choice reports a value that is not one of the allowed ones.
 func (c *checker) choice(path, v string, allowed ...string) {
 	if !slices.Contains(allowed, v) {
 		c.report(path, strconv.Quote(v), "one of "+strings.Join(allowed, ", "))
 	}
 }
 
+// file reports a file that does not exist. An empty v means that no file is set.
 func (c *checker) file(path, v string) {
 	if v == "" {
 		return
@@ -399,6 +413,8 @@
 	}
 }
 
+// tls reports TLS files that do not exist, and a certificate without a key or a key
+// without a certificate.
 func (c *checker) tls(path string, t TLS) {
 	if (t.CertFile == "") != (t.KeyFile == "") {
 		c.report(path, "one of cert_file and key_file is missing", "both or neither")
--- a/sidecar/orders.go
+++ b/sidecar/orders.go
@@ -28,7 +28,9 @@
 	errPaused = errors.ConstError("process was paused and has not heard the log since")
 )
 
+// Timing of orders to the engine and of the detection of pauses.
 const (
+	// tickInterval is the time between two calls of fencing.recordTick.
 	tickInterval = 100 * time.Millisecond
 	// pauseThreshold is the time between two ticks above which the process is assumed
 	// to have been paused meanwhile.
@@ -57,15 +59,16 @@
 	f.lastTick = now
 }
 
-// applyClaim records the result of a claim of the engine. Later orders must not have a
-// lower fence than the claim.
+// applyClaim records the result of a claim, by which this sidecar takes over the control
+// of the engine. Later orders to the engine must not have a lower fence than the claim.
 func (f *fencing) applyClaim(claim engine.Claim) {
 	f.epoch = claim.Epoch
 	f.highestFence = max(f.highestFence, claim.Fence)
 }
 
-// check returns an error if an order with the given fence must not be sent, and records
-// the fence otherwise. contact is the time of the last contact with the event log.
+// check returns an error if an order with the given fence must not be sent: a log offset
+// that must not be lower than in earlier orders. Otherwise check stores the fence.
+// contact is the time of the last contact with the event log.
 func (f *fencing) check(fence int64, contact, now time.Time) error {
 	f.recordTick(now)
 	if !f.resumedAt.IsZero() && !contact.After(f.resumedAt) {
@@ -78,8 +81,9 @@
 	return nil
 }
 
-// orders holds the state of the claim of the engine and of the orders to it. mu is held
-// while an order is sent, so that only one order is in flight.
+// orders holds the state of the claim of the engine, by which this sidecar takes control
+// of it, and of the orders to load and unload versions. mu is held
+// while such an order is sent, so that only one is in flight.
 type orders struct {
 	mu      sync.Mutex
 	fencing fencing
@@ -99,8 +103,9 @@
 	}
 }
 
-// replaced reports whether the last change of this incarnation's home in the event log
-// removed it. It returns false if the incarnation was never added.
+// replaced reports whether the event log has removed this incarnation of the sidecar,
+// without adding it again, from the homes, the processes that store what is known of
+// idempotency keys. It returns false if the incarnation was never added.
 func (d *Daemon) replaced() bool {
 	removed := false
 	d.Replica.View(func(s *state.State) {
@@ -120,10 +125,11 @@
 	return removed
 }
 
-// sendOrder sends one order for the version ref by calling send. It sends none and returns
-// errStaleFence if wanted returns false for the current state. The order's fence is the
-// offset of that state. sendOrder claims the engine first if necessary. Further errors are
-// errReplaced, errPaused, and those of the claim and of send.
+// sendOrder makes the engine load or unload the version ref, by calling send with an
+// order. It does not call send and returns errStaleFence if wanted returns false for the
+// current state. The order's fence is the offset of that state. sendOrder claims the
+// engine first if necessary. Further errors are errReplaced, errPaused, and those of the
+// claim and of send.
 func (d *Daemon) sendOrder(ctx context.Context, ref weights.Ref, wanted func(*state.State) bool, send func(context.Context, engine.Order) error) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -19,6 +19,7 @@
 	"github.com/mintlift/mintlift/workspace"
 )
 
+// startTime is the time of the first record in tests.
 var startTime = time.UnixMilli(1_000_000)
 
 // newEntry returns an entry at offset 0 with a record of the given id and body.
@@ -91,6 +92,7 @@
 	r.View(func(s *State) { assert.Equal(t, s.Plans["1"].Status, intent.Conflicted) })
 }
 
+// TestExpiredPlanIsNotConfirmed guards against confirming a plan after its ExpiresAt.
 func TestExpiredPlanIsNotConfirmed(t *testing.T) {
 	r := NewReplica()
 	assert.NilError(t, r.Apply(setOffsets([]eventlog.Entry{
@@ -236,7 +238,7 @@
 }
 
 // TestDesiredFenceDecreasesOnlyOnCancel guards against a box that returns to an older
-// plan for any other reason than a cancelled plan.
+// plan, one with a lower fence, for any other reason than a cancelled plan.
 func TestDesiredFenceDecreasesOnlyOnCancel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReplica()
--- a/storerelay/records_test.go
+++ b/storerelay/records_test.go
@@ -17,6 +17,7 @@
 )
 
 // fakeRecordSource is a RecordSource whose records have the offsets 0, 1, 2 and so on.
+// Since returns confirmed, behind and changed in the fields of Records with these names.
 type fakeRecordSource struct {
 	mu        sync.Mutex
 	records   []Record
@@ -44,7 +45,8 @@
 	l.changed = make(chan struct{})
 }
 
-// confirm sets the time as of which the records are complete to now.
+// confirm simulates a read of the store that finds no new records: it sets
+// Records.Confirmed to the current time.
 func (l *fakeRecordSource) confirm() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,9 +65,12 @@
 	l.changed = make(chan struct{})
 }
 
-// position returns the position at an offset of era 0.
+// position returns the position at an offset of era 0, the initial era of a
+// fakeRecordSource.
 func position(offset int64) history.Position { return history.Position{Offset: offset} }
 
+// Since implements RecordSource. It returns the records from a position on, or all records
+// if the position is of another era.
 func (l *fakeRecordSource) Since(from history.Position) (Records, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,9 +153,10 @@
 	assert.Assert(t, time.Since(began) < 100*time.Millisecond, "records that are stale already are not requested")
 }
 
-// Guards against comparing offsets of different eras. A follower receives all records
-// of a gateway in a later era although their offsets are lower. It rejects records of a
-// gateway in an earlier era although their offsets are higher.
+// Guards against comparing offsets of different eras; an era begins when the store is
+// restored from an older copy. A follower receives all records of a gateway in a later
+// era although their offsets are lower. It rejects records of a gateway in an earlier era
+// although their offsets are higher.
 func TestRecordFollowerInAnotherEra(t *testing.T) {
 	l := newFakeRecordSource("config", "version", "config")
 	f := newTestRecordFollower(t, l)
