--- a/capacity/page.go
+++ b/capacity/page.go
@@ -81,7 +81,7 @@
 	mb := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.ResidentMB })
 	net := d.fitIdle(role, func(i IdleMeasurement) float64 { return i.ReceivedBytesPerSecond + i.SentBytesPerSecond })
 	mechanism := map[string]string{
-		"gateway": "`route.Subset` bounds whom it probes, `gateway.probeSquare` how often",
+		"gateway": "`route.Subset` bounds whom it probes, `gateway.probeCycleFactor` how often",
 		"sidecar": "`relay`: one long poll of one gateway; no call to other sidecars when idle",
 	}[role]
 	source := func(l Line, unit string) string {
@@ -198,18 +198,18 @@
 			Source:    fmt.Sprintf("%.0f records a day: %d changes, 2 a rollout and its waves, 2 a replaced or failed box, a checkpoint in %d", s.recordsPerDay(), s.ChangesPerDay, s.RecordsPerCheckpoint),
 			Mechanism: "`eventlog.Commit`; homes are batched"},
 		{Role: "log service", What: "reads, idle", Value: sim.IdleLogReads, Bound: d.Bounds.ReadsPerSecond, Unit: "a second",
-			Source: fmt.Sprintf("%.2f a gateway, none a sidecar; TestInForceEverywhere, %d processes", perGateway, sim.Processes), Mechanism: "`relay`: gateways read, sidecars ask gateways"},
+			Source: fmt.Sprintf("%.2f a gateway, none a sidecar; TestChangeReachesAllProcessesInTime, %d processes", perGateway, sim.Processes), Mechanism: "`relay`: gateways read, sidecars ask gateways"},
 		{Role: "log service", What: "reads, all processes start at once", Value: float64(sim.PeakLogReads), Bound: d.Bounds.ReadsPerSecond, Unit: "a second at the peak",
-			Source: fmt.Sprintf("%d reads of checkpoints in all; TestStartUpHerd", sim.CheckpointsRead), Mechanism: "`state.Follower.PeersFirst`: sidecars take their checkpoint from a gateway"},
+			Source: fmt.Sprintf("%d reads of checkpoints in all; TestSimultaneousStart", sim.CheckpointsRead), Mechanism: "`state.Follower.PeersFirst`: sidecars take their checkpoint from a gateway"},
 		{Role: "log service", What: "reads, all start while the log is down", Value: float64(sim.PeakLogReadsInOutage), Bound: d.Bounds.ReadsPerSecond, Unit: "a second at the peak",
-			Source: "TestStartUpHerd", Mechanism: "`relay.Directory`: a sidecar turns to the log once in 30 s at most"},
-		{Role: "every process", What: "configuration in force, calm", Value: sim.InForceNormal, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "worst of 30 changes, virtual time; TestInForceEverywhere", Mechanism: "long polls"},
-		{Role: "every process", What: "configuration in force, a gateway frozen", Value: sim.InForceGatewayFrozen, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "TestInForceEverywhere", Mechanism: "a read that hangs ends after 4.5 s, then the next gateway"},
-		{Role: "every process", What: "configuration in force, after a log outage", Value: sim.InForceAfterOutage, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "10 minutes of outage and a gateway still frozen, worst of 12 runs; TestInForceEverywhere", Mechanism: "pauses of 1.5 s at most"},
+			Source: "TestSimultaneousStart", Mechanism: "`relay.Directory`: a sidecar turns to the log once in 30 s at most"},
+		{Role: "every process", What: "configuration in force, calm", Value: sim.InForceNormal, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "worst of 30 changes, virtual time; TestChangeReachesAllProcessesInTime", Mechanism: "long polls"},
+		{Role: "every process", What: "configuration in force, a gateway frozen", Value: sim.InForceGatewayFrozen, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "TestChangeReachesAllProcessesInTime", Mechanism: "a read that hangs ends after 4.5 s, then the next gateway"},
+		{Role: "every process", What: "configuration in force, after a log outage", Value: sim.InForceAfterOutage, Bound: d.Bounds.InForceSeconds, Unit: "s", Source: "10 minutes of outage and a gateway still frozen, worst of 12 runs; TestChangeReachesAllProcessesInTime", Mechanism: "pauses of 1.5 s at most"},
 		{Role: "box list", What: "reads", Value: float64(s.Gateways) / boxListPollSeconds, Unit: "a second",
 			Source: fmt.Sprintf("each gateway every %.0f s; sidecars read a gateway's copy", boxListPollSeconds), Mechanism: "`relay.Directory`"},
 		{Role: "weight store", What: "requests for a manifest, a rollout", Value: float64(s.Gateways + 1), Unit: "requests",
-			Source: "one a gateway, one for the plan", Mechanism: "`gateway.manifests`"},
+			Source: "one a gateway, one for the plan", Mechanism: "`gateway.manifestCache`"},
 	}
 }
 
