--- a/backpressure/permit.go
+++ b/backpressure/permit.go
@@ -37,10 +37,10 @@
 	// gateways together. A lower limit is treated as minRate, because the end of a
 	// limit is seen only in responses and a limit of 0 would stop all requests.
 	minRate = 0.25
-	// slotWindow is the length of a slot, the period in which a gateway without an
-	// allocator may send one request, if there are more than burstGateways gateways.
-	// Otherwise a slot lasts until the next one starts. Then gateways that were idle
-	// may all have an unused slot and send a burst, which only a few gateways may do.
+	// A gateway without an allocator may send one request per slot, a period that
+	// recurs at the gateway's share of the rate. With up to burstGateways gateways, a
+	// slot lasts until the next one starts. With more, it lasts slotWindow at most, so
+	// that gateways that were idle do not all send a request at once.
 	slotWindow    = 300 * time.Millisecond
 	burstGateways = 5
 	// fallbackShare is the fraction of a limit that gateways divide among themselves
--- a/backpressure/table.go
+++ b/backpressure/table.go
@@ -282,7 +282,9 @@
 }
 
 // PermitRequest returns the request to send to the permit allocator; ok is false if
-// there is none. It resets the demand.
+// there is none. It resets the number of permits wanted, which AddDemand counts. A
+// request for 0 permits only reports a new limit, its end or draining, which must be
+// sent to other gateways.
 func (s *State) PermitRequest(now time.Time) (r PermitRequest, ok bool) {
 	if !s.notify && s.permits.wanted == 0 {
 		return PermitRequest{}, false
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -67,9 +67,9 @@
 	SentBytesPerSecond     float64 `json:"sent_bytes_a_second"`
 }
 
-// RequestMeasurement is the CPU time, in milliseconds per request, that a gateway
-// and a sidecar take at one request rate and response length. In the JSON names,
-// "a_second" and "a_request" mean per second and per request.
+// RequestMeasurement is the CPU time per request of a gateway and of a sidecar, in
+// milliseconds, at one request rate and response length (in tokens). In the JSON
+// names, "a" stands for "per".
 type RequestMeasurement struct {
 	RequestsPerSecond float64 `json:"requests_a_second"`
 	TokensPerRequest  float64 `json:"tokens_a_request"`
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -23,8 +23,8 @@
 	Mechanism string
 }
 
-// Verdict returns the text of docs/CAPACITY.md for whether Value is within
-// Bound. It is empty if there is no bound.
+// Verdict returns the text of the table cell in docs/CAPACITY.md that says
+// whether Value is within Bound. It is empty if there is no bound.
 func (r Row) Verdict() string {
 	switch {
 	case r.Bound == 0:
--- a/capacity/sweep.go
+++ b/capacity/sweep.go
@@ -164,7 +164,8 @@
 	_, _ = fmt.Fprintln(w)
 }
 
-// Sweeps parses the reports sweeps/SITE.txt of files, sorted by name.
+// Sweeps parses the benchmark reports in the directory sweeps of files, sorted by
+// file name. A report's file name is the name of its deployment with suffix ".txt".
 func Sweeps(files fs.FS) ([]Sweep, error) {
 	names, err := fs.Glob(files, "sweeps/*.txt")
 	if err != nil {
--- a/cmd/mintlift/platform_gateway.go
+++ b/cmd/mintlift/platform_gateway.go
@@ -48,7 +48,9 @@
 	recovery *recordRecovery
 }
 
-// HandleReport implements loadreport.Handler.
+// HandleReport implements loadreport.Handler. e is the rest of the sidecar's response to
+// a subscription: the round-trip time, and what the sidecar knows from other gateways. It
+// is nil if the report is not part of such a response.
 func (h reportHandler) HandleReport(r fleet.Report, e *loadreport.Echo) {
 	if e == nil {
 		h.server.HandleReport(r, noRoundTrip)
--- a/dedup/dedup_test.go
+++ b/dedup/dedup_test.go
@@ -38,8 +38,8 @@
 	entries []eventlog.Entry
 }
 
-// appendChange appends a record that adds homes to, or removes homes from, the set among
-// which keys are distributed. at is the record's time.
+// appendChange appends a record that adds or removes homes, the sidecar processes among
+// which the idempotency keys are distributed. at is the record's time.
 func (log *logModel) appendChange(at time.Time, c state.HomesChanged) {
 	r, err := eventlog.NewRecord(state.KindHomesChanged, "test", at, c)
 	if err != nil {
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -33,7 +33,8 @@
 	percent    = 100
 )
 
-// Budget is the bound for a kind of change, and its shares.
+// Budget is the time within which a change must be in force after the store accepted
+// it. Its methods return the parts of this time that single steps may take.
 type Budget struct{ bound time.Duration }
 
 // New returns the budget of changes that must be in force within bound after the
--- a/ingress/stream.go
+++ b/ingress/stream.go
@@ -23,8 +23,8 @@
 	// events nor load reports.
 	boxStallTimeout = 900 * time.Millisecond
 	// firstEventTimeout applies while the box is reachable and the attempt has received
-	// no event. It is long, because an engine may take seconds until it has a free slot,
-	// its capacity for one request. nextEventTimeout applies after the first event.
+	// no event. This includes the wait, possibly of seconds, until the engine has
+	// capacity for another request. nextEventTimeout applies after the first event.
 	firstEventTimeout = 2200 * time.Millisecond
 	nextEventTimeout  = 1200 * time.Millisecond
 	// idleCheckInterval is the time between two checks of the timeouts.
--- a/installer/load.go
+++ b/installer/load.go
@@ -40,10 +40,10 @@
 
 // Timing of a load.
 const (
-	// maxCheckAge is the maximum duration of the check of all staged chunks that
-	// precedes a Start. A check that took longer is repeated, as the chunks that it
-	// read first may have become corrupt since.
-	maxCheckAge = time.Second
+	// maxCheckDuration is the maximum duration of the check of all staged chunks that
+	// precedes a Start, the order to the engine to load the version. A check that took
+	// longer is repeated, as the chunks that it read first may have become corrupt since.
+	maxCheckDuration = time.Second
 	// enginePollInterval is the pause between two reads of the engine's state while
 	// the sidecar waits for the engine to load a version.
 	enginePollInterval = 50 * time.Millisecond
@@ -83,7 +83,7 @@
 		checked := clock.Now()
 		if staged := i.stageReplica(ctx, s); !staged && !sent {
 			return false
-		} else if !staged || clock.Since(checked) > maxCheckAge {
+		} else if !staged || clock.Since(checked) > maxCheckDuration {
 			continue
 		}
 		switch i.sendStart(ctx, s, state, checked) {
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -173,18 +173,20 @@
 	return out
 }
 
-// addSteps adds one step per box and divides the steps into waves. It returns ErrNoMemory
-// if the version is larger than the memory of a box's engine.
+// addSteps adds one step per box and divides the steps into waves. Steps in the region
+// that originRegion returns have the Source FromOrigin; the Source of all others is that
+// region. It returns ErrNoMemory if the version is larger than the memory of a box's
+// engine.
 func (p *Plan) addSteps(boxes []Candidate, m *weights.Manifest, snap Snapshot) error {
-	origin := originRegion(boxes)
+	firstRegion := originRegion(boxes)
 	var evicting []int // indices of the steps that evict a version
 	for _, c := range boxes {
 		if c.MemoryBytes > 0 && m.Bytes > c.MemoryBytes {
 			return errors.WithType(errors.Errorf("%s on box %s: %d bytes of %d", m.Ref, c.ID, m.Bytes, c.MemoryBytes), ErrNoMemory)
 		}
 		s := Step{Box: c.ID, Zone: c.Zone, Source: FromOrigin, Evicts: evictions(c, m)}
-		if c.Zone.Region != origin {
-			s.Source = origin
+		if c.Zone.Region != firstRegion {
+			s.Source = firstRegion
 		}
 		p.Steps = append(p.Steps, s)
 		if len(s.Evicts) > 0 {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -51,7 +51,8 @@
 	startOffset time.Duration
 }
 
-// tracker measures the suspensions that Now adds to the time of package time.
+// tracker measures how long the machine has been suspended since process start. Now
+// adds this duration to time.Now().
 var tracker = newSuspensionTracker()
 
 // newSuspensionTracker returns a tracker that counts suspensions from this call on.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -76,7 +76,8 @@
 	HeaderDraining = "Mintlift-Draining"
 )
 
-// Reason is why a sidecar refused a request or a Claim.
+// Reason is why a sidecar refused a request, or a Claim, which requests permission to
+// run an attempt.
 type Reason string
 
 // The reasons.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -298,8 +298,8 @@
 	c.tls("caller_tls", s.CallerTLS)
 	c.tls("admin_tls", s.AdminTLS)
 	c.tls("peer_tls", s.PeerTLS)
-	c.file("peer_key_file", s.PeerKeyFile)
-	c.file("operator_key_file", s.OperatorKeyFile)
+	c.fileExists("peer_key_file", s.PeerKeyFile)
+	c.fileExists("operator_key_file", s.OperatorKeyFile)
 	c.intRange("max_in_flight", s.MaxInFlight, 1, 100000)
 	c.intRange("queue", s.Queue, 0, 100000)
 	c.durationRange("request_timeout", s.RequestTimeout, time.Second, time.Hour)
@@ -317,7 +317,7 @@
 	c.address("peer_listen", s.PeerListen)
 	c.address("endpoint", s.Endpoint)
 	c.tls("peer_tls", s.PeerTLS)
-	c.file("peer_key_file", s.PeerKeyFile)
+	c.fileExists("peer_key_file", s.PeerKeyFile)
 	c.intRange("max_in_flight", s.MaxInFlight, 1, 100000)
 	c.intRange("queue", s.Queue, 0, 100000)
 	c.durationRange("drain_timeout", s.DrainTimeout, time.Second, time.Hour)
@@ -403,13 +403,14 @@
 	}
 }
 
-// file reports a file that does not exist. An empty v means that no file is set.
-func (c *checker) file(path, v string) {
-	if v == "" {
+// fileExists reports the setting if the file that it names does not exist. An empty
+// file means that none is set.
+func (c *checker) fileExists(setting, file string) {
+	if file == "" {
 		return
 	}
-	if _, err := os.Stat(v); err != nil {
-		c.report(path, strconv.Quote(v), "an existing file")
+	if _, err := os.Stat(file); err != nil {
+		c.report(setting, strconv.Quote(file), "an existing file")
 	}
 }
 
@@ -421,6 +422,6 @@
 	}
 	v := reflect.ValueOf(t)
 	for i := range v.NumField() {
-		c.file(path+"."+v.Type().Field(i).Tag.Get("json"), v.Field(i).String())
+		c.fileExists(path+"."+v.Type().Field(i).Tag.Get("json"), v.Field(i).String())
 	}
 }
--- a/state/state.go
+++ b/state/state.go
@@ -276,7 +276,8 @@
 }
 
 // supersede sets the status of the other confirmed plans for newPlan's model to
-// Superseded if they are no longer the first route of any workspace.
+// Superseded if, for each of their workspaces, a plan in effect for the model was
+// confirmed more recently.
 func (s *State) supersede(newPlan *intent.Plan) {
 	for _, id := range s.PlanOrder {
 		p := s.Plans[id]
--- a/storerelay/follow.go
+++ b/storerelay/follow.go
@@ -132,6 +132,7 @@
 		return true
 	}
 	if f.source != "" {
+		// The value of "before" is the gateway that the list was read from until now.
 		f.log.Info("reading endpoint list from the store", "before", f.source)
 		f.state, f.source = "", ""
 	}
--- a/storewatch/follow.go
+++ b/storewatch/follow.go
@@ -84,7 +84,9 @@
 	return n.NextPosition()
 }
 
-// scheduleRechecks schedules rechecks from now until recheckDuration has passed.
+// scheduleRechecks has the newest records read again every RecheckInterval, from now
+// until recheckDuration has passed. This finds records that the store's first response
+// did not contain yet.
 func (s *Source) scheduleRechecks(now time.Time) {
 	s.checkedAt, s.recheckUntil = now, now.Add(recheckDuration)
 }
--- a/transfer/swarm.go
+++ b/transfer/swarm.go
@@ -210,15 +210,16 @@
 }
 
 // scheduledFetch is a chunk that this box fetches from outside the region at a
-// scheduled time, unless a box before it in the chunk's order has done so by then.
+// scheduled time, unless a box before it in the chunk's order has done so by then. The
+// order is that of the region's boxes by rendezvous hashing of the chunk.
 type scheduledFetch struct {
 	chunk int
 	// ahead are the boxes before this one in the chunk's order. rank is the number of
 	// boxes in ahead that are not known to be unresponsive.
 	ahead []string
 	rank  int
-	// due is the duration from Swarm.start until the first box in the chunk's order
-	// fetches the chunk, and at the duration until this box does.
+	// due is the scheduled time of the first box in the chunk's order, and at that of
+	// this box. Both are durations since Swarm.start.
 	due, at time.Duration
 }
 
