--- a/docs/docs.go
+++ b/docs/docs.go
@@ -1,22 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package docs holds the data behind mintlift's pages: the measurements that
-// docs/CAPACITY.md and docs/TRANSFER.md are made from.
+// Package docs embeds the measurements from which docs/CAPACITY.md and
+// docs/TRANSFER.md are generated.
 package docs
 
 import "embed"
 
-// Capacity is docs/capacity.json.
+// Capacity is the content of docs/capacity.json.
 //
 //go:embed capacity.json
 var Capacity []byte
 
-// Transfer is docs/transfer.json.
+// Transfer is the content of docs/transfer.json.
 //
 //go:embed transfer.json
 var Transfer []byte
 
-// Sweeps are the reports of docs/sweeps, NAME.txt for the deployment NAME.
+// Sweeps contains the reports of docs/sweeps: sweeps/NAME.txt for the deployment
+// NAME.
 //
 //go:embed sweeps/*.txt
 var Sweeps embed.FS
--- a/docs/plot/main.go
+++ b/docs/plot/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command plot draws the worth of a day's requests over the day, before and
+// Command plot draws the worth of a test day's requests over time, before and
 // after a change, from two reports of the bench (fleetbench run --report):
 //
 //	go run ./docs/plot -title "litoral scale-1" -out docs/plot/scale-1.svg before.json after.json
@@ -26,10 +26,11 @@
 	height = 7 * vg.Centimeter
 )
 
-// report is the part of the bench's report that is drawn.
+// report is the part of a bench report that is plotted.
 type report struct {
-	// Windows are two seconds each; Name is the first of them, Worth the
-	// credit earned of the credit owed there, or nil if none was owed.
+	// Windows are two seconds long. Name is the start of the window in seconds,
+	// Worth the share of the window's credit that was earned, or nil if there
+	// was no credit to earn.
 	Windows []struct {
 		Name  string   `json:"name"`
 		Worth *float64 `json:"worth"`
@@ -79,7 +80,8 @@
 	return errors.Trace(p.Save(width, height, out))
 }
 
-// read returns the worth of each window by its first second.
+// read returns the worth of each window by its start in seconds; windows without
+// worth are left out.
 func read(file string) (plotter.XYs, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package examples holds a settings file for each process of the two
-// deployments that mintlift was built for.
+// Package examples embeds a settings file for each role of two example
+// deployments.
 package examples
 
 import "embed"
 
-// Files are the examples, named DEPLOYMENT-ROLE.json.
+// Files contains the examples, named DEPLOYMENT-ROLE.json.
 //
 //go:embed *.json
 var Files embed.FS
--- a/explain/causes.go
+++ b/explain/causes.go
@@ -15,13 +15,15 @@
 	"github.com/juju/errors"
 )
 
-// Cause counts the requests that ended in one way within one window.
+// Cause is the number of requests that ended with the same outcome and cause in
+// the same time window.
 type Cause struct {
-	// Window is the begin of the window.
+	// Window is the start of the window.
 	Window  time.Time `json:"window"`
 	Outcome string    `json:"outcome"`
 	Cause   string    `json:"cause"`
-	// CallerRetry says that the callers had been refused before.
+	// CallerRetry reports whether the requests were retries by callers after a
+	// refusal.
 	CallerRetry bool `json:"returned"`
 	Requests    int  `json:"requests"`
 }
@@ -30,15 +32,15 @@
 // file.
 type Causes struct {
 	window time.Duration
-	counts map[Cause]int // by what Cause says but for Requests
+	counts map[Cause]int // the keys have Requests 0
 }
 
-// NewCauses counts by windows of this length.
+// NewCauses returns an empty count with windows of the given length.
 func NewCauses(window time.Duration) *Causes {
 	return &Causes{window: window, counts: make(map[Cause]int)}
 }
 
-// requestEnd is the log line with which a request ends.
+// requestEnd is the log line that is written at the end of a request.
 type requestEnd struct {
 	Time        time.Time `json:"time"`
 	Request     string    `json:"request"`
@@ -47,8 +49,8 @@
 	CallerRetry bool      `json:"returned"`
 }
 
-// Add counts the requests that end in the lines of r. Text ahead of a line's
-// JSON and lines that hold none are left out.
+// Add counts the requests whose end is logged in r. Text before the JSON of a
+// line is ignored, and so are lines without JSON.
 func (c *Causes) Add(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -59,7 +61,7 @@
 		}
 		var line requestEnd
 		if err := json.Unmarshal([]byte("{"+text), &line); err != nil || line.Request == "" || line.Outcome == "" {
-			continue // a cut line, or one about something else
+			continue // truncated, or not the end of a request
 		}
 		c.counts[Cause{
 			Window:      line.Time.Truncate(c.window),
@@ -71,15 +73,15 @@
 	return errors.Trace(scanner.Err())
 }
 
-// causeKind leaves out of a cause what differs from request to request: what
-// follows the first colon of an error is addresses and system calls.
+// causeKind returns the part of a cause before the first colon. The rest, such
+// as addresses, differs between requests.
 func causeKind(cause string) string {
 	kind, _, _ := strings.Cut(cause, ": ")
 	return kind
 }
 
-// List returns the counts in the order of their windows, the largest of each
-// first.
+// List returns the counts sorted by window, and by descending number of
+// requests within a window.
 func (c *Causes) List() []Cause {
 	out := make([]Cause, 0, len(c.counts))
 	for cause, n := range c.counts {
@@ -93,7 +95,8 @@
 	return out
 }
 
-// WriteCauses prints counts for people: seconds since the first window.
+// WriteCauses writes counts as a table, with windows in seconds since the first.
+// list is sorted as by List.
 func WriteCauses(w io.Writer, list []Cause) error {
 	if _, err := fmt.Fprintf(w, "%8s %8s  %-12s %-9s %s\n", "second", "requests", "outcome", "returned", "cause"); err != nil {
 		return errors.Trace(err)
--- a/explain/causes_test.go
+++ b/explain/causes_test.go
@@ -19,6 +19,8 @@
 {"time":"2026-01-01T00:00:01Z","outcome":"cut
 `
 
+// TestCausesByWindow guards against requests counted in the wrong window, and
+// against counting lines that are not the end of a request.
 func TestCausesByWindow(t *testing.T) {
 	c := NewCauses(2 * time.Second)
 	assert.NilError(t, c.Add(strings.NewReader(requestEndLines)))
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package explain tells the story of one request, endpoint or version from
-// the log lines of several processes.
+// Package explain selects and merges the log lines of several processes about
+// one request, endpoint or version, and counts the causes of failed requests.
 package explain
 
 import (
@@ -17,24 +17,24 @@
 	"github.com/juju/errors"
 )
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
 	Time time.Time `json:"time"`
-	// Source is what stood ahead of the line, for instance the name of the
-	// process, or the file's name.
+	// Source is the text before the line's JSON, such as the name of the
+	// process, or the name of the file if there is none.
 	Source  string `json:"source"`
 	Message string `json:"message"`
-	// Fields are all others, by name.
+	// Fields are the other fields but the level, by name.
 	Fields map[string]any `json:"fields"`
 }
 
-// Filter chooses lines: those with one of the values in one of the fields.
+// Filter selects the lines in which one of Fields has Value.
 type Filter struct {
 	Fields []string
 	Value  string
 }
 
-// Filters for what can be explained.
+// Log fields by which lines are selected.
 var (
 	requestFields  = []string{"request"}
 	endpointFields = []string{"endpoint"}
@@ -42,16 +42,17 @@
 	identityFields = []string{"identity"}
 )
 
-// Request chooses the lines about a request.
+// Request selects the lines about a request.
 func Request(id string) Filter { return Filter{requestFields, id} }
 
-// Endpoint chooses the lines about an endpoint.
+// Endpoint selects the lines about an endpoint.
 func Endpoint(id string) Filter { return Filter{endpointFields, id} }
 
-// Identity chooses the lines about all tries of a request, by its identity.
+// Identity selects the lines about all attempts and retries of a request, which
+// have different ids but the same identity.
 func Identity(id string) Filter { return Filter{identityFields, id} }
 
-// Version chooses the lines about a version of the weights.
+// Version selects the lines about a version of the weights.
 func Version(version string) Filter { return Filter{versionFields, version} }
 
 func (f Filter) matches(fields map[string]any) bool {
@@ -63,11 +64,12 @@
 	return false
 }
 
-// maxLine bounds a log line.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Read returns the lines of r that f chooses. Text ahead of a line's JSON
-// is its source; lines that hold no JSON are left out.
+// Read returns the lines of r that f selects. Text before the JSON of a line is
+// its source, else the parameter source. Lines without JSON are ignored. A line
+// longer than maxLine is an error.
 func Read(r io.Reader, source string, f Filter) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -102,13 +104,13 @@
 	return line, true
 }
 
-// Sort puts lines in the order of their times.
+// Sort sorts lines by time. It is stable.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// Write prints lines for people: the time since the first, the source, the
-// event, and its fields by name.
+// Write writes lines as text: the time since the first, the source, the message
+// and the fields sorted by name.
 func Write(w io.Writer, lines []Line) error {
 	for _, line := range lines {
 		names := make([]string, 0, len(line.Fields))
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -26,6 +26,8 @@
 	return out
 }
 
+// TestRequestLinesSortedByTime guards against lines that are out of order or have
+// the wrong source.
 func TestRequestLinesSortedByTime(t *testing.T) {
 	got := lines(t, Request("r1"))
 	assert.Equal(t, len(got), 2)
@@ -37,7 +39,8 @@
 	assert.Assert(t, strings.Contains(out.String(), "    0.500s  1.2 gateway-2            gateway: request             outcome=answered request=r1"), out.String())
 }
 
-// All tries of one request, whatever their ids.
+// TestIdentitySelectsAllTries guards against missing the tries of a request that
+// have another request id.
 func TestIdentitySelectsAllTries(t *testing.T) {
 	const tries = `{"time":"2026-01-01T00:00:02Z","msg":"gateway: request","request":"r1","identity":"1f","outcome":"failed"}
 {"time":"2026-01-01T00:00:01Z","msg":"gateway: endpoint crashed","request":"r1","identity":"1f","crashes":1}
--- a/httpserve/httpserve.go
+++ b/httpserve/httpserve.go
@@ -2,13 +2,11 @@
 
 // Package httpserve runs go-zero rest servers for mintlift's daemons.
 //
-// It chooses each of rest's middlewares on purpose: tracing stays. rest's
-// time-out, breaker, shedder and connection bound are off, because they
-// buffer or refuse by themselves, and a refusal must come from mintlift,
-// which knows that the request did not run. Its recovery is off too: it
-// would end a cut answer as if it were whole, where net/http's own closes
-// the connection. Stopping waits for requests in progress up to a stated
-// bound.
+// Of rest's middlewares, only tracing is enabled. Its timeout, breaker, load
+// shedding and connection limit are disabled because they buffer responses or
+// reject requests, and rejections must come from mintlift, which reports whether
+// the request ran. Its recovery is disabled because it would terminate a
+// truncated response normally, where net/http closes the connection.
 package httpserve
 
 import (
@@ -30,7 +28,7 @@
 	"github.com/mintlift/mintlift/internal/meter"
 )
 
-// Bounds of every server.
+// Limits of every server.
 const (
 	// MaxBody is the largest request body, in bytes.
 	MaxBody           = 8 << 20
@@ -41,14 +39,15 @@
 // Route is a method, a path and a handler.
 type Route = rest.Route
 
-// Methods are the methods that plain services are called with.
+// Methods are the HTTP methods that are routed to plain services.
 var Methods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
-// maxSubpathSegments is how many path segments may follow a route of DeepRoutes:
-// rest's router knows no catch-all.
+// maxSubpathSegments is the number of path segments that DeepRoutes matches;
+// rest's router has no catch-all.
 const maxSubpathSegments = 8
 
-// DeepRoutes returns routes for one to maxDepth path segments below path.
+// DeepRoutes returns routes for one to maxSubpathSegments path segments below
+// path.
 func DeepRoutes(method, path string, h http.HandlerFunc) []Route {
 	var out []Route
 	for i := range maxSubpathSegments {
@@ -64,8 +63,8 @@
 	listener net.Listener
 }
 
-// Quiet turns off the log lines and statistics that go-zero writes by
-// itself. Daemons call it once; their own logs go through logr.
+// Quiet disables go-zero's own log lines and statistics. Daemons call it once;
+// they log through logr.
 func Quiet() {
 	logx.Disable()
 	stat.DisableLog()
@@ -73,17 +72,17 @@
 
 // Options configure a Server.
 type Options struct {
-	// Name appears in traces.
+	// Name is the server's name in traces.
 	Name string
 	// Address is the IP and port to bind.
 	Address string
 	// TLS is nil for plain HTTP.
 	TLS *tls.Config
-	// Meter, when set, counts the connections' bytes.
+	// Meter counts the connections' bytes; nil means that they are not counted.
 	Meter *meter.Meter
 }
 
-// Listen binds an address and serves routes.
+// Listen binds an address and serves routes in the background.
 func Listen(o Options, routes []Route) (*Server, error) {
 	handler, err := Handler(o.Name, routes)
 	if err != nil {
@@ -101,11 +100,11 @@
 		server:   &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout},
 		listener: ln,
 	}
-	go func() { _ = s.server.Serve(ln) }() // ends with ErrServerClosed at Close
+	go func() { _ = s.server.Serve(ln) }() // returns ErrServerClosed after Stop or Kill
 	return s, nil
 }
 
-// Handler builds the routes' handler without listening.
+// Handler returns a handler that serves routes.
 func Handler(name string, routes []Route) (http.Handler, error) {
 	conf := rest.RestConf{MaxBytes: MaxBody}
 	conf.Name = name
@@ -122,31 +121,31 @@
 	return http.HandlerFunc(h.Serve), nil
 }
 
-// Address is the address that the server is bound to.
+// Address returns the address that the server is bound to.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Stop stops listening and waits for requests in progress until ctx ends;
-// then it cuts them and returns ctx's error.
+// Stop stops listening and waits for the requests in flight. If ctx ends first,
+// it closes their connections and returns ctx's error.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.server.Shutdown(ctx)
 	if err != nil {
-		_ = s.server.Close() // the bound has passed: cut what is left
+		_ = s.server.Close()
 	}
 	return err
 }
 
-// Kill closes the listener and every connection at once, as a crash would.
+// Kill closes the listener and all connections immediately, as a crash would.
 func (s *Server) Kill() { _ = s.server.Close() }
 
-// WriteJSON answers with a status and a JSON body.
+// WriteJSON writes a response with a status and a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client has gone if this fails
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// WriteTagged answers with a JSON body and its tag, or with 304 when the
-// request names the tag.
+// WriteTagged writes a JSON body with the ETag tag, or status 304 if the request's
+// If-None-Match header is tag.
 func WriteTagged(w http.ResponseWriter, r *http.Request, tag string, body any) {
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
@@ -156,16 +155,18 @@
 	WriteJSON(w, http.StatusOK, body)
 }
 
-// Tag returns the tag of a body.
+// Tag returns an ETag for a body: a hash of its JSON. It is empty if body has no
+// JSON encoding.
 func Tag(body any) string {
 	b, err := json.Marshal(body)
 	if err != nil {
-		return "" // matches no request's tag
+		return ""
 	}
 	return strconv.FormatUint(xxhash.Sum64(b), 36)
 }
 
-// ReadJSON decodes a request's body strictly.
+// ReadJSON decodes a request's JSON body of up to MaxBody bytes into out. Unknown
+// fields are an errors.NotValid error.
 func ReadJSON(r *http.Request, out any) error {
 	dec := json.NewDecoder(io.LimitReader(r.Body, MaxBody))
 	dec.DisallowUnknownFields()
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package keys holds the secrets that settings name as files: shared keys
-// and TLS certificates. Both are read again when their files change, so
-// that they can be replaced while the process runs. A file that has become
-// unreadable leaves the former value in force.
+// Package keys loads shared keys and TLS certificates from the files named in
+// the settings. They are reloaded when a file's modification time advances, so
+// that they can be replaced while the process runs. If a reload fails, the last
+// value loaded stays in use.
 package keys
 
 import (
@@ -19,10 +19,13 @@
 	"github.com/mintlift/mintlift/settings"
 )
 
-// checkInterval is how often a file's time is looked at.
+// checkInterval is the minimum time between two checks of the files'
+// modification times.
 const checkInterval = time.Second
 
-// fileWatcher calls read when one of the files has changed.
+// fileWatcher calls reload when the newest modification time of files advances.
+// Files that do not exist are ignored. mu guards lastCheck and modTime and is
+// held during reload.
 type fileWatcher struct {
 	mu        sync.Mutex
 	files     []string
@@ -31,6 +34,8 @@
 	reload    func() error
 }
 
+// refresh calls reload if a file has changed. A failed reload is repeated at the
+// next check.
 func (w *fileWatcher) refresh() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,21 +60,22 @@
 	return nil
 }
 
-// File is a key in a file. Use OpenFile.
+// File is a key loaded from a file. Use OpenFile.
 type File struct {
-	watch fileWatcher
-	mu    sync.Mutex
-	key   string
+	watcher fileWatcher
+	mu      sync.Mutex // guards key
+	key     string
 }
 
-// OpenFile reads the key in a file; an empty path is an empty key.
+// OpenFile loads the key from a file, without surrounding white space. An empty
+// path is an empty key; an empty file is an error.
 func OpenFile(path string) (*File, error) {
 	f := new(File)
 	if path == "" {
 		return f, nil
 	}
-	f.watch = fileWatcher{files: []string{path}, reload: func() error { return f.load(path) }}
-	if err := f.watch.refresh(); err != nil {
+	f.watcher = fileWatcher{files: []string{path}, reload: func() error { return f.load(path) }}
+	if err := f.watcher.refresh(); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -78,7 +84,7 @@
 func (f *File) load(path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Annotate(err, "key file")
+		return errors.Annotate(err, "read key file")
 	}
 	key := strings.TrimSpace(string(b))
 	if key == "" {
@@ -90,19 +96,20 @@
 	return nil
 }
 
-// Key returns the key as the file now has it.
+// Key returns the current key, reloading it first if the file has changed.
 func (f *File) Key() string {
-	if len(f.watch.files) > 0 {
-		_ = f.watch.refresh() // an unreadable file leaves the former key
+	if len(f.watcher.files) > 0 {
+		_ = f.watcher.refresh() // on failure the last key stays in use
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.key
 }
 
-// keyPair is a certificate with its clients' authority.
+// keyPair is a certificate with its key, and the CAs of peers; clientCAs is nil
+// without a client CA file.
 type keyPair struct {
-	watch     fileWatcher
+	watcher   fileWatcher
 	mu        sync.Mutex
 	cert      *tls.Certificate
 	clientCAs *x509.CertPool
@@ -114,8 +121,8 @@
 	if t.ClientCAFile != "" {
 		files = append(files, t.ClientCAFile)
 	}
-	p.watch = fileWatcher{files: files, reload: func() error { return p.load(t) }}
-	if err := p.watch.refresh(); err != nil {
+	p.watcher = fileWatcher{files: files, reload: func() error { return p.load(t) }}
+	if err := p.watcher.refresh(); err != nil {
 		return nil, err
 	}
 	return p, nil
@@ -124,17 +131,17 @@
 func (p *keyPair) load(t settings.TLS) error {
 	cert, err := tls.LoadX509KeyPair(t.CertFile, t.KeyFile)
 	if err != nil {
-		return errors.Annotate(err, "certificate")
+		return errors.Annotate(err, "load certificate")
 	}
 	var pool *x509.CertPool
 	if t.ClientCAFile != "" {
 		pem, err := os.ReadFile(t.ClientCAFile)
 		if err != nil {
-			return errors.Annotate(err, "client CA")
+			return errors.Annotate(err, "read client CA file")
 		}
 		pool = x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return errors.NotValidf("client CA file %s", t.ClientCAFile)
+			return errors.NotValidf("PEM certificates in client CA file %s", t.ClientCAFile)
 		}
 	}
 	p.mu.Lock()
@@ -144,13 +151,14 @@
 }
 
 func (p *keyPair) current() (*tls.Certificate, *x509.CertPool) {
-	_ = p.watch.refresh() // unreadable files leave the former pair
+	_ = p.watcher.refresh() // on failure the last certificate stays in use
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cert, p.clientCAs
 }
 
-// ServerTLS returns the configuration of a listener, or nil for plain HTTP.
+// ServerTLS returns the TLS configuration of a listener, or nil for plain HTTP.
+// With a client CA file, client certificates are required and verified.
 func ServerTLS(t settings.TLS) (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
@@ -172,9 +180,10 @@
 	}, nil
 }
 
-// PeerTLS returns the configuration of a client of other mintlift
-// processes: it shows the process's own certificate and trusts the
-// authority that signs all of them. It is nil for plain HTTP.
+// PeerTLS returns the TLS configuration of a client of other mintlift
+// processes, or nil for plain HTTP. The client presents the process's own
+// certificate and trusts the client CAs, loaded once; without a client CA file
+// it trusts the system's.
 func PeerTLS(t settings.TLS) (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
--- a/load/send.go
+++ b/load/send.go
@@ -28,7 +28,7 @@
 	stream                    bool
 }
 
-// requestSpec draws a request of the class.
+// newRequest returns a random request of the class.
 func (c *Class) newRequest(rng *rand.Rand) requestSpec {
 	spec := requestSpec{key: c.key}
 	if rng.Float64() < c.NotRepeatable {
--- a/process/process.go
+++ b/process/process.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package process holds what a gateway and a sidecar have in common: the
-// state that follows the log, the clients towards the platform and other
-// processes, the shared key, metrics, and the way to stop.
+// Package process is the common part of the gateway and sidecar daemons: the
+// state replica, the clients for the platform and other processes, shared-key
+// authentication, metrics and graceful shutdown.
 package process
 
 import (
@@ -28,15 +28,15 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// Config is what a Process is made from.
+// Config configures a Process.
 type Config struct {
 	Node        settings.Node
 	Platform    settings.Platform
 	PeerTLS     settings.TLS
 	PeerKeyFile string
 	Log         logr.Logger
-	// Direct makes the process read the log and the box list itself, as
-	// gateways do.
+	// Direct makes the process read the log and the box list from the platform,
+	// as gateways do, and not from a gateway.
 	Direct bool
 }
 
@@ -44,19 +44,19 @@
 type Process struct {
 	Log     logr.Logger
 	Metrics *telemetry.Metrics
-	// Meter counts all connections but those to an endpoint.
+	// Meter counts the bytes of all connections but those to an endpoint.
 	Meter *meter.Meter
-	// Incarnation is new at each start.
+	// Incarnation is a random id of this run of the process.
 	Incarnation string
 	Replica     *state.Replica
 	Directory   *relay.Directory
-	// Journal is the log service itself.
+	// Journal is the client of the platform's log service.
 	Journal *eventlog.Client
-	// Platform and Peers are the clients towards the platform and towards
-	// other processes of mintlift.
+	// Platform is the client for the platform's services, Peers that for other
+	// mintlift processes.
 	Platform *call.Client
 	Peers    *call.Client
-	// Requests counts the requests in progress.
+	// Requests tracks the requests in flight, for draining.
 	Requests drain.Tracker
 
 	config     Config
@@ -67,7 +67,7 @@
 	background sync.WaitGroup
 }
 
-// New prepares a process; nothing runs until Follow or Go.
+// New returns a process; its goroutines start with Follow or Go.
 func New(c Config) (*Process, error) {
 	key, err := keys.OpenFile(c.PeerKeyFile)
 	if err != nil {
@@ -104,15 +104,15 @@
 	return p, nil
 }
 
-// PeersOnce returns a client like Peers that opens a connection for each
-// request, for requests that are not repeatable.
+// PeersOnce returns a client like Peers that opens a new connection for each
+// request, for non-repeatable requests.
 func (p *Process) PeersOnce() *call.Client {
 	o := p.peerTLS
 	o.NoReuse = true
 	return peer.NewClient(o, p.peerKey)
 }
 
-// Listen binds an address and serves routes under the given TLS settings.
+// Listen binds an address and serves routes with the given TLS settings.
 func (p *Process) Listen(name, address string, t settings.TLS, routes []httpserve.Route) (*httpserve.Server, error) {
 	c, err := keys.ServerTLS(t)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return httpserve.Listen(httpserve.Options{Name: name, Address: address, TLS: c, Meter: p.Meter}, routes)
 }
 
-// Follow starts to follow the box list and the log.
+// Follow starts following the box list and the event log in the background.
 func (p *Process) Follow() {
 	follower := &state.Follower{
 		Replica:    p.Replica,
@@ -135,7 +135,7 @@
 	p.Go(follower.Run)
 }
 
-// Go runs f until the process ends.
+// Go runs f in the background; its context is canceled when the process stops.
 func (p *Process) Go(f func(context.Context)) {
 	p.background.Add(1)
 	go func() {
@@ -144,11 +144,12 @@
 	}()
 }
 
-// Stop drains: new requests are refused, those in progress end, within the
-// bound. Then the loops end and the servers close.
-func (p *Process) Stop(ctx context.Context, bound time.Duration, servers ...*httpserve.Server) error {
-	p.Log.Info("draining", "bound", bound.String())
-	ctx, cancel := context.WithTimeout(ctx, bound)
+// Stop drains the process: new requests are refused and those in flight may
+// finish until timeout. Then the background functions are canceled and the
+// servers closed. It returns the first error.
+func (p *Process) Stop(ctx context.Context, timeout time.Duration, servers ...*httpserve.Server) error {
+	p.Log.Info("draining", "bound", timeout.String())
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := p.Requests.Drain(ctx)
 	p.stop()
@@ -162,7 +163,7 @@
 	return err
 }
 
-// Kill ends at once, as a crash would, for tests.
+// Kill stops without draining, as a crash would. It is for tests.
 func (p *Process) Kill(servers ...*httpserve.Server) {
 	for _, s := range servers {
 		s.Kill()
@@ -171,11 +172,12 @@
 	p.background.Wait()
 }
 
-// Guard asks callers for the shared key and marks answers while draining.
+// Guard wraps a peer route: requests without the shared key get status 401, and
+// responses have the draining header while the process drains.
 func (p *Process) Guard(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !p.peerKey.Allowed(r) {
-			p.Log.Info("peer without the key refused", "from", r.RemoteAddr)
+			p.Log.Info("peer request refused: wrong or missing shared key", "from", r.RemoteAddr)
 			http.Error(w, "wrong or missing key", http.StatusUnauthorized)
 			return
 		}
@@ -186,8 +188,8 @@
 	}
 }
 
-// Routes are the peer routes that every process has. status describes the
-// process.
+// Routes returns the peer routes common to all processes. status returns the
+// body of the status route.
 func (p *Process) Routes(status func() peer.Status) []httpserve.Route {
 	return []httpserve.Route{
 		{Method: http.MethodGet, Path: peer.PathStatus, Handler: p.Guard(func(w http.ResponseWriter, r *http.Request) { writeStatus(w, r, status()) })},
@@ -199,32 +201,34 @@
 	}
 }
 
-// writeStatus answers 304 to a prober that knows all but the numbers that
-// change from moment to moment.
+// writeStatus writes a status. Its ETag leaves out the offset, the time since
+// the last log contact and the load, so that a prober gets 304 if only these
+// have changed.
 func writeStatus(w http.ResponseWriter, r *http.Request, s peer.Status) {
-	lasting := s
-	lasting.Offset, lasting.ContactMS, lasting.Load = 0, 0, 0
-	httpserve.WriteTagged(w, r, httpserve.Tag(lasting), s)
+	tagged := s
+	tagged.Offset, tagged.ContactMS, tagged.Load = 0, 0, 0
+	httpserve.WriteTagged(w, r, httpserve.Tag(tagged), s)
 }
 
-// Health answers the platform's probe: 503 while draining.
+// Health handles the platform's health checks: 503 while draining, else 200.
 func (p *Process) Health(w http.ResponseWriter, _ *http.Request) {
 	if p.Requests.Draining() {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = w.Write([]byte("ok\n")) // the prober has gone if this fails
+	_, _ = w.Write([]byte("ok\n")) // fails only if the client has disconnected
 }
 
-// Status fills in what every process says about itself.
+// Status returns the status fields common to all processes. The process is ready
+// if its last contact with the log is within dedup.Lease.
 func (p *Process) Status() peer.Status {
-	silent := time.Since(p.Replica.Contact())
+	sinceContact := time.Since(p.Replica.Contact())
 	return peer.Status{
 		Box:         p.config.Node.Box,
 		Incarnation: p.Incarnation,
 		Offset:      p.Replica.Offset(),
-		ContactMS:   silent.Milliseconds(),
+		ContactMS:   sinceContact.Milliseconds(),
 		Draining:    p.Requests.Draining(),
-		Ready:       silent < dedup.Lease,
+		Ready:       sinceContact < dedup.Lease,
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -2,11 +2,10 @@
 
 // Package settings reads the JSON settings of mintlift's processes.
 //
-// Each program has one typed struct. Reading starts from stated defaults,
-// refuses fields it does not know and values out of bounds, and reports
-// every mistake at once, with the field's path, the value and what is
-// allowed, before anything is bound. Secrets are never in the settings:
-// they stand in files that the settings name.
+// Each program has one struct of settings with defaults. Unknown fields and
+// values out of range are rejected; all problems of a file are reported
+// together, with the field's path, its value and what is allowed. Secrets are
+// not part of the settings, which contain the paths of their files.
 package settings
 
 import (
@@ -28,9 +27,9 @@
 	"github.com/mintlift/mintlift/telemetry"
 )
 
-// Node says where a process runs.
+// Node is the location of a process.
 type Node struct {
-	// Box identifies the box; it is the identity in the box list.
+	// Box is the id of the box in the box list.
 	Box    string `json:"box"`
 	Region string `json:"region"`
 	// Zone is the availability zone within the region.
@@ -42,7 +41,7 @@
 	return membership.AvailabilityZone{Region: n.Region, Zone: n.Zone}
 }
 
-// Platform holds the IP and port of each platform service.
+// Platform holds the address (IP:port) of each platform service.
 type Platform struct {
 	Log         string `json:"log"`
 	WeightStore string `json:"weight_store"`
@@ -50,18 +49,21 @@
 	BoxList     string `json:"box_list"`
 }
 
-// TLS names the files of a listener's certificate. Empty means plain HTTP.
+// TLS holds the paths of a listener's certificate and key. Empty means plain
+// HTTP.
 type TLS struct {
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
-	// ClientCAFile, when set, demands a client certificate signed by it.
+	// ClientCAFile, if set, makes the listener require client certificates that
+	// are signed by one of its CAs.
 	ClientCAFile string `json:"client_ca_file"`
 }
 
-// Enabled reports whether a certificate is named.
+// Enabled reports whether TLS is configured.
 func (t TLS) Enabled() bool { return t.CertFile != "" }
 
-// Links are the rates that plans reckon with, in bytes a second.
+// Links are the link rates that plans assume, in bytes per second; 0 means
+// unknown.
 type Links struct {
 	Origin float64 `json:"origin_bytes_per_second"`
 	Box    float64 `json:"box_bytes_per_second"`
@@ -78,21 +80,22 @@
 	CallerTLS    TLS    `json:"caller_tls"`
 	AdminTLS     TLS    `json:"admin_tls"`
 	PeerTLS      TLS    `json:"peer_tls"`
-	// PeerKeyFile holds the key that mintlift's processes share; empty
-	// means that they do not ask each other for one.
+	// PeerKeyFile is the path of the key shared by mintlift's processes; empty
+	// means that peer requests need no key.
 	PeerKeyFile string `json:"peer_key_file"`
-	// OperatorKeyFile holds the key of the first operator, "bootstrap".
+	// OperatorKeyFile is the path of the key of the first operator, "bootstrap".
 	OperatorKeyFile string `json:"operator_key_file"`
-	// MaxInFlight bounds the requests in progress; Queue those that wait.
+	// MaxInFlight is the maximum number of requests in flight, Queue that of
+	// waiting requests.
 	MaxInFlight int `json:"max_in_flight"`
 	Queue       int `json:"queue"`
-	// RequestTimeout bounds a request whose caller names no deadline.
+	// RequestTimeout is the timeout of requests without a deadline.
 	RequestTimeout time.Duration `json:"request_timeout"`
-	// DrainTimeout bounds a planned stop.
+	// DrainTimeout is the timeout of a graceful shutdown.
 	DrainTimeout time.Duration   `json:"drain_timeout"`
 	Weighing     intent.Weighing `json:"weighing"`
 	Links        Links           `json:"links"`
-	// PlanTTL is how long a plan can be confirmed.
+	// PlanTTL is the time within which a proposed plan can be confirmed.
 	PlanTTL time.Duration           `json:"plan_ttl"`
 	Log     telemetry.LogSettings   `json:"log"`
 	Trace   telemetry.TraceSettings `json:"trace"`
@@ -108,10 +111,10 @@
 	PeerKeyFile string `json:"peer_key_file"`
 	// Endpoint is the IP:port of the model engine or plain service.
 	Endpoint string `json:"endpoint"`
-	// Service names the plain service; empty means a model engine.
+	// Service is the name of the plain service; empty means a model engine.
 	Service string `json:"service"`
-	// MaxInFlight bounds the requests at the endpoint; Queue those that
-	// wait for it here, by priority.
+	// MaxInFlight is the maximum number of requests in flight at the endpoint,
+	// Queue that of requests waiting for it, by priority.
 	MaxInFlight  int           `json:"max_in_flight"`
 	Queue        int           `json:"queue"`
 	DrainTimeout time.Duration `json:"drain_timeout"`
@@ -150,40 +153,40 @@
 	}
 }
 
-// Problem is one mistake in a settings file.
+// Problem is an invalid field of a settings file.
 type Problem struct {
-	// Path is the field, as in "platform.log".
+	// Path is the path of the field, such as "platform.log".
 	Path string `json:"path"`
-	// Value is what stands there, as text.
+	// Value is the field's value as text, or what is wrong with it.
 	Value string `json:"value"`
-	// Want says what is allowed.
+	// Want describes the allowed values.
 	Want string `json:"want"`
 }
 
 // String returns the problem as one line.
 func (p Problem) String() string { return fmt.Sprintf("%s: %s (want %s)", p.Path, p.Value, p.Want) }
 
-// Problems are all the mistakes in a settings file.
+// Problems are all invalid fields of a settings file.
 type Problems []Problem
 
 // Error implements error.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.String()
+	for i, problem := range p {
+		lines[i] = problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// LoadGateway reads a gateway's settings; the error is Problems where the
-// file is JSON at all.
+// LoadGateway reads a gateway's settings. The error is of type Problems unless
+// the file cannot be read or is not JSON.
 func LoadGateway(path string) (Gateway, error) {
 	s := DefaultGateway()
 	err := load(path, &s, func(c *checker) { c.gateway(&s) })
 	return s, err
 }
 
-// LoadSidecar reads a sidecar's settings.
+// LoadSidecar reads a sidecar's settings; see LoadGateway for errors.
 func LoadSidecar(path string) (Sidecar, error) {
 	s := DefaultSidecar()
 	err := load(path, &s, func(c *checker) { c.sidecar(&s) })
@@ -193,11 +196,11 @@
 func load(path string, into any, check func(*checker)) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Annotate(err, "settings")
+		return errors.Annotate(err, "read settings")
 	}
 	var raw map[string]any
 	if err := json.Unmarshal(b, &raw); err != nil {
-		return errors.Annotatef(err, "settings %s are not JSON", path)
+		return errors.Annotatef(err, "parse settings %s as JSON", path)
 	}
 	c := &checker{}
 	c.decode(raw, into)
@@ -209,18 +212,21 @@
 	return c.problems
 }
 
+// checker validates settings and collects the problems.
 type checker struct{ problems Problems }
 
+// report adds a problem unless the field already has one.
 func (c *checker) report(path, value, want string) {
 	for _, p := range c.problems {
 		if p.Path == path {
-			return // the first word on a field is the plainest
+			return
 		}
 	}
 	c.problems = append(c.problems, Problem{Path: path, Value: value, Want: want})
 }
 
-// decode fills into from raw, field by field, and notes what does not fit.
+// decode copies raw into the struct that into points to, and reports values of
+// the wrong type and unknown fields.
 func (c *checker) decode(raw map[string]any, into any) {
 	var meta mapstructure.Metadata
 	d, err := mapstructure.NewDecoder(&mapstructure.DecoderConfig{
@@ -239,15 +245,16 @@
 	}
 }
 
-// decodeErrors notes every error in a tree of wrapped and joined ones.
+// decodeErrors reports each mapstructure.DecodeError in a tree of wrapped and
+// joined errors.
 func (c *checker) decodeErrors(err error, raw map[string]any) {
 	switch e := err.(type) {
 	case nil:
 	case *mapstructure.DecodeError:
 		c.report(e.Name(), jsonAt(raw, e.Name()), "a value of the documented type: "+e.Unwrap().Error())
 	case interface{ Unwrap() []error }:
-		for _, one := range e.Unwrap() {
-			c.decodeErrors(one, raw)
+		for _, wrapped := range e.Unwrap() {
+			c.decodeErrors(wrapped, raw)
 		}
 	case interface{ Unwrap() error }:
 		c.decodeErrors(e.Unwrap(), raw)
@@ -256,17 +263,17 @@
 	}
 }
 
-// jsonAt is what stands at a path, as JSON.
+// jsonAt returns the value at a path as JSON, or "" if there is no such path.
 func jsonAt(raw map[string]any, path string) string {
-	var at any = raw
+	var value any = raw
 	for _, name := range strings.Split(path, ".") {
-		inner, ok := at.(map[string]any)
+		inner, ok := value.(map[string]any)
 		if !ok {
 			return ""
 		}
-		at = inner[name]
+		value = inner[name]
 	}
-	b, err := json.Marshal(at)
+	b, err := json.Marshal(value)
 	if err != nil {
 		return ""
 	}
@@ -345,9 +352,9 @@
 
 func (c *checker) address(path, v string) {
 	host, port, err := net.SplitHostPort(v)
-	n, bad := strconv.Atoi(port)
-	if err != nil || bad != nil || n < 0 || n > 65535 || net.ParseIP(host) == nil {
-		c.report(path, strconv.Quote(v), "an IP number and port, as in 10.0.0.7:8080")
+	n, portErr := strconv.Atoi(port)
+	if err != nil || portErr != nil || n < 0 || n > 65535 || net.ParseIP(host) == nil {
+		c.report(path, strconv.Quote(v), "an IP address and port, such as 10.0.0.7:8080")
 	}
 }
 
@@ -365,7 +372,7 @@
 
 func (c *checker) rate(path string, v float64) {
 	if v < 0 || v > 1e12 {
-		c.report(path, strconv.FormatFloat(v, 'g', -1, 64), "0 (not known) to 1e12 bytes a second")
+		c.report(path, strconv.FormatFloat(v, 'g', -1, 64), "0 (unknown) to 1e12 bytes per second")
 	}
 }
 
@@ -380,7 +387,7 @@
 		return
 	}
 	if _, err := os.Stat(v); err != nil {
-		c.report(path, strconv.Quote(v), "a file that can be read")
+		c.report(path, strconv.Quote(v), "an existing file")
 	}
 }
 
