--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -180,7 +180,7 @@
 	return Fit(x, y)
 }
 
-// Committed returns the rows of the page for the contents of docs/capacity.json
+// RowsFromJSON returns the rows of the page for the contents of docs/capacity.json
 // and docs/transfer.json.
 func Committed(data, transfer []byte) ([]Row, error) {
 	d, err := Parse(data)
--- a/deploy/days/make.py
+++ b/deploy/days/make.py
@@ -83,9 +83,9 @@
     "pair-power-all": ['{ at = 9.0, kind = "herd_kill", share = 1.0, for_s = 1.5, how = "power taken all", on = "core" }'],
 }
 
-# Days with fixed seeds, because the seed decides which partitions of the store fail. store-partly: outages
-# of half of the store's partitions, with changes to receive shortly afterwards. crash-storm: endpoint crashes in quick succession
-# during a burst of identical requests, which must not be quarantined as the cause.
+# Days with fixed seeds, because the seed decides which partitions of the store fail. store-partly: outages of half of the store's
+# partitions, with changes to receive shortly afterwards. crash-storm: endpoint crashes in quick succession during many identical
+# requests, which must not be quarantined as the cause.
 PARTIAL_OUTAGE = '{ at = 7.0, kind = "platform_down", how = "silent log", share = 0.5, for_s = 5.65 }'
 FIXED = {
     "store-partly": (1, [PARTIAL_OUTAGE, '{ at = 12.7, kind = "config_change", how = "route" }', '{ at = 13.0, kind = "config_change", how = "route" }']),
--- a/deploy/days/play.py
+++ b/deploy/days/play.py
@@ -33,7 +33,7 @@
     row = re.search(r"^%s .*$" % re.escape(name), output, re.M)
     broken = re.search(r"^rules broken: .*$", output, re.M)
     fault = re.search(r"^fleetbench: .*$", output, re.M)
-    state = broken.group(0) if broken else "kept" if row else "not played: " + (fault.group(0) if fault else output[-200:])
+    state = broken.group(0) if broken else "rules kept" if row else "not run: " + (fault.group(0) if fault else output[-200:])
     return row.group(0)[:78] if row else name, state
 
 
@@ -55,9 +55,9 @@
     with concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
         for day, output in zip(days, pool.map(lambda day_file: run_day(arguments, day_file), days)):
             row, state = summary(day.stem, output)
-            failed += not state.startswith("kept")
+            failed += not state.startswith("rules kept")
             print(f"{row:80} {state}", flush=True)
-    print(f"{len(days)} days, {failed} broken or not played")
+    print(f"{len(days)} days, {failed} with broken rules or not run")
     return 1 if failed else 0
 
 
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package explain selects and merges the log lines of several processes about
-// one request, endpoint or version, and counts the causes of failed requests.
+// one request, endpoint or version, and counts how requests ended.
 package explain
 
 import (
--- a/httpserve/httpserve.go
+++ b/httpserve/httpserve.go
@@ -63,7 +63,7 @@
 	listener net.Listener
 }
 
-// Quiet disables go-zero's own log lines and statistics. Daemons call it once;
+// DisableGoZeroLogs disables go-zero's own log lines and statistics. Daemons call it once;
 // they log through logr.
 func Quiet() {
 	logx.Disable()
@@ -144,7 +144,7 @@
 	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// WriteTagged writes a JSON body with the ETag tag, or status 304 if the request's
+// WriteWithETag writes a JSON body with the ETag tag, or status 304 if the request's
 // If-None-Match header is tag.
 func WriteTagged(w http.ResponseWriter, r *http.Request, tag string, body any) {
 	w.Header().Set("ETag", tag)
@@ -155,7 +155,7 @@
 	WriteJSON(w, http.StatusOK, body)
 }
 
-// Tag returns an ETag for a body: a hash of its JSON. It is empty if body has no
+// ETag returns an ETag for a body: a hash of its JSON. It is empty if body has no
 // JSON encoding.
 func Tag(body any) string {
 	b, err := json.Marshal(body)
--- a/load/load.go
+++ b/load/load.go
@@ -3,8 +3,8 @@
 // Package load is an open-loop load generator for gateways.
 //
 // The start of each request is drawn in advance and latencies are measured
-// from it, so that queueing in a slow system is neither throttled nor hidden
-// (coordinated omission). Each stream is validated: it must end with [DONE] and
+// from it, so that a slow system neither reduces the load nor hides its queueing
+// delay. Each stream is validated: it must end with [DONE] and
 // have the same request id and version in all events.
 package load
 
--- a/process/process.go
+++ b/process/process.go
@@ -50,7 +50,7 @@
 	Incarnation string
 	Replica     *state.Replica
 	Directory   *relay.Directory
-	// Journal is the client of the platform's log service.
+	// EventLog is the client of the platform's log service.
 	Journal *eventlog.Client
 	// Platform is the client for the platform's services, Peers that for other
 	// mintlift processes.
@@ -104,7 +104,7 @@
 	return p, nil
 }
 
-// PeersOnce returns a client like Peers that opens a new connection for each
+// PeersWithoutReuse returns a client like Peers that opens a new connection for each
 // request, for non-repeatable requests.
 func (p *Process) PeersOnce() *call.Client {
 	o := p.peerTLS
@@ -172,7 +172,7 @@
 	p.background.Wait()
 }
 
-// Guard wraps a peer route: requests without the shared key get status 401, and
+// RequirePeerKey wraps a peer route: requests without the shared key get status 401, and
 // responses have the draining header while the process drains.
 func (p *Process) Guard(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -23,7 +23,7 @@
 // methods may be called concurrently.
 type Sink struct {
 	out      io.Writer
-	mu       sync.Mutex
+	mu       sync.Mutex // guards buffered, dropped and accepted
 	buffered []byte
 	dropped  uint64
 	accepted uint64
@@ -42,7 +42,7 @@
 // line is dropped if it does not fit into the unreserved part of the buffer.
 func (s *Sink) Write(line []byte) (int, error) { return s.add(line, sinkCapacity-sinkReserved) }
 
-// Rare returns a writer that may use the whole buffer, for lines about the
+// PriorityWriter returns a writer that may use the whole buffer, for lines about the
 // process itself: they are dropped last.
 func (s *Sink) Rare() io.Writer { return priorityWriter{s} }
 
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -68,7 +68,7 @@
 	return logr.FromSlogHandler(&prefixHandler{Handler: slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})})
 }
 
-// Part returns a logger whose messages have the prefix "name: ".
+// NamedLogger returns a logger whose messages have the prefix "name: ".
 func Part(l logr.Logger, name string) logr.Logger { return l.WithName(name) }
 
 // StartTraces starts the global trace exporter. The returned function flushes
@@ -109,13 +109,13 @@
 // Gauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) Gauge(name string, read func() float64) { m.set.GetOrCreateGauge(name, read) }
 
-// Traffic registers the gauges of received and sent bytes of a meter.
+// RegisterTraffic registers the gauges of received and sent bytes of a meter.
 func (m *Metrics) Traffic(t *meter.Meter) {
 	m.Gauge("mintlift_net_received_bytes", func() float64 { return float64(t.In()) })
 	m.Gauge("mintlift_net_sent_bytes", func() float64 { return float64(t.Out()) })
 }
 
-// State registers the gauges common to all processes: the state's offset in
+// RegisterState registers the gauges common to all processes: the state's offset in
 // the event log, the time since the last contact with the log, and the numbers
 // of active and waiting requests.
 func (m *Metrics) State(offset func() int64, contact func() time.Time, load func() (active, waiting int)) {
