--- a/docs/plot/main.go
+++ b/docs/plot/main.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Command plot draws the worth of a test day's requests over time, before and
-// after a change, from two reports of the bench (fleetbench run --report):
+// after a change. Worth is the share of the credit for the requests that was
+// earned. The data are two reports of the benchmark (fleetbench run --report):
 //
 //	go run ./docs/plot -title "litoral scale-1" -out docs/plot/scale-1.svg before.json after.json
 package main
@@ -26,11 +27,11 @@
 	height = 7 * vg.Centimeter
 )
 
-// report is the part of a bench report that is plotted.
+// report holds the fields of a benchmark report that are plotted.
 type report struct {
-	// Windows are two seconds long. Name is the start of the window in seconds,
-	// Worth the share of the window's credit that was earned, or nil if there
-	// was no credit to earn.
+	// Windows are consecutive periods of two seconds. Name is the start of the
+	// window in seconds. Worth is the share of the window's credit that was
+	// earned, or nil if there was no credit to earn.
 	Windows []struct {
 		Name  string   `json:"name"`
 		Worth *float64 `json:"worth"`
@@ -51,6 +52,7 @@
 	}
 }
 
+// draw reads the reports before and after and writes their plot to the file out.
 func draw(title, out, before, after string) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -80,8 +82,8 @@
 	return errors.Trace(p.Save(width, height, out))
 }
 
-// read returns the worth of each window by its start in seconds; windows without
-// worth are left out.
+// read returns the points of a report's plot: the start of each window in seconds
+// and its worth. Windows without worth are left out.
 func read(file string) (plotter.XYs, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/docs/plot/main_test.go
+++ b/docs/plot/main_test.go
@@ -11,6 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
+// TestDraw checks that a plot is written, that windows without worth are left out,
+// and that invalid reports are errors.
 func TestDraw(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
--- a/explain/causes.go
+++ b/explain/causes.go
@@ -15,8 +15,8 @@
 	"github.com/juju/errors"
 )
 
-// Cause is the number of requests that ended with the same outcome and cause in
-// the same time window.
+// Cause is a count of requests. It counts the requests that ended in the same time
+// window with the same outcome, cause and value of CallerRetry.
 type Cause struct {
 	// Window is the start of the window.
 	Window  time.Time `json:"window"`
@@ -28,11 +28,11 @@
 	Requests    int  `json:"requests"`
 }
 
-// Causes counts requests by window, outcome and cause. Use Add for each log
-// file.
+// Causes counts requests by time window, outcome, cause and CallerRetry. Use Add for
+// each log file.
 type Causes struct {
 	window time.Duration
-	counts map[Cause]int // the keys have Requests 0
+	counts map[Cause]int // by Cause with Requests set to 0
 }
 
 // NewCauses returns an empty count with windows of the given length.
@@ -40,7 +40,8 @@
 	return &Causes{window: window, counts: make(map[Cause]int)}
 }
 
-// requestEnd is the log line that is written at the end of a request.
+// requestEnd holds the fields of the log line that a gateway writes at the end of a
+// request.
 type requestEnd struct {
 	Time        time.Time `json:"time"`
 	Request     string    `json:"request"`
@@ -49,8 +50,8 @@
 	CallerRetry bool      `json:"returned"`
 }
 
-// Add counts the requests whose end is logged in r. Text before the JSON of a
-// line is ignored, and so are lines without JSON.
+// Add counts the requests whose end is logged in r. It ignores text before the JSON
+// of a line, and lines without JSON. A line longer than maxLine is an error.
 func (c *Causes) Add(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -73,8 +74,8 @@
 	return errors.Trace(scanner.Err())
 }
 
-// causeKind returns the part of a cause before the first colon. The rest, such
-// as addresses, differs between requests.
+// causeKind returns the part of a cause before the first colon. The rest, such as an
+// address, differs between requests and would split their count.
 func causeKind(cause string) string {
 	kind, _, _ := strings.Cut(cause, ": ")
 	return kind
@@ -95,8 +96,8 @@
 	return out
 }
 
-// WriteCauses writes counts as a table, with windows in seconds since the first.
-// list is sorted as by List.
+// WriteCauses writes list, in the order of List, as a table. Windows are written in
+// seconds since the first window.
 func WriteCauses(w io.Writer, list []Cause) error {
 	if _, err := fmt.Fprintf(w, "%8s %8s  %-12s %-9s %s\n", "second", "requests", "outcome", "returned", "cause"); err != nil {
 		return errors.Trace(err)
--- a/explain/causes_test.go
+++ b/explain/causes_test.go
@@ -11,6 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// requestEndLines are log lines of which the first four are the end of a request.
 const requestEndLines = `  1.2 gateway-2 {"time":"2026-01-01T00:00:00.1Z","msg":"gateway: request","request":"r1","outcome":"refused","cause":"no endpoint has room","returned":false}
 {"time":"2026-01-01T00:00:01.9Z","msg":"gateway: request","request":"r2","outcome":"refused","cause":"no endpoint has room","returned":false}
 {"time":"2026-01-01T00:00:01Z","msg":"gateway: request","request":"r3","outcome":"broken_off","cause":"stream broke off: read tcp 127.0.0.1:1: reset","returned":true}
@@ -19,8 +20,8 @@
 {"time":"2026-01-01T00:00:01Z","outcome":"cut
 `
 
-// TestCausesByWindow guards against requests counted in the wrong window, and
-// against counting lines that are not the end of a request.
+// TestCausesByWindow guards against counting requests in the wrong window, and
+// against counting log lines that are not the end of a request.
 func TestCausesByWindow(t *testing.T) {
 	c := NewCauses(2 * time.Second)
 	assert.NilError(t, c.Add(strings.NewReader(requestEndLines)))
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -24,17 +24,17 @@
 	// process, or the name of the file if there is none.
 	Source  string `json:"source"`
 	Message string `json:"message"`
-	// Fields are the other fields but the level, by name.
+	// Fields are the other fields of the JSON, by name. The level is left out.
 	Fields map[string]any `json:"fields"`
 }
 
-// Filter selects the lines in which one of Fields has Value.
+// Filter selects the log lines in which at least one of Fields has Value.
 type Filter struct {
 	Fields []string
 	Value  string
 }
 
-// Log fields by which lines are selected.
+// Names of the log fields that the filters below compare.
 var (
 	requestFields  = []string{"request"}
 	endpointFields = []string{"endpoint"}
@@ -48,8 +48,8 @@
 // Endpoint selects the lines about an endpoint.
 func Endpoint(id string) Filter { return Filter{endpointFields, id} }
 
-// Identity selects the lines about a request and its retries, which have
-// different ids but the same identity.
+// Identity selects the lines about a request and its retries. Each retry has a
+// request id of its own; the identity is the same for all of them.
 func Identity(id string) Filter { return Filter{identityFields, id} }
 
 // Version selects the lines about a version of the weights.
@@ -67,9 +67,9 @@
 // maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Read returns the lines of r that f selects. Text before the JSON of a line is
-// its source, else the parameter source. Lines without JSON are ignored. A line
-// longer than maxLine is an error.
+// Read returns the lines of r that f selects. The Source of a line is the text
+// before its JSON, or the parameter source if there is no such text. Lines without
+// JSON are ignored. A line longer than maxLine is an error.
 func Read(r io.Reader, source string, f Filter) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -89,6 +89,8 @@
 	return out, errors.Trace(scanner.Err())
 }
 
+// parse parses the JSON of a line. It returns false if the JSON is invalid or f does
+// not select the line.
 func parse(text string, f Filter) (Line, bool) {
 	var fields map[string]any
 	decoder := json.NewDecoder(strings.NewReader(text))
@@ -104,7 +106,7 @@
 	return line, true
 }
 
-// Sort sorts lines by time. It is stable.
+// Sort sorts lines by time. Lines of the same time keep their order.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
--- a/httpserve/httpserve.go
+++ b/httpserve/httpserve.go
@@ -2,11 +2,11 @@
 
 // Package httpserve runs go-zero rest servers for mintlift's daemons.
 //
-// Of rest's middlewares, only tracing is enabled. Its timeout, breaker, load
+// Of rest's middlewares, only tracing is enabled. The timeout, breaker, load
 // shedding and connection limit are disabled because they buffer responses or
-// reject requests, and rejections must come from mintlift, which reports whether
-// the request ran. Its recovery is disabled because it would terminate a
-// truncated response normally, where net/http closes the connection.
+// reject requests. Only mintlift may reject requests, because it reports whether a
+// request ran. The recovery is disabled because it would end a truncated response
+// normally, whereas net/http closes the connection.
 package httpserve
 
 import (
@@ -32,8 +32,8 @@
 const (
 	// MaxBody is the largest request body, in bytes.
 	MaxBody           = 8 << 20
-	readHeaderTimeout = 10 * time.Second
-	idleTimeout       = 2 * time.Minute
+	readHeaderTimeout = 10 * time.Second // for the header of a request
+	idleTimeout       = 2 * time.Minute  // of a connection without requests
 )
 
 // Route is a method, a path and a handler.
@@ -42,12 +42,12 @@
 // Methods are the HTTP methods that are routed to plain services.
 var Methods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
-// maxSubpathSegments is the number of path segments that DeepRoutes matches;
-// rest's router has no catch-all.
+// maxSubpathSegments is the maximum number of path segments that DeepRoutes
+// matches. Package rest has no routes for paths of any length.
 const maxSubpathSegments = 8
 
-// DeepRoutes returns routes for one to maxSubpathSegments path segments below
-// path.
+// DeepRoutes returns routes for all paths that extend path by one to
+// maxSubpathSegments segments.
 func DeepRoutes(method, path string, h http.HandlerFunc) []Route {
 	var out []Route
 	for i := range maxSubpathSegments {
@@ -63,8 +63,8 @@
 	listener net.Listener
 }
 
-// DisableGoZeroLogs disables go-zero's own log lines and statistics. Daemons call it once;
-// they log through logr.
+// DisableGoZeroLogs disables go-zero's own log lines and statistics. Daemons, which log
+// through logr, call it once.
 func DisableGoZeroLogs() {
 	logx.Disable()
 	stat.DisableLog()
@@ -78,7 +78,7 @@
 	Address string
 	// TLS is nil for plain HTTP.
 	TLS *tls.Config
-	// Meter counts the connections' bytes; nil means that they are not counted.
+	// Meter counts the connections' bytes. If it is nil, they are not counted.
 	Meter *meter.Meter
 }
 
@@ -144,8 +144,8 @@
 	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// WriteWithETag writes a JSON body with the ETag tag, or status 304 if the request's
-// If-None-Match header is tag.
+// WriteWithETag writes a JSON body whose ETag is tag. If the request's If-None-Match
+// header equals tag, it writes status 304 without the body.
 func WriteWithETag(w http.ResponseWriter, r *http.Request, tag string, body any) {
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
@@ -155,8 +155,8 @@
 	WriteJSON(w, http.StatusOK, body)
 }
 
-// ETag returns an ETag for a body: a hash of its JSON. It is empty if body has no
-// JSON encoding.
+// ETag returns an ETag for a body: a hash of its JSON. It returns "" if body cannot be
+// encoded as JSON.
 func ETag(body any) string {
 	b, err := json.Marshal(body)
 	if err != nil {
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package keys loads shared keys and TLS certificates from the files named in
-// the settings. They are reloaded when a file's modification time advances, so
-// that they can be replaced while the process runs. If a reload fails, the last
-// value loaded stays in use.
+// Package keys loads shared keys and TLS certificates from the files whose paths
+// are in the settings. It reloads them when a file's modification time advances,
+// so that they can be replaced while the process runs. If a reload fails, the
+// last value loaded stays in use.
 package keys
 
 import (
@@ -28,14 +28,14 @@
 // held during reload.
 type fileWatcher struct {
 	mu        sync.Mutex
-	files     []string
+	files     []string // paths
 	lastCheck time.Time
-	modTime   time.Time
+	modTime   time.Time // newest modification time at the last successful reload
 	reload    func() error
 }
 
-// refresh calls reload if a file has changed. A failed reload is repeated at the
-// next check.
+// refresh calls reload if a file has changed. It checks the files at most once per
+// checkInterval. A failed reload is repeated at the next check.
 func (w *fileWatcher) refresh() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,8 +67,8 @@
 	key     string
 }
 
-// OpenFile loads the key from a file, without surrounding white space. An empty
-// path is an empty key; an empty file is an error.
+// OpenFile loads the key from a file, without surrounding white space. If path is
+// empty, the key is empty. An empty file is an error.
 func OpenFile(path string) (*File, error) {
 	f := new(File)
 	if path == "" {
@@ -106,13 +106,13 @@
 	return f.key
 }
 
-// keyPair is a certificate with its key, and the CAs of peers; clientCAs is nil
-// without a client CA file.
+// keyPair is a certificate with its key, and the CAs of client certificates, loaded
+// from the files of settings.TLS.
 type keyPair struct {
 	watcher   fileWatcher
-	mu        sync.Mutex
+	mu        sync.Mutex // guards cert and clientCAs
 	cert      *tls.Certificate
-	clientCAs *x509.CertPool
+	clientCAs *x509.CertPool // nil without a client CA file
 }
 
 func openKeyPair(t settings.TLS) (*keyPair, error) {
@@ -150,6 +150,8 @@
 	return nil
 }
 
+// current returns the certificate and the client CAs, reloading them first if a file
+// has changed.
 func (p *keyPair) current() (*tls.Certificate, *x509.CertPool) {
 	_ = p.watcher.refresh() // on failure the last certificate stays in use
 	p.mu.Lock()
@@ -182,8 +184,8 @@
 
 // PeerTLS returns the TLS configuration of a client of other mintlift
 // processes, or nil for plain HTTP. The client presents the process's own
-// certificate and trusts the client CAs, loaded once; without a client CA file
-// it trusts the system's.
+// certificate. It trusts the CAs of the client CA file, which are not reloaded;
+// without that file it trusts the system's CAs.
 func PeerTLS(t settings.TLS) (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
--- a/process/process.go
+++ b/process/process.go
@@ -35,8 +35,8 @@
 	PeerTLS     settings.TLS
 	PeerKeyFile string
 	Log         logr.Logger
-	// Direct makes the process read the log and the box list from the platform,
-	// as gateways do, and not from a gateway.
+	// Direct makes the process read the event log and the box list from the
+	// platform, as gateways do. Sidecars read them from a gateway.
 	Direct bool
 }
 
@@ -44,16 +44,19 @@
 type Process struct {
 	Log     logr.Logger
 	Metrics *telemetry.Metrics
-	// Meter counts the bytes of all connections but those to an endpoint.
+	// Meter counts the bytes of all connections except those to an endpoint.
 	Meter *meter.Meter
 	// Incarnation is a random id of this run of the process.
 	Incarnation string
-	Replica     *state.Replica
-	Directory   *relay.Directory
+	// Replica is the process's copy of the state, which the event log determines.
+	Replica *state.Replica
+	// Directory reads the box list, and finds the sources to read the event log
+	// from.
+	Directory *relay.Directory
 	// EventLog is the client of the platform's log service.
 	EventLog *eventlog.Client
-	// Platform is the client for the platform's services, Peers that for other
-	// mintlift processes.
+	// Platform is the client for the platform's services. Peers is the client for
+	// other mintlift processes.
 	Platform *call.Client
 	Peers    *call.Client
 	// Requests tracks the requests in flight, for draining.
@@ -62,12 +65,12 @@
 	config     Config
 	peerTLS    call.Options
 	peerKey    peer.Token
-	stop       context.CancelFunc
-	ctx        context.Context
-	background sync.WaitGroup
+	stop       context.CancelFunc // cancels ctx
+	ctx        context.Context    // of the background functions
+	background sync.WaitGroup     // functions started by Go
 }
 
-// New returns a process; its goroutines start with Follow or Go.
+// New returns a process. Its goroutines are started by Follow and Go.
 func New(c Config) (*Process, error) {
 	key, err := keys.OpenFile(c.PeerKeyFile)
 	if err != nil {
@@ -105,7 +108,8 @@
 }
 
 // PeersWithoutReuse returns a client like Peers that opens a new connection for each
-// request, for non-repeatable requests.
+// request. It is for non-idempotent requests, because net/http may retry a request by
+// itself on a reused connection.
 func (p *Process) PeersWithoutReuse() *call.Client {
 	o := p.peerTLS
 	o.NoReuse = true
@@ -135,7 +139,7 @@
 	p.Go(follower.Run)
 }
 
-// Go runs f in the background; its context is canceled when the process stops.
+// Go runs f in the background. The context of f is canceled when the process stops.
 func (p *Process) Go(f func(context.Context)) {
 	p.background.Add(1)
 	go func() {
@@ -144,9 +148,9 @@
 	}()
 }
 
-// Stop drains the process: new requests are refused and those in flight may
-// finish until timeout. Then the background functions are canceled and the
-// servers closed. It returns the first error.
+// Stop drains and stops the process. New requests are refused, and requests in
+// flight may finish until timeout. Then Stop cancels the background functions and
+// stops the servers. It returns the first error.
 func (p *Process) Stop(ctx context.Context, timeout time.Duration, servers ...*httpserve.Server) error {
 	p.Log.Info("draining", "bound", timeout.String())
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -172,8 +176,8 @@
 	p.background.Wait()
 }
 
-// RequirePeerKey wraps a peer route: requests without the shared key get status 401, and
-// responses have the draining header while the process drains.
+// RequirePeerKey wraps the handler of a peer route. Requests without the shared key get
+// status 401. While the process drains, other responses have the draining header.
 func (p *Process) RequirePeerKey(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !p.peerKey.Authorized(r) {
@@ -201,9 +205,9 @@
 	}
 }
 
-// writeStatus writes a status. Its ETag leaves out the offset, the time since
-// the last log contact and the load, so that a prober gets 304 if only these
-// have changed.
+// writeStatus writes a status with an ETag. The ETag does not depend on the offset,
+// the time since the last contact with the event log and the load, so that a prober
+// gets status 304 if only these have changed.
 func writeStatus(w http.ResponseWriter, r *http.Request, s peer.Status) {
 	tagged := s
 	tagged.Offset, tagged.ContactMS, tagged.Load = 0, 0, 0
@@ -220,7 +224,7 @@
 }
 
 // Status returns the status fields common to all processes. The process is ready
-// if its last contact with the log is within dedup.Lease.
+// if its last contact with the event log was less than dedup.Lease ago.
 func (p *Process) Status() peer.Status {
 	sinceContact := time.Since(p.Replica.Contact())
 	return peer.Status{
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -3,9 +3,9 @@
 // Package settings reads the JSON settings of mintlift's processes.
 //
 // Each program has one struct of settings with defaults. Unknown fields and
-// values out of range are rejected; all problems of a file are reported
-// together, with the field's path, its value and what is allowed. Secrets are
-// not part of the settings, which contain the paths of their files.
+// values out of range are rejected. All problems of a file are reported
+// together, each with the field's path, its value and the allowed values.
+// Settings contain no secrets, only the paths of files with secrets.
 package settings
 
 import (
@@ -49,8 +49,8 @@
 	BoxList     string `json:"box_list"`
 }
 
-// TLS holds the paths of a listener's certificate and key. Empty means plain
-// HTTP.
+// TLS holds the paths of a listener's certificate and key. If both are empty, the
+// listener uses plain HTTP.
 type TLS struct {
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
@@ -62,8 +62,8 @@
 // Enabled reports whether TLS is configured.
 func (t TLS) Enabled() bool { return t.CertFile != "" }
 
-// Links are the link rates that plans assume, in bytes per second; 0 means
-// unknown.
+// Links holds the link rates that plans assume, in bytes per second: those of the
+// origin and of each box. 0 means unknown.
 type Links struct {
 	Origin float64 `json:"origin_bytes_per_second"`
 	Box    float64 `json:"box_bytes_per_second"`
@@ -73,28 +73,30 @@
 type Gateway struct {
 	Node     Node     `json:"node"`
 	Platform Platform `json:"platform"`
-	// CallerListen, AdminListen and PeerListen are IP:port addresses.
+	// CallerListen, AdminListen and PeerListen are the listen addresses (IP:port)
+	// for callers, for operators and for other mintlift processes.
 	CallerListen string `json:"caller_listen"`
 	AdminListen  string `json:"admin_listen"`
 	PeerListen   string `json:"peer_listen"`
 	CallerTLS    TLS    `json:"caller_tls"`
 	AdminTLS     TLS    `json:"admin_tls"`
 	PeerTLS      TLS    `json:"peer_tls"`
-	// PeerKeyFile is the path of the key shared by mintlift's processes; empty
-	// means that peer requests need no key.
+	// PeerKeyFile is the path of the key that mintlift's processes share. If it
+	// is empty, peer requests need no key.
 	PeerKeyFile string `json:"peer_key_file"`
 	// OperatorKeyFile is the path of the key of the first operator, "bootstrap".
 	OperatorKeyFile string `json:"operator_key_file"`
-	// MaxInFlight is the maximum number of requests in flight, Queue that of
-	// waiting requests.
+	// MaxInFlight is the maximum number of requests in flight. Queue is the
+	// maximum number of waiting requests.
 	MaxInFlight int `json:"max_in_flight"`
 	Queue       int `json:"queue"`
 	// RequestTimeout is the timeout of requests without a deadline.
 	RequestTimeout time.Duration `json:"request_timeout"`
 	// DrainTimeout is the timeout of a graceful shutdown.
-	DrainTimeout time.Duration   `json:"drain_timeout"`
-	Weighing     intent.Weighing `json:"weighing"`
-	Links        Links           `json:"links"`
+	DrainTimeout time.Duration `json:"drain_timeout"`
+	// Weighing is what plans optimize if their intent does not set it.
+	Weighing intent.Weighing `json:"weighing"`
+	Links    Links           `json:"links"`
 	// PlanTTL is the time within which a proposed plan can be confirmed.
 	PlanTTL time.Duration           `json:"plan_ttl"`
 	Log     telemetry.LogSettings   `json:"log"`
@@ -111,10 +113,11 @@
 	PeerKeyFile string `json:"peer_key_file"`
 	// Endpoint is the IP:port of the model engine or plain service.
 	Endpoint string `json:"endpoint"`
-	// Service is the name of the plain service; empty means a model engine.
+	// Service is the name of the plain service. It is empty if the endpoint is a
+	// model engine.
 	Service string `json:"service"`
-	// MaxInFlight is the maximum number of requests in flight at the endpoint,
-	// Queue that of requests waiting for it, by priority.
+	// MaxInFlight is the maximum number of requests in flight at the endpoint.
+	// Queue is the maximum number of requests that wait for it, by priority.
 	MaxInFlight  int           `json:"max_in_flight"`
 	Queue        int           `json:"queue"`
 	DrainTimeout time.Duration `json:"drain_timeout"`
@@ -157,7 +160,7 @@
 type Problem struct {
 	// Path is the path of the field, such as "platform.log".
 	Path string `json:"path"`
-	// Value is the field's value as text, or what is wrong with it.
+	// Value is the field's value as text, or a description of the problem.
 	Value string `json:"value"`
 	// Want describes the allowed values.
 	Want string `json:"want"`
@@ -178,21 +181,25 @@
 	return strings.Join(lines, "\n")
 }
 
-// LoadGateway reads a gateway's settings. The error is of type Problems unless
-// the file cannot be read or is not JSON.
+// LoadGateway reads a gateway's settings from a file. Invalid settings are an
+// error of type Problems. A file that cannot be read, or is not JSON, is another
+// error.
 func LoadGateway(path string) (Gateway, error) {
 	s := DefaultGateway()
 	err := load(path, &s, func(c *checker) { c.gateway(&s) })
 	return s, err
 }
 
-// LoadSidecar reads a sidecar's settings; see LoadGateway for errors.
+// LoadSidecar reads a sidecar's settings from a file. See LoadGateway for the
+// errors.
 func LoadSidecar(path string) (Sidecar, error) {
 	s := DefaultSidecar()
 	err := load(path, &s, func(c *checker) { c.sidecar(&s) })
 	return s, err
 }
 
+// load reads the settings file at path into the struct that into points to, and
+// calls check to validate it.
 func load(path string, into any, check func(*checker)) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -215,7 +222,7 @@
 // checker validates settings and collects the problems.
 type checker struct{ problems Problems }
 
-// report adds a problem unless the field already has one.
+// report adds a problem with a field, unless one is already reported for it.
 func (c *checker) report(path, value, want string) {
 	for _, p := range c.problems {
 		if p.Path == path {
@@ -245,8 +252,8 @@
 	}
 }
 
-// decodeErrors reports each mapstructure.DecodeError in a tree of wrapped and
-// joined errors.
+// decodeErrors reports each mapstructure.DecodeError in err, which may be a tree of
+// wrapped and joined errors.
 func (c *checker) decodeErrors(err error, raw map[string]any) {
 	switch e := err.(type) {
 	case nil:
--- a/telemetry/pages_test.go
+++ b/telemetry/pages_test.go
@@ -21,11 +21,11 @@
 // docs/LOGS.md lists.
 var loggingFolders = []string{"../ingress", "../installer", "../storerelay", "../storewatch", "../platform", "../cmd/mintlift/platform*.go"}
 
-// logEvent is a log line with the keys of its fields.
+// logEvent holds the keys of the fields that the code logs with one message.
 type logEvent struct{ fields []string }
 
-// codeEvents parses loggingFolders and returns the log lines by message, and the
-// names of the metrics.
+// codeEvents parses the files of loggingFolders, except tests. It returns the log lines
+// by message, and the set of the metrics' names.
 func codeEvents(t *testing.T) (events map[string]logEvent, metrics map[string]bool) {
 	t.Helper()
 	events, metrics = map[string]logEvent{}, map[string]bool{}
@@ -54,6 +54,8 @@
 	return events, metrics
 }
 
+// addCall adds a call of a logger to events, or a call that creates a metric to
+// metrics. It ignores other calls.
 func addCall(call *ast.CallExpr, events map[string]logEvent, metrics map[string]bool) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -98,10 +100,12 @@
 	return value
 }
 
+// tableRow matches a row of a Markdown table whose first cell is code; the groups are
+// the contents of the first two cells.
 var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|([^|]*)\\|")
 
-// readLogsPage returns the table rows of docs/LOGS.md: the second cell by the
-// name in the first.
+// readLogsPage returns the table rows of docs/LOGS.md as a map from the name in
+// the first cell to the text of the second.
 func readLogsPage(t *testing.T) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile("../docs/LOGS.md")
--- a/telemetry/prefix.go
+++ b/telemetry/prefix.go
@@ -11,8 +11,8 @@
 // to slog.
 const loggerNameKey = "logger"
 
-// prefixHandler prepends the logger's name to each message and removes the
-// attribute that carries it.
+// prefixHandler is a slog.Handler that prepends the logger's name to each
+// message, and removes the attribute in which logr passes the name.
 type prefixHandler struct {
 	slog.Handler
 	name string
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -13,7 +13,8 @@
 const (
 	// sinkCapacity bounds the buffered lines.
 	sinkCapacity = 256 << 10
-	// sinkReserved is the part of sinkCapacity that only PriorityWriter uses.
+	// sinkReserved is the part of sinkCapacity that only lines of PriorityWriter
+	// may use.
 	sinkReserved      = 64 << 10
 	sinkFlushInterval = 100 * time.Millisecond
 )
@@ -25,10 +26,10 @@
 	out      io.Writer
 	mu       sync.Mutex // guards buffered, dropped and accepted
 	buffered []byte
-	dropped  uint64
-	accepted uint64
-	closing  chan struct{}
-	done     chan struct{}
+	dropped  uint64        // lines
+	accepted uint64        // lines
+	closing  chan struct{} // closed by Close
+	done     chan struct{} // closed at the end of the goroutine
 }
 
 // NewSink returns a sink that writes to out from its own goroutine until Close.
@@ -38,18 +39,20 @@
 	return s
 }
 
-// Write buffers a line, normally one about a single request. It never fails; the
-// line is dropped if it does not fit into the unreserved part of the buffer.
+// Write buffers a log line. It never returns an error. The line is dropped if it
+// does not fit into the unreserved part of the buffer.
 func (s *Sink) Write(line []byte) (int, error) { return s.add(line, sinkCapacity-sinkReserved) }
 
-// PriorityWriter returns a writer that may use the whole buffer, for lines about the
-// process itself: they are dropped last.
+// PriorityWriter returns a writer whose lines may use the whole buffer, so that they
+// are dropped last. It is for lines about the process itself, Write for lines about
+// single requests.
 func (s *Sink) PriorityWriter() io.Writer { return priorityWriter{s} }
 
 type priorityWriter struct{ sink *Sink }
 
 func (w priorityWriter) Write(line []byte) (int, error) { return w.sink.add(line, sinkCapacity) }
 
+// add buffers a line, or drops it if more than limit bytes would be buffered.
 func (s *Sink) add(line []byte, limit int) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,8 +73,8 @@
 }
 
 // Close flushes the buffered lines and stops the sink's goroutine. It returns
-// after timeout at the latest. It must be called once only; lines added later
-// are not written.
+// after timeout at the latest. Lines added later are not written. Close must be
+// called only once.
 func (s *Sink) Close(timeout time.Duration) {
 	close(s.closing)
 	select {
@@ -80,12 +83,13 @@
 	}
 }
 
+// run writes the buffered lines at each flush interval, until Close is called.
 func (s *Sink) run() {
 	defer close(s.done)
 	ticker := time.NewTicker(sinkFlushInterval)
 	defer ticker.Stop()
-	var spare []byte // the buffer written last, reused
-	var reported uint64
+	var spare []byte    // the buffer written last, for reuse
+	var reported uint64 // dropped lines logged so far
 	for open := true; open; {
 		select {
 		case _, open = <-s.closing:
--- a/telemetry/sink_test.go
+++ b/telemetry/sink_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSinkNeverBlocks guards against loggers that block when the output does
-// not accept lines, and against drops that are not reported.
+// TestSinkNeverBlocks guards against loggers that block while the output accepts
+// no lines, and against dropped lines that are not reported.
 func TestSinkNeverBlocks(t *testing.T) {
 	reader, writer := io.Pipe()
 	s := NewSink(writer)
@@ -47,6 +47,7 @@
 	}
 }
 
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -64,6 +65,7 @@
 	return b.b.String()
 }
 
+// TestSinkCloseFlushes guards against losing buffered lines at Close.
 func TestSinkCloseFlushes(t *testing.T) {
 	var got lockedBuffer
 	s := NewSink(&got)
@@ -72,6 +74,7 @@
 	assert.Equal(t, got.String(), "last\n")
 }
 
+// BenchmarkSinkLine measures logging one line with fields through a Sink.
 func BenchmarkSinkLine(b *testing.B) {
 	s := NewSink(io.Discard)
 	log := NewLogger(s, LogSettings{Level: LevelInfo})
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -36,8 +36,8 @@
 	Exporter string `json:"exporter"`
 	// Target is the path of the file, or host:port of the OTLP collector.
 	Target string `json:"target"`
-	// Sample is the share of requests, 0 to 1, that are traced unless the
-	// caller made the sampling decision.
+	// Sample is the share of requests that are traced, from 0 to 1. It applies
+	// to requests for which the caller has not made the sampling decision.
 	Sample float64 `json:"sample"`
 }
 
@@ -101,7 +101,8 @@
 	return m.set.GetOrCreateCounter(series(name, labels))
 }
 
-// Histogram returns the histogram with this name and labels, as in Counter.
+// Histogram returns the histogram with this name and labels, creating it if
+// needed. labels alternates names and values.
 func (m *Metrics) Histogram(name string, labels ...string) *metrics.Histogram {
 	return m.set.GetOrCreateHistogram(series(name, labels))
 }
@@ -115,9 +116,9 @@
 	m.Gauge("mintlift_net_sent_bytes", func() float64 { return float64(t.Out()) })
 }
 
-// RegisterState registers the gauges common to all processes: the state's offset in
-// the event log, the time since the last contact with the log, and the numbers
-// of active and waiting requests.
+// RegisterState registers the gauges common to all processes: the offset in the
+// event log up to which the state has been read, the seconds since the last contact
+// with the log, and the numbers of active and waiting requests.
 func (m *Metrics) RegisterState(offset func() int64, contact func() time.Time, load func() (active, waiting int)) {
 	m.Gauge("mintlift_state_offset", func() float64 { return float64(offset()) })
 	m.Gauge("mintlift_log_contact_seconds", func() float64 { return time.Since(contact()).Seconds() })
@@ -137,6 +138,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
+// series returns a metric's name with its labels in Prometheus format.
 func series(name string, labels []string) string {
 	if len(labels) == 0 {
 		return name
